--- a/src/yokeline/shards/heartbeats.py
+++ b/src/yokeline/shards/heartbeats.py
@@ -17,15 +17,15 @@
 
 SILENCE_PERIODS = 2
 """Periods without a word after which the answering side asks by itself."""
-RETELL_PERIODS = 2
+RESEND_PERIODS = 2
 """Periods without an answer after which news are told again."""
 
 
-class _ToldNews(msgspec.Struct, frozen=True):
+class _UnacknowledgedUpdates(msgspec.Struct, frozen=True):
     """News in a heartbeat that is not answered yet."""
 
     sequence: int
-    news: tuple[ShardLeader, ...]
+    updates: tuple[ShardLeader, ...]
 
 
 class Heartbeats:
@@ -45,8 +45,8 @@
         self._sequence = 0
         self._peers: tuple[ReplicaId, ...] = ()
         self._heard: dict[ReplicaId, float] = {}
-        self._told: dict[ReplicaId, _ToldNews] = {}
-        self._wanted: dict[ReplicaId, dict[ShardId, None]] = {}
+        self._unacknowledged: dict[ReplicaId, _UnacknowledgedUpdates] = {}
+        self._requested: dict[ReplicaId, dict[ShardId, None]] = {}
 
     @property
     def peers(self) -> tuple[ReplicaId, ...]:
@@ -59,9 +59,9 @@
         now = self._context.now
         self._heard = {peer: self._heard.get(peer, now) for peer in peers}
 
-    def want_news(self, peer: ReplicaId, shard: ShardId) -> None:
+    def request_update(self, peer: ReplicaId, shard: ShardId) -> None:
         """Ask a peer for fresh news of a shard with the next heartbeat."""
-        self._wanted.setdefault(peer, {})[shard] = None
+        self._requested.setdefault(peer, {})[shard] = None
 
     def heard(self, peer: ReplicaId) -> None:
         """Note that a message of a peer arrived."""
@@ -74,8 +74,8 @@
         self._next = self._context.now + self._period
         self._sequence += 1
         due = {peer for peer in self._peers if self._asks(peer)}
-        due.update(self._directory.untold_peers())
-        due.update(self._wanted)
+        due.update(self._directory.peers_with_pending_updates())
+        due.update(self._requested)
         for peer in sorted(due):
             self._send(peer)
 
@@ -96,15 +96,15 @@
     def receive_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
         """Note that a heartbeat, and the news in it, arrived."""
         self.heard(sender)
-        told = self._told.get(sender)
-        if told is not None and reply.sequence >= told.sequence:
-            del self._told[sender]
+        unacknowledged = self._unacknowledged.get(sender)
+        if unacknowledged is not None and reply.sequence >= unacknowledged.sequence:
+            del self._unacknowledged[sender]
 
     def forget_peer(self, peer: ReplicaId) -> None:
         """Drop what is kept for a peer that is dead."""
-        self._told.pop(peer, None)
+        self._unacknowledged.pop(peer, None)
         self._heard.pop(peer, None)
-        self._wanted.pop(peer, None)
+        self._requested.pop(peer, None)
         self._directory.forget_peer(peer)
 
     def _asks(self, peer: ReplicaId) -> bool:
@@ -116,26 +116,26 @@
     def _send(self, peer: ReplicaId) -> None:
         heartbeat = Heartbeat(
             sequence=self._sequence,
-            leaders=self._news_for(peer),
+            leaders=self._updates_for(peer),
             configuration_revision=self.configuration_revision(),
-            wanted=tuple(self._wanted.pop(peer, ())),
+            wanted=tuple(self._requested.pop(peer, ())),
         )
         self._context.counters["yokeline_heartbeats_sent_total"] += 1
         self._context.send_peer(peer, heartbeat)
 
-    def _news_for(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
+    def _updates_for(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
         """Return the news to tell now: one heartbeat full at a time, until it is answered."""
-        told = self._told.get(peer)
-        if told is not None:
-            if self._sequence - told.sequence < RETELL_PERIODS:
+        unacknowledged = self._unacknowledged.get(peer)
+        if unacknowledged is not None:
+            if self._sequence - unacknowledged.sequence < RESEND_PERIODS:
                 return ()
-            del self._told[peer]
-            for item in told.news:
-                self._directory.tell(peer, item.shard)
-        news = self._directory.take_news(peer)
-        if news:
-            self._told[peer] = _ToldNews(self._sequence, news)
-        return news
+            del self._unacknowledged[peer]
+            for item in unacknowledged.updates:
+                self._directory.enqueue(peer, item.shard)
+        updates = self._directory.take_updates(peer)
+        if updates:
+            self._unacknowledged[peer] = _UnacknowledgedUpdates(self._sequence, updates)
+        return updates
 
 
 def _no_revision() -> int:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -32,9 +32,9 @@
 from yokeline.shards.disk import StoredShard
 from yokeline.shards.disk_writer import ShardDisk
 from yokeline.shards.errors import not_leading
+from yokeline.shards.leader_gossip import LeaderGossip
 from yokeline.shards.lineage import is_obsolete
 from yokeline.shards.maintenance import GroupMaintenance
-from yokeline.shards.news import LeadershipNews
 from yokeline.shards.placement import Placement
 from yokeline.shards.recovery import RecoveryLog
 from yokeline.shards.removal import RemovalReview
@@ -86,14 +86,14 @@
         self._set = ReplicaSet(context, settings, self)
         self._replicas = self._set.replicas
         self._batcher = RaftBatcher(context)
-        self._news = LeadershipNews(context, settings.consensus.heartbeat_seconds)
+        self._gossip = LeaderGossip(context, settings.consensus.heartbeat_seconds)
         self._death_observers: list[Callable[[ReplicaId], None]] = []
         self._alive: tuple[ReplicaId, ...] = ()
         self._disk = ShardDisk(context, self.copies) if settings.node.data_folder else None
-        self.heartbeats = self._news.heartbeats
-        self._removal = RemovalReview(context, self._set, self._news, self._leave)
+        self.heartbeats = self._gossip.heartbeats
+        self._removal = RemovalReview(context, self._set, self._gossip, self._leave)
         self._maintenance = GroupMaintenance(
-            context, settings, peers, self._news.directory, self._replicas, self._set.finish
+            context, settings, peers, self._gossip.directory, self._replicas, self._set.finish
         )
 
     def set_listener(self, listener: ShardListener) -> None:
@@ -102,7 +102,7 @@
 
     def observe_leaders(self, observer: Callable[[ShardId], None]) -> None:
         """Call ``observer`` whenever the believed leader of a shard may have changed."""
-        self._news.observe(observer)
+        self._gossip.observe(observer)
 
     def observe_deaths(self, observer: Callable[[ReplicaId], None]) -> None:
         """Call ``observer`` when a node that was alive is dead."""
@@ -160,15 +160,15 @@
 
     def leader_of(self, shard: ShardId) -> ShardLeader | None:
         """Return the best known leader of a shard."""
-        return self._news.directory.leader_of(shard)
+        return self._gossip.directory.leader_of(shard)
 
     def members_of(self, shard: ShardId) -> tuple[ReplicaId, ...]:
         """Return the last known members of a shard's group; empty if nothing is known."""
-        return self._news.directory.members_of(shard)
+        return self._gossip.directory.members_of(shard)
 
-    def note_leader(self, sender: ReplicaId, news: ShardLeader) -> None:
+    def receive_leader_update(self, sender: ReplicaId, update: ShardLeader) -> None:
         """Take in what another node said of a shard's leader."""
-        self._removal.learn(sender, news)
+        self._removal.receive_update(sender, update)
 
     def is_dead(self, replica: ReplicaId) -> bool:
         """Return whether a process start is believed to be over."""
@@ -189,7 +189,7 @@
 
     def start_groups(self, placement: Placement) -> None:
         """Take part in the groups of the first placement that name this process start."""
-        self._news.directory.start(placement)
+        self._gossip.directory.load_placement(placement)
         for number, members in enumerate(placement.groups):
             if self._context.replica in members:
                 self._set.found(ShardId(number), members)
@@ -211,7 +211,7 @@
 
     def majority_lost(self, shard: ShardId) -> bool:
         """Return whether all that is known here of a group says that its majority is dead."""
-        known = [self._news.directory.members_of(shard)]
+        known = [self._gossip.directory.members_of(shard)]
         replica = self._replicas.get(shard)
         if replica is not None:
             known += [replica.committed_members, replica.group.members]
@@ -237,8 +237,8 @@
         self._maintenance.schedule_now()
 
     def _leave(self, replica: ShardReplica) -> None:
-        news = self.leader_of(replica.shard)
-        if news is not None and is_obsolete(replica.group.term, news.term):
+        update = self.leader_of(replica.shard)
+        if update is not None and is_obsolete(replica.group.term, update.term):
             self._drop_obsolete(replica)
         else:
             self._set.leave(replica)
@@ -291,9 +291,9 @@
 
     def receive_heartbeat(self, sender: ReplicaId, heartbeat: Heartbeat) -> None:
         """Take in a heartbeat of another node."""
-        for news in self.heartbeats.receive(sender, heartbeat):
-            self._removal.learn(sender, news)
-        self._removal.tell_wanted(sender, heartbeat.wanted)
+        for update in self.heartbeats.receive(sender, heartbeat):
+            self._removal.receive_update(sender, update)
+        self._removal.send_requested_updates(sender, heartbeat.wanted)
         self._confirm_alive(sender)
 
     def receive_heartbeat_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
@@ -338,7 +338,7 @@
         alive = self.alive_nodes()
         self._report_deaths(alive)
         groups = (replica.group.members for replica in self._replicas.values())
-        self._news.update_peers(groups, alive, self.led_shards())
+        self._gossip.update_peers(groups, alive, self.led_shards())
 
     def _report_deaths(self, alive: tuple[ReplicaId, ...]) -> None:
         gone = sorted(set(self._alive) - set(alive))
@@ -356,7 +356,7 @@
     def replica_gained(self, replica: ShardReplica) -> None:
         """Announce the leadership and tell the listener."""
         self._context.counters["yokeline_leaderships_gained_total"] += 1
-        self._news.announce_to_all(replica)
+        self._gossip.announce_to_all(replica)
         if self._listener is not None:
             self._listener.leadership_gained(replica.shard, replica.group.term)
 
@@ -369,16 +369,16 @@
     def replica_changed(self, replica: ShardReplica) -> None:
         """Tell others of new members, or note a new leader."""
         if replica.leads:
-            self._news.announce_to_all(replica)
+            self._gossip.announce_to_all(replica)
         elif replica.group.role is not RaftRole.LEADER:
-            self._news.note_leader(replica)
+            self._gossip.record_followed_leader(replica)
 
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
         """Tell others of new members, the removed ones too."""
         if replica.leads:
-            self._news.announce(replica, (*self.heartbeats.peers, *removed))
+            self._gossip.announce(replica, (*self.heartbeats.peers, *removed))
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
         """Tell the listener about an applied command."""
--- a/src/yokeline/shards/news.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -13,7 +13,7 @@
 from yokeline.shards.replica import ShardReplica
 
 
-class LeadershipNews:
+class LeaderGossip:
     """Decides who is told what, through the heartbeats.
 
     Attributes:
@@ -33,44 +33,44 @@
         """Call ``observer`` whenever the believed leader of a shard may have changed."""
         self._observers.append(observer)
 
-    def learn(self, sender: ReplicaId, news: ShardLeader) -> bool:
+    def receive_update(self, sender: ReplicaId, update: ShardLeader) -> bool:
         """Take in what another node said, and pass it on; return whether it was new."""
-        if not self.directory.learn(news):
+        if not self.directory.merge(update):
             return False
         for peer in self._neighbours:
-            if peer not in (sender, news.leader):
-                self.directory.tell(peer, news.shard)
-        self._report(news.shard)
+            if peer not in (sender, update.leader):
+                self.directory.enqueue(peer, update.shard)
+        self._notify_observers(update.shard)
         return True
 
     def announce(self, replica: ShardReplica, listeners: Iterable[ReplicaId]) -> None:
         """Tell others that this node leads a shard, and who its members are."""
-        news = ShardLeader(
+        update = ShardLeader(
             replica.shard,
             replica.group.term,
             self._context.replica,
             replica.announced_members,
             replica.applied_index,
         )
-        self.directory.learn(news)
+        self.directory.merge(update)
         for peer in listeners:
-            self.directory.tell(peer, replica.shard)
-        self._report(replica.shard)
+            self.directory.enqueue(peer, replica.shard)
+        self._notify_observers(replica.shard)
 
     def announce_to_all(self, replica: ShardReplica) -> None:
         """Tell all peers and all members about a shard that this node leads."""
         self.announce(replica, (*self.heartbeats.peers, *replica.announced_members))
 
-    def note_leader(self, replica: ShardReplica) -> None:
+    def record_followed_leader(self, replica: ShardReplica) -> None:
         """Note whom a replica of this node follows."""
         group = replica.group
         if group.leader is None:
             return
-        news = ShardLeader(replica.shard, group.term, group.leader, replica.announced_members)
-        if self.directory.learn(news):
-            self._report(replica.shard)
+        update = ShardLeader(replica.shard, group.term, group.leader, replica.announced_members)
+        if self.directory.merge(update):
+            self._notify_observers(replica.shard)
 
-    def _report(self, shard: ShardId) -> None:
+    def _notify_observers(self, shard: ShardId) -> None:
         for observer in self._observers:
             observer(shard)
 
@@ -92,13 +92,13 @@
         self.heartbeats.set_peers(peers)
         for peer in sorted(set(before) - set(alive)):
             self.heartbeats.forget_peer(peer)
-        self._greet(sorted(set(peers) - set(before)), tuple(led))
+        self._enqueue_for_new_peers(sorted(set(peers) - set(before)), tuple(led))
 
-    def _greet(self, peers: Iterable[ReplicaId], led: Iterable[ShardId]) -> None:
+    def _enqueue_for_new_peers(self, peers: Iterable[ReplicaId], led: Iterable[ShardId]) -> None:
         """Tell new peers what this node leads, and new ring neighbours all it knows."""
         for peer in peers:
             for shard in led:
-                self.directory.tell(peer, shard)
+                self.directory.enqueue(peer, shard)
             if peer in self._neighbours:
-                for news in self.directory.known():
-                    self.directory.tell(peer, news.shard)
+                for update in self.directory.all_updates():
+                    self.directory.enqueue(peer, update.shard)
--- a/src/yokeline/shards/leadership.py
+++ b/src/yokeline/shards/leadership.py
@@ -12,22 +12,22 @@
 
 
 def successor(
-    shard: ShardId, healthy: Sequence[ReplicaId], led_by: Callable[[ReplicaId], int]
+    shard: ShardId, healthy: Sequence[ReplicaId], shards_led_by: Callable[[ReplicaId], int]
 ) -> ReplicaId | None:
     """Return the member to hand a shard to: the least loaded, then the highest rank."""
     if not healthy:
         return None
-    return min(healthy, key=lambda member: (led_by(member), -rank(shard, member)))
+    return min(healthy, key=lambda member: (shards_led_by(member), -rank(shard, member)))
 
 
 def better_leader(
     shard: ShardId,
     own_led: int,
     healthy: Sequence[ReplicaId],
-    led_by: Callable[[ReplicaId], int],
+    shards_led_by: Callable[[ReplicaId], int],
 ) -> ReplicaId | None:
     """Return a member that should lead instead of us, None if we are even enough."""
-    chosen = successor(shard, healthy, led_by)
-    if chosen is None or own_led - led_by(chosen) < BALANCE_DIFFERENCE:
+    chosen = successor(shard, healthy, shards_led_by)
+    if chosen is None or own_led - shards_led_by(chosen) < BALANCE_DIFFERENCE:
         return None
     return chosen
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -197,7 +197,7 @@
             replica = self._replicas[shard]
             if not replica.leads or self.hand_over_blocked(shard):
                 continue
-            chosen = successor(shard, self._healthy_others(replica), self._directory.led_by)
+            chosen = successor(shard, self._healthy_others(replica), self._directory.shards_led_by)
             if chosen is not None:
                 self._transfer(replica, chosen)
 
@@ -224,10 +224,10 @@
         if not self._may_change(replica) or self.hand_over_blocked(replica.shard):
             return None
 
-        def led_by(member: ReplicaId) -> int:
-            return self._directory.led_by(member) + given.get(member, 0)
+        def shards_led_by(member: ReplicaId) -> int:
+            return self._directory.shards_led_by(member) + given.get(member, 0)
 
-        return better_leader(replica.shard, own_led, self._healthy_others(replica), led_by)
+        return better_leader(replica.shard, own_led, self._healthy_others(replica), shards_led_by)
 
     def _transfer(self, replica: ShardReplica, to: ReplicaId) -> None:
         self._context.counters["yokeline_leadership_transfers_total"] += 1
--- a/src/yokeline/shards/removal.py
+++ b/src/yokeline/shards/removal.py
@@ -7,7 +7,7 @@
 from yokeline.identifiers import ReplicaId, ShardId
 from yokeline.messages.types import ShardLeader
 from yokeline.server.context import NodeContext
-from yokeline.shards.news import LeadershipNews
+from yokeline.shards.leader_gossip import LeaderGossip
 from yokeline.shards.replica import ShardReplica
 from yokeline.shards.replica_set import ReplicaSet
 
@@ -24,46 +24,46 @@
         self,
         context: NodeContext,
         replicas: ReplicaSet,
-        news: LeadershipNews,
+        gossip: LeaderGossip,
         leave: Callable[[ShardReplica], None],
     ) -> None:
         """Call ``leave`` with each replica that its group has surely removed."""
         self._context = context
         self._set = replicas
         self._replicas = replicas.replicas
-        self._news = news
+        self._gossip = gossip
         self._leave = leave
 
-    def learn(self, sender: ReplicaId, news: ShardLeader) -> None:
+    def receive_update(self, sender: ReplicaId, update: ShardLeader) -> None:
         """Take news in; they may say that this node is out of a group."""
-        self._set.note_term(news.shard, news.term)
-        if not self._news.learn(sender, news):
+        self._set.note_term(update.shard, update.term)
+        if not self._gossip.receive_update(sender, update):
             return
-        replica = self._replicas.get(news.shard)
-        if replica is not None and not replica.busy and replica.removed_by(news):
+        replica = self._replicas.get(update.shard)
+        if replica is not None and not replica.busy and replica.is_removed_by(update):
             self._leave(replica)
 
-    def tell_wanted(self, sender: ReplicaId, shards: tuple[ShardId, ...]) -> None:
+    def send_requested_updates(self, sender: ReplicaId, shards: tuple[ShardId, ...]) -> None:
         """Give a node the news that it asked for; fresh ones of what this node leads."""
         for shard in shards:
             replica = self._replicas.get(shard)
             if replica is not None and replica.leads:
-                self._news.announce(replica, (sender,))
+                self._gossip.announce(replica, (sender,))
             else:
-                self._news.directory.tell(sender, shard)
+                self._gossip.directory.enqueue(sender, shard)
 
     def review_silent(self) -> None:
         """Leave silent groups that have removed this node; ask where that is not clear."""
         for replica in list(self._replicas.values()):
-            news = self._news.directory.leader_of(replica.shard)
-            if news is None or news.leader == self._context.replica:
+            update = self._gossip.directory.leader_of(replica.shard)
+            if update is None or update.leader == self._context.replica:
                 continue
             if self._context.now - replica.heard_at < self._patience(replica):
                 continue
-            if replica.removed_by(news):
+            if replica.is_removed_by(update):
                 self._leave(replica)
             else:
-                self._news.heartbeats.want_news(news.leader, replica.shard)
+                self._gossip.heartbeats.request_update(update.leader, replica.shard)
 
     def _patience(self, replica: ShardReplica) -> float:
         is_member = self._context.replica in replica.group.members
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -142,7 +142,7 @@
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
 
-    def removed_by(self, news: ShardLeader) -> bool:
+    def is_removed_by(self, update: ShardLeader) -> bool:
         """Return whether a leader's news prove that this replica was removed for good.
 
         A removed replica may never see the entry that removes it, and one that is added
@@ -153,13 +153,13 @@
 
         News of a higher lineage always do: a recovery has replaced the group.
         """
-        if is_obsolete(self.group.term, news.term):
+        if is_obsolete(self.group.term, update.term):
             return True
-        if self.group.replica in news.members or not news.members:
+        if self.group.replica in update.members or not update.members:
             return False
-        if self.group.role is RaftRole.LEADER or news.term < self.group.term:
+        if self.group.role is RaftRole.LEADER or update.term < self.group.term:
             return False
-        return news.revision >= self.group.last_index
+        return update.revision >= self.group.last_index
 
     # ------------------------------------------------------------ requests
 
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -239,7 +239,7 @@
             self._context.counters[LATE_REPLIES] += 1
             return
         if reply.leader is not None:
-            self._host.note_leader(sender, reply.leader)
+            self._host.receive_leader_update(sender, reply.leader)
         if self._pending.get(pending.request) is not pending:
             return
         if reply.not_leader:
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -227,9 +227,9 @@
         return outcomes
 
     def group_members(self, shard: int) -> set[ReplicaId]:
-        news = self.leader(shard).host.leader_of(ShardId(shard))
-        assert news is not None
-        return set(news.members)
+        update = self.leader(shard).host.leader_of(ShardId(shard))
+        assert update is not None
+        return set(update.members)
 
     def runs_at(self, node: HostNode, shard: int) -> set[str]:
         machine = node.host.machine(ShardId(shard))
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -166,8 +166,8 @@
         follower = cluster.nodes[next(m for m in members if m != leader.context.replica)]
         (spare,) = [node for replica, node in cluster.nodes.items() if replica not in members]
         other = ReplicaId("other~1")
-        news = ShardLeader(ZERO, TERMS_PER_LINEAGE + 1, other, (other, members[0]), 1)
-        heartbeat = Heartbeat(sequence=1, leaders=(news,))
+        update = ShardLeader(ZERO, TERMS_PER_LINEAGE + 1, other, (other, members[0]), 1)
+        heartbeat = Heartbeat(sequence=1, leaders=(update,))
         sender = leader.context.replica
         stale = RaftBatch((GroupMessage(ZERO, self.append_of(leader)),))
         for node in (leader, follower, spare):
