--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -37,7 +37,7 @@
 from yokeline.shards.maintenance import GroupMaintenance
 from yokeline.shards.placement import Placement
 from yokeline.shards.recovery import RecoveryLog
-from yokeline.shards.removal import RemovalReview
+from yokeline.shards.removal_detector import RemovalDetector
 from yokeline.shards.replica import ProposalDone, ReadDone, ShardReplica
 from yokeline.shards.replica_set import ReplicaSet
 from yokeline.shards.status import ShardStatus, lost_majority, shard_status
@@ -91,7 +91,7 @@
         self._alive: tuple[ReplicaId, ...] = ()
         self._disk = ShardDisk(context, self.copies) if settings.node.data_folder else None
         self.heartbeats = self._gossip.heartbeats
-        self._removal = RemovalReview(context, self._set, self._gossip, self._leave)
+        self._removal = RemovalDetector(context, self._set, self._gossip, self._leave)
         self._maintenance = GroupMaintenance(
             context, settings, peers, self._gossip.directory, self._replicas, self._set.finish
         )
@@ -307,7 +307,7 @@
         if self._context.now >= self._maintenance.next_deadline():
             self._maintenance.run_round()
             self._update_peers()
-            self._removal.review_silent()
+            self._removal.check_silent_replicas()
             self._drop_removed()
         self.heartbeats.tick()
         if self._disk is not None:
--- a/src/yokeline/shards/removal.py
+++ b/src/yokeline/shards/removal_detector.py
@@ -17,7 +17,7 @@
 """The same for a member; idle groups speak more often than this."""
 
 
-class RemovalReview:
+class RemovalDetector:
     """Compares leadership news with the replicas held, and asks for news where needed."""
 
     def __init__(
@@ -52,19 +52,19 @@
             else:
                 self._gossip.directory.enqueue(sender, shard)
 
-    def review_silent(self) -> None:
+    def check_silent_replicas(self) -> None:
         """Leave silent groups that have removed this node; ask where that is not clear."""
         for replica in list(self._replicas.values()):
             update = self._gossip.directory.leader_of(replica.shard)
             if update is None or update.leader == self._context.replica:
                 continue
-            if self._context.now - replica.heard_at < self._patience(replica):
+            if self._context.now - replica.heard_at < self._silence_limit(replica):
                 continue
             if replica.is_removed_by(update):
                 self._leave(replica)
             else:
                 self._gossip.heartbeats.request_update(update.leader, replica.shard)
 
-    def _patience(self, replica: ShardReplica) -> float:
+    def _silence_limit(self, replica: ShardReplica) -> float:
         is_member = self._context.replica in replica.group.members
         return MEMBER_SILENCE_SECONDS if is_member else REMOVED_SILENCE_SECONDS
--- a/src/yokeline/shards/removed.py
+++ b/src/yokeline/shards/removed_replicas.py
@@ -6,7 +6,7 @@
 from yokeline.identifiers import ShardId
 from yokeline.shards.replica import ShardReplica
 
-KEPT_SECONDS = 60.0
+LOG_RETENTION_SECONDS = 60.0
 """Time for which a removed replica keeps its log.
 
 News of a removal may arrive after the node was added again. The leader counts on what the
@@ -19,30 +19,34 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._kept: dict[ShardId, tuple[ShardReplica, float]] = {}
+        self._replicas: dict[ShardId, tuple[ShardReplica, float]] = {}
         self._hard_states: dict[ShardId, HardState] = {}
 
     def __contains__(self, shard: ShardId) -> bool:
         """Return whether this process was ever removed from a shard's group."""
-        return shard in self._kept or shard in self._hard_states
+        return shard in self._replicas or shard in self._hard_states
 
-    def keep(self, replica: ShardReplica, now: float) -> None:
+    def add(self, replica: ShardReplica, now: float) -> None:
         """Keep a replica that was removed at ``now``."""
-        self._kept[replica.shard] = (replica, now)
+        self._replicas[replica.shard] = (replica, now)
 
-    def revive(self, shard: ShardId) -> ShardReplica | None:
+    def take_replica(self, shard: ShardId) -> ShardReplica | None:
         """Hand a kept replica back, since its group has written to it again."""
-        kept = self._kept.pop(shard, None)
+        kept = self._replicas.pop(shard, None)
         return None if kept is None else kept[0]
 
     def take_hard_state(self, shard: ShardId) -> HardState | None:
         """Return term and vote of a dropped replica, so that it never votes twice in a term."""
         return self._hard_states.pop(shard, None)
 
-    def drop_old(self, now: float) -> list[ShardId]:
+    def drop_expired(self, now: float) -> list[ShardId]:
         """Drop the logs of replicas removed long ago; return their shards."""
-        old = [shard for shard, (_, since) in self._kept.items() if now - since >= KEPT_SECONDS]
-        for shard in old:
-            replica, _ = self._kept.pop(shard)
+        expired = [
+            shard
+            for shard, (_, since) in self._replicas.items()
+            if now - since >= LOG_RETENTION_SECONDS
+        ]
+        for shard in expired:
+            replica, _ = self._replicas.pop(shard)
             self._hard_states[shard] = replica.hard_state
-        return old
+        return expired
--- a/src/yokeline/shards/replica_set.py
+++ b/src/yokeline/shards/replica_set.py
@@ -14,7 +14,7 @@
 from yokeline.shards.deadlines import DeadlineQueue
 from yokeline.shards.lineage import is_obsolete, lineage_of
 from yokeline.shards.recovery import RecoveryLog
-from yokeline.shards.removed import RemovedReplicas
+from yokeline.shards.removed_replicas import RemovedReplicas
 from yokeline.shards.replica import ReplicaObserver, ShardReplica
 
 _RETAINED_SHARE = 8
@@ -49,7 +49,7 @@
         """Take part in a group that has added this node, unless a recovery has replaced it."""
         if is_obsolete(term, self._highest_terms.get(shard, 0)):
             return None
-        replica = self._removed.revive(shard)
+        replica = self._removed.take_replica(shard)
         if replica is None or is_obsolete(replica.group.term, term):
             return self._create(shard, ())
         self.replicas[shard] = replica
@@ -58,7 +58,7 @@
     def recover(self, shard: ShardId, log: RecoveryLog) -> ShardReplica:
         """Begin a group of this node alone, from the copy of one that lost its majority."""
         self.note_term(shard, log.term)
-        self._removed.revive(shard)
+        self._removed.take_replica(shard)
         self._removed.take_hard_state(shard)
         replica = self._create(shard, (), log)
         if log.snapshot is not None:
@@ -75,12 +75,12 @@
         del self.replicas[replica.shard]
         self._deadlines.remove(replica.shard)
         replica.close()
-        self._removed.keep(replica, self._context.now)
+        self._removed.add(replica, self._context.now)
         self._context.log("replica_left", shard=replica.shard, term=replica.group.term)
 
     def drop_removed(self) -> Iterable[ShardId]:
         """Drop replicas that left their groups long ago; return their shards."""
-        return self._removed.drop_old(self._context.now)
+        return self._removed.drop_expired(self._context.now)
 
     def finish(self, replica: ShardReplica) -> None:
         """Set the timer of a group after it was called."""
--- a/tests/unit/shards/test_disk.py
+++ b/tests/unit/shards/test_disk.py
@@ -19,7 +19,7 @@
     log_file,
     snapshot_file,
 )
-from yokeline.shards.removed import KEPT_SECONDS
+from yokeline.shards.removed_replicas import LOG_RETENTION_SECONDS
 
 SHARD = ShardId(3)
 NODE = ReplicaId("node~1")
@@ -154,7 +154,7 @@
         assert isinstance(node, DiskNode)
         self.assertEqual(len(node.files), 2)
         cluster.leave(node)
-        cluster.run(12.0 + KEPT_SECONDS)
+        cluster.run(12.0 + LOG_RETENTION_SECONDS)
         self.assertEqual(node.files, {})
 
 
