--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -34,12 +34,12 @@
 from yokeline.shards.errors import not_leading
 from yokeline.shards.leader_gossip import LeaderGossip
 from yokeline.shards.lineage import is_obsolete
+from yokeline.shards.local_replicas import LocalReplicas
 from yokeline.shards.maintenance import GroupMaintenance
 from yokeline.shards.placement import Placement
 from yokeline.shards.recovery import RecoveryLog
 from yokeline.shards.removal_detector import RemovalDetector
 from yokeline.shards.replica import ProposalDone, ReadDone, ShardReplica
-from yokeline.shards.replica_set import ReplicaSet
 from yokeline.shards.status import ShardStatus, lost_majority, shard_status
 
 
@@ -83,17 +83,22 @@
         self._context = context
         self._peers = peers
         self._listener = listener
-        self._set = ReplicaSet(context, settings, self)
-        self._replicas = self._set.replicas
+        self._local_replicas = LocalReplicas(context, settings, self)
+        self._replicas = self._local_replicas.replicas
         self._batcher = RaftBatcher(context)
         self._gossip = LeaderGossip(context, settings.consensus.heartbeat_seconds)
         self._death_observers: list[Callable[[ReplicaId], None]] = []
         self._alive: tuple[ReplicaId, ...] = ()
         self._disk = ShardDisk(context, self.copies) if settings.node.data_folder else None
         self.heartbeats = self._gossip.heartbeats
-        self._removal = RemovalDetector(context, self._set, self._gossip, self._leave)
+        self._removal = RemovalDetector(context, self._local_replicas, self._gossip, self._leave)
         self._maintenance = GroupMaintenance(
-            context, settings, peers, self._gossip.directory, self._replicas, self._set.finish
+            context,
+            settings,
+            peers,
+            self._gossip.directory,
+            self._replicas,
+            self._local_replicas.reschedule_tick,
         )
 
     def set_listener(self, listener: ShardListener) -> None:
@@ -121,7 +126,7 @@
             done(Failure(not_leading(shard)))
             return
         replica.propose(command, self._context.now, done)
-        self._set.finish(replica)
+        self._local_replicas.reschedule_tick(replica)
 
     def read(self, shard: ShardId, done: ReadDone) -> None:
         """Hand over the state machine once it holds all that was committed before."""
@@ -130,7 +135,7 @@
             done(Failure(not_leading(shard)))
             return
         replica.read(self._context.now, done)
-        self._set.finish(replica)
+        self._local_replicas.reschedule_tick(replica)
 
     def machine(self, shard: ShardId) -> RunStateMachine | None:
         """Return the local state of a shard, None if this node holds no replica."""
@@ -192,7 +197,7 @@
         self._gossip.directory.load_placement(placement)
         for number, members in enumerate(placement.groups):
             if self._context.replica in members:
-                self._set.found(ShardId(number), members)
+                self._local_replicas.bootstrap(ShardId(number), members)
         self._update_peers()
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> None:
@@ -201,7 +206,7 @@
         if old is not None:
             self._drop_obsolete(old)
         self._context.counters["yokeline_shards_recovered_total"] += 1
-        self._set.recover(shard, log)
+        self._local_replicas.recover(shard, log)
         self._update_peers()
 
     def copy_of(self, shard: ShardId) -> StoredShard | None:
@@ -241,7 +246,7 @@
         if update is not None and is_obsolete(replica.group.term, update.term):
             self._drop_obsolete(replica)
         else:
-            self._set.leave(replica)
+            self._local_replicas.leave(replica)
         self._update_peers()
 
     def _drop_obsolete(self, replica: ShardReplica) -> None:
@@ -249,10 +254,10 @@
         if self._disk is not None:
             self._disk.set_aside(replica.copy())
         self._context.warn("replica_obsolete", shard=replica.shard, term=replica.group.term)
-        self._set.leave(replica)
+        self._local_replicas.leave(replica)
 
-    def _drop_removed(self) -> None:
-        for shard in self._set.drop_removed():
+    def _drop_expired(self) -> None:
+        for shard in self._local_replicas.drop_expired():
             if self._disk is not None:
                 self._disk.forget(shard)
 
@@ -267,14 +272,14 @@
                 continue
             replica.heard_at = self._context.now
             replica.carry_out(replica.group.step(sender, item.message, self._context.now))
-            self._set.finish(replica)
+            self._local_replicas.reschedule_tick(replica)
 
     def _replica_for(self, sender: ReplicaId, item: GroupMessage) -> ShardReplica | None:
         """Return the replica that a message is for, of its lineage or a higher one."""
         term = item.message.term
         replica = self._replicas.get(item.shard)
         if replica is not None and is_obsolete(replica.group.term, term):
-            self._set.note_term(item.shard, term)
+            self._local_replicas.note_term(item.shard, term)
             self._drop_obsolete(replica)
             replica = None
         return replica or self._create_for(sender, item)
@@ -284,7 +289,7 @@
         message = item.message
         if not isinstance(message, AppendEntries | InstallSnapshot) or message.leader != sender:
             return None
-        replica = self._set.join(item.shard, message.term)
+        replica = self._local_replicas.join(item.shard, message.term)
         if replica is not None:
             self._update_peers()
         return replica
@@ -303,12 +308,12 @@
 
     def tick(self) -> None:
         """Do what is due by now."""
-        self._set.tick()
+        self._local_replicas.tick()
         if self._context.now >= self._maintenance.next_deadline():
             self._maintenance.run_round()
             self._update_peers()
             self._removal.check_silent_replicas()
-            self._drop_removed()
+            self._drop_expired()
         self.heartbeats.tick()
         if self._disk is not None:
             self._disk.tick()
@@ -318,7 +323,7 @@
         times = [
             self._maintenance.next_deadline(),
             self.heartbeats.next_deadline(),
-            self._set.next_deadline(),
+            self._local_replicas.next_deadline(),
             None if self._disk is None else self._disk.next_deadline(),
         ]
         return min(time for time in times if time is not None)
--- a/src/yokeline/shards/replica_set.py
+++ b/src/yokeline/shards/local_replicas.py
@@ -17,11 +17,11 @@
 from yokeline.shards.removed_replicas import RemovedReplicas
 from yokeline.shards.replica import ReplicaObserver, ShardReplica
 
-_RETAINED_SHARE = 8
+_RETAINED_ENTRIES_DIVISOR = 8
 """Of the entries after which a log is compacted, one in so many is kept for those that lag."""
 
 
-class ReplicaSet:
+class LocalReplicas:
     """Replicas by shard.
 
     Attributes:
@@ -39,11 +39,11 @@
         self._deadlines: DeadlineQueue[ShardId] = DeadlineQueue()
         self._highest_terms: dict[ShardId, int] = {}
 
-    def found(self, shard: ShardId, members: tuple[ReplicaId, ...]) -> None:
+    def bootstrap(self, shard: ShardId, members: tuple[ReplicaId, ...]) -> None:
         """Begin a group of the first placement, unless this node is or was in it."""
-        recovered = lineage_of(self._highest_terms.get(shard, 0)) > 0
-        if shard not in self.replicas and shard not in self._removed and not recovered:
-            self.finish(self._create(shard, members))
+        was_recovered = lineage_of(self._highest_terms.get(shard, 0)) > 0
+        if shard not in self.replicas and shard not in self._removed and not was_recovered:
+            self.reschedule_tick(self._create(shard, members))
 
     def join(self, shard: ShardId, term: int) -> ShardReplica | None:
         """Take part in a group that has added this node, unless a recovery has replaced it."""
@@ -63,7 +63,7 @@
         replica = self._create(shard, (), log)
         if log.snapshot is not None:
             replica.carry_out([Restored(log.snapshot)])
-        self.finish(replica)
+        self.reschedule_tick(replica)
         return replica
 
     def note_term(self, shard: ShardId, term: int) -> None:
@@ -78,11 +78,11 @@
         self._removed.add(replica, self._context.now)
         self._context.log("replica_left", shard=replica.shard, term=replica.group.term)
 
-    def drop_removed(self) -> Iterable[ShardId]:
+    def drop_expired(self) -> Iterable[ShardId]:
         """Drop replicas that left their groups long ago; return their shards."""
         return self._removed.drop_expired(self._context.now)
 
-    def finish(self, replica: ShardReplica) -> None:
+    def reschedule_tick(self, replica: ShardReplica) -> None:
         """Set the timer of a group after it was called."""
         if not replica.busy and self.replicas.get(replica.shard) is replica:
             self._deadlines.set(replica.shard, replica.group.next_deadline())
@@ -93,7 +93,7 @@
             replica = self.replicas.get(shard)
             if replica is not None:
                 replica.carry_out(replica.group.tick(self._context.now))
-                self.finish(replica)
+                self.reschedule_tick(replica)
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
@@ -130,5 +130,5 @@
         election_timeout_seconds=consensus.election_timeout_seconds,
         append_bytes=consensus.append_bytes,
         snapshot_chunk_bytes=consensus.snapshot_chunk_bytes,
-        retained_entries=consensus.snapshot_entries // _RETAINED_SHARE,
+        retained_entries=consensus.snapshot_entries // _RETAINED_ENTRIES_DIVISOR,
     )
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -48,7 +48,7 @@
         peers: PeerView,
         directory: LeaderDirectory,
         replicas: Mapping[ShardId, ShardReplica],
-        finish: Callable[[ShardReplica], None],
+        reschedule_tick: Callable[[ShardReplica], None],
     ) -> None:
         """Look after ``replicas``; ``finish`` is called with each that was acted on."""
         self.handing_over = False
@@ -58,7 +58,7 @@
         self._peers = peers
         self._directory = directory
         self._replicas = replicas
-        self._finish = finish
+        self._reschedule_tick = reschedule_tick
         self._next_round = 0.0
         self._next_balance = 0.0
         self._members: dict[ReplicaId, Member] = {}
@@ -103,7 +103,7 @@
         for replica in list(self._replicas.values()):
             if replica.group.leader == member:
                 replica.carry_out(replica.group.node_dead(member, self._context.now))
-                self._finish(replica)
+                self._reschedule_tick(replica)
 
     def _note_leaderships(self) -> None:
         led = sorted(shard for shard, replica in self._replicas.items() if replica.leads)
@@ -156,7 +156,7 @@
         if step is None:
             return False
         accepted = self._change(replica, step)
-        self._finish(replica)
+        self._reschedule_tick(replica)
         return accepted
 
     def _change(self, replica: ShardReplica, step: RepairStep) -> bool:
@@ -232,7 +232,7 @@
     def _transfer(self, replica: ShardReplica, to: ReplicaId) -> None:
         self._context.counters["yokeline_leadership_transfers_total"] += 1
         replica.carry_out(replica.group.transfer_leadership(to, self._context.now))
-        self._finish(replica)
+        self._reschedule_tick(replica)
 
 
 def _nothing_blocked(_shard: ShardId) -> bool:
--- a/src/yokeline/shards/removal_detector.py
+++ b/src/yokeline/shards/removal_detector.py
@@ -8,8 +8,8 @@
 from yokeline.messages.types import ShardLeader
 from yokeline.server.context import NodeContext
 from yokeline.shards.leader_gossip import LeaderGossip
+from yokeline.shards.local_replicas import LocalReplicas
 from yokeline.shards.replica import ShardReplica
-from yokeline.shards.replica_set import ReplicaSet
 
 REMOVED_SILENCE_SECONDS = 3.0
 """Silence of a group after which a replica that it seems to have removed asks its leader."""
@@ -23,20 +23,20 @@
     def __init__(
         self,
         context: NodeContext,
-        replicas: ReplicaSet,
+        replicas: LocalReplicas,
         gossip: LeaderGossip,
         leave: Callable[[ShardReplica], None],
     ) -> None:
         """Call ``leave`` with each replica that its group has surely removed."""
         self._context = context
-        self._set = replicas
+        self._local_replicas = replicas
         self._replicas = replicas.replicas
         self._gossip = gossip
         self._leave = leave
 
     def receive_update(self, sender: ReplicaId, update: ShardLeader) -> None:
         """Take news in; they may say that this node is out of a group."""
-        self._set.note_term(update.shard, update.term)
+        self._local_replicas.note_term(update.shard, update.term)
         if not self._gossip.receive_update(sender, update):
             return
         replica = self._replicas.get(update.shard)
