--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -212,7 +212,7 @@
     def copy_of(self, shard: ShardId) -> StoredShard | None:
         """Return what the replica at this node holds, committed or not."""
         replica = self._replicas.get(shard)
-        return None if replica is None else replica.copy()
+        return None if replica is None else replica.export_copy()
 
     def majority_lost(self, shard: ShardId) -> bool:
         """Return whether all that is known here of a group says that its majority is dead."""
@@ -252,12 +252,12 @@
     def _drop_obsolete(self, replica: ShardReplica) -> None:
         """Leave a group that an operator's recovery has replaced."""
         if self._disk is not None:
-            self._disk.set_aside(replica.copy())
+            self._disk.set_aside(replica.export_copy())
         self._context.warn("replica_obsolete", shard=replica.shard, term=replica.group.term)
         self._local_replicas.leave(replica)
 
-    def _drop_expired(self) -> None:
-        for shard in self._local_replicas.drop_expired():
+    def _drop_removed(self) -> None:
+        for shard in self._local_replicas.drop_removed():
             if self._disk is not None:
                 self._disk.forget(shard)
 
@@ -270,7 +270,7 @@
             replica = self._replica_for(sender, item)
             if replica is None:
                 continue
-            replica.heard_at = self._context.now
+            replica.last_message_at = self._context.now
             replica.carry_out(replica.group.step(sender, item.message, self._context.now))
             self._local_replicas.reschedule_tick(replica)
 
@@ -313,7 +313,7 @@
             self._maintenance.run_round()
             self._update_peers()
             self._removal.check_silent_replicas()
-            self._drop_expired()
+            self._drop_removed()
         self.heartbeats.tick()
         if self._disk is not None:
             self._disk.tick()
@@ -358,20 +358,20 @@
         """Put a message into the batch of its receiver."""
         self._batcher.add(shard, to, message)
 
-    def replica_gained(self, replica: ShardReplica) -> None:
+    def replica_gained_leadership(self, replica: ShardReplica) -> None:
         """Announce the leadership and tell the listener."""
         self._context.counters["yokeline_leaderships_gained_total"] += 1
         self._gossip.announce_to_all(replica)
         if self._listener is not None:
             self._listener.leadership_gained(replica.shard, replica.group.term)
 
-    def replica_lost(self, replica: ShardReplica) -> None:
+    def replica_lost_leadership(self, replica: ShardReplica) -> None:
         """Tell the listener that the leadership is lost."""
         self._context.counters["yokeline_leaderships_lost_total"] += 1
         if self._listener is not None:
             self._listener.leadership_lost(replica.shard)
 
-    def replica_changed(self, replica: ShardReplica) -> None:
+    def replica_state_changed(self, replica: ShardReplica) -> None:
         """Tell others of new members, or note a new leader."""
         if replica.leads:
             self._gossip.announce_to_all(replica)
--- a/src/yokeline/shards/local_replicas.py
+++ b/src/yokeline/shards/local_replicas.py
@@ -78,13 +78,13 @@
         self._removed.add(replica, self._context.now)
         self._context.log("replica_left", shard=replica.shard, term=replica.group.term)
 
-    def drop_expired(self) -> Iterable[ShardId]:
+    def drop_removed(self) -> Iterable[ShardId]:
         """Drop replicas that left their groups long ago; return their shards."""
         return self._removed.drop_expired(self._context.now)
 
     def reschedule_tick(self, replica: ShardReplica) -> None:
         """Set the timer of a group after it was called."""
-        if not replica.busy and self.replicas.get(replica.shard) is replica:
+        if not replica.is_carrying_out and self.replicas.get(replica.shard) is replica:
             self._deadlines.set(replica.shard, replica.group.next_deadline())
 
     def tick(self) -> None:
@@ -118,7 +118,7 @@
         replica = ShardReplica(
             shard, group, self._observer, self._snapshot_entries, hard_state or HardState()
         )
-        replica.heard_at = self._context.now
+        replica.last_message_at = self._context.now
         self.replicas[shard] = replica
         return replica
 
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -149,7 +149,7 @@
         """Return whether a membership change could commit now."""
         # Not its lease: an idle group lets that lapse; the group itself asks for a live quorum.
         ready = replica.leads and replica.group.may_change_members()
-        return ready and replica.membership_settled
+        return ready and replica.membership_applied
 
     def _repair_group(self, replica: ShardReplica, loads: Mapping[ReplicaId, int]) -> bool:
         step = next_step(self._group_condition(replica, loads))
--- a/src/yokeline/shards/removal_detector.py
+++ b/src/yokeline/shards/removal_detector.py
@@ -40,7 +40,7 @@
         if not self._gossip.receive_update(sender, update):
             return
         replica = self._replicas.get(update.shard)
-        if replica is not None and not replica.busy and replica.is_removed_by(update):
+        if replica is not None and not replica.is_carrying_out and replica.is_removed_by(update):
             self._leave(replica)
 
     def send_requested_updates(self, sender: ReplicaId, shards: tuple[ShardId, ...]) -> None:
@@ -58,7 +58,7 @@
             update = self._gossip.directory.leader_of(replica.shard)
             if update is None or update.leader == self._context.replica:
                 continue
-            if self._context.now - replica.heard_at < self._silence_limit(replica):
+            if self._context.now - replica.last_message_at < self._silence_limit(replica):
                 continue
             if replica.is_removed_by(update):
                 self._leave(replica)
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -45,15 +45,15 @@
         """A message is to be sent."""
         ...
 
-    def replica_gained(self, replica: ShardReplica) -> None:
+    def replica_gained_leadership(self, replica: ShardReplica) -> None:
         """The replica leads, and everything committed before is applied."""
         ...
 
-    def replica_lost(self, replica: ShardReplica) -> None:
+    def replica_lost_leadership(self, replica: ShardReplica) -> None:
         """The replica leads no longer."""
         ...
 
-    def replica_changed(self, replica: ShardReplica) -> None:
+    def replica_state_changed(self, replica: ShardReplica) -> None:
         """Role, leader or members of the replica changed."""
         ...
 
@@ -108,13 +108,13 @@
         self.applied_index = 0
         self.committed_members = group.members
         self.hard_state = hard_state
-        self.heard_at = 0.0
+        self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
         self._ready_term: int | None = None
-        self._gained_reported = False
+        self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
-        self._carrying_out = False
+        self._is_carrying_out = False
         self._proposals: dict[int, _PendingProposal] = {}
         self._reads: dict[str, ReadDone] = {}
         self._next_read = 0
@@ -126,19 +126,19 @@
         return group.role is RaftRole.LEADER and group.term == self._ready_term
 
     @property
-    def membership_settled(self) -> bool:
+    def membership_applied(self) -> bool:
         """Whether the members in force are committed and applied."""
         return set(self.committed_members) == set(self.group.members)
 
     @property
-    def busy(self) -> bool:
+    def is_carrying_out(self) -> bool:
         """Whether effects are being carried out (we are inside a callback of them)."""
-        return self._carrying_out
+        return self._is_carrying_out
 
     @property
     def announced_members(self) -> tuple[ReplicaId, ...]:
         """Members as a leader tells them: nobody that may still count is left out."""
-        if self.membership_settled:
+        if self.membership_applied:
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
 
@@ -195,14 +195,14 @@
     def carry_out(self, effects: Iterable[RaftEffect]) -> None:
         """Carry effects out after those that are under way already."""
         self._queue.extend(effects)
-        if self._carrying_out:
+        if self._is_carrying_out:
             return
-        self._carrying_out = True
+        self._is_carrying_out = True
         try:
             while self._queue:
                 self._carry_out_one(self._queue.popleft())
         finally:
-            self._carrying_out = False
+            self._is_carrying_out = False
 
     def _carry_out_one(self, effect: RaftEffect) -> None:
         match effect:
@@ -215,11 +215,11 @@
             case RoleChanged():
                 self._role_changed(effect)
             case MembersChanged():
-                self._observer.replica_changed(self)
+                self._observer.replica_state_changed(self)
             case ReadReady():
-                self._finish_read(effect.token, Success(self.machine))
+                self._complete_read(effect.token, Success(self.machine))
             case ReadFailed():
-                self._finish_read(effect.token, Failure(not_leading(self.shard)))
+                self._complete_read(effect.token, Failure(not_leading(self.shard)))
             case HardStateChanged():
                 self.hard_state = effect.hard_state
             case _:
@@ -227,23 +227,23 @@
 
     def _role_changed(self, change: RoleChanged) -> None:
         still_leads = change.role is RaftRole.LEADER and change.term == self._ready_term
-        if self._gained_reported and not still_leads:
-            self._transition_lost()
+        if self._leadership_reported and not still_leads:
+            self._transition_not_leading()
         if change.role is not RaftRole.LEADER:
-            self._fail_waiting()
-        self._observer.replica_changed(self)
+            self._fail_pending()
+        self._observer.replica_state_changed(self)
 
-    def _transition_gained(self, term: int) -> None:
+    def _transition_leading(self, term: int) -> None:
         self._ready_term = term
-        self._gained_reported = True
-        self._observer.replica_gained(self)
+        self._leadership_reported = True
+        self._observer.replica_gained_leadership(self)
 
-    def _transition_lost(self) -> None:
+    def _transition_not_leading(self) -> None:
         self._ready_term = None
-        self._gained_reported = False
-        self._observer.replica_lost(self)
+        self._leadership_reported = False
+        self._observer.replica_lost_leadership(self)
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending(self) -> None:
         """Answer everything that waits for an outcome which this replica will not learn."""
         proposals = self._proposals
         reads = self._reads
@@ -254,7 +254,7 @@
         for read in reads.values():
             read(Failure(not_leading(self.shard)))
 
-    def _finish_read(self, token: str, result: Result[RunStateMachine, YokelineError]) -> None:
+    def _complete_read(self, token: str, result: Result[RunStateMachine, YokelineError]) -> None:
         done = self._reads.pop(token, None)
         if done is not None:
             done(result)
@@ -280,8 +280,8 @@
                 pass
             case _:
                 assert_never(entry.kind)
-        if self._leads_term(entry.term) and not self._gained_reported:
-            self._transition_gained(entry.term)
+        if self._leads_term(entry.term) and not self._leadership_reported:
+            self._transition_leading(entry.term)
 
     def _leads_term(self, term: int) -> bool:
         return self.group.role is RaftRole.LEADER and self.group.term == term
@@ -307,7 +307,7 @@
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
         self._observer.replica_restored(self, snapshot)
-        self._observer.replica_changed(self)
+        self._observer.replica_state_changed(self)
 
     def _compact_if_due(self) -> None:
         snapshot = self.group.snapshot
@@ -315,7 +315,7 @@
         if self.applied_index - compacted_index >= self._snapshot_entries:
             self.group.compact(self.applied_index, self.machine.snapshot())
 
-    def copy(self) -> StoredShard:
+    def export_copy(self) -> StoredShard:
         """Return all that is in the log here, committed or not, as a copy to start from."""
         empty = Snapshot(0, 0, self.group.members, RunStateMachine().snapshot())
         snapshot = self.group.snapshot or empty
@@ -328,6 +328,6 @@
 
     def close(self) -> None:
         """Answer everything that waits; the replica leaves its group."""
-        if self._gained_reported:
-            self._transition_lost()
-        self._fail_waiting()
+        if self._leadership_reported:
+            self._transition_not_leading()
+        self._fail_pending()
