--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -226,11 +226,11 @@
 
     def set_hand_over_guard(self, guard: Callable[[ShardId], bool]) -> None:
         """Keep leading a shard, in a planned stop and for balance, while ``guard`` says so."""
-        self._maintenance.hand_over_blocked = guard
+        self._maintenance.transfer_blocked = guard
 
     def hand_over_all(self) -> None:
         """Begin the planned stop: lead nothing any more, as far as others can take over."""
-        self._maintenance.handing_over = True
+        self._maintenance.draining = True
         self._maintenance.run_round()
 
     def replicas_left(self) -> int:
--- a/src/yokeline/shards/leadership.py
+++ b/src/yokeline/shards/leadership_transfer.py
@@ -7,11 +7,11 @@
 from yokeline.identifiers import ReplicaId, ShardId
 from yokeline.shards.placement import rank
 
-BALANCE_DIFFERENCE = 2
+MIN_LEADER_DIFFERENCE = 2
 """A hand-over to a node that leads at least so many fewer makes the two more even."""
 
 
-def successor(
+def choose_successor(
     shard: ShardId, healthy: Sequence[ReplicaId], shards_led_by: Callable[[ReplicaId], int]
 ) -> ReplicaId | None:
     """Return the member to hand a shard to: the least loaded, then the highest rank."""
@@ -20,14 +20,14 @@
     return min(healthy, key=lambda member: (shards_led_by(member), -rank(shard, member)))
 
 
-def better_leader(
+def choose_balance_target(
     shard: ShardId,
-    own_led: int,
+    own_count: int,
     healthy: Sequence[ReplicaId],
     shards_led_by: Callable[[ReplicaId], int],
 ) -> ReplicaId | None:
     """Return a member that should lead instead of us, None if we are even enough."""
-    chosen = successor(shard, healthy, shards_led_by)
-    if chosen is None or own_led - shards_led_by(chosen) < BALANCE_DIFFERENCE:
+    chosen = choose_successor(shard, healthy, shards_led_by)
+    if chosen is None or own_count - shards_led_by(chosen) < MIN_LEADER_DIFFERENCE:
         return None
     return chosen
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -9,7 +9,7 @@
 from yokeline.server.context import NodeContext
 from yokeline.settings import Settings
 from yokeline.shards.directory import LeaderDirectory
-from yokeline.shards.leadership import better_leader, successor
+from yokeline.shards.leadership_transfer import choose_balance_target, choose_successor
 from yokeline.shards.placement import NodePlace
 from yokeline.shards.repair import (
     AddMember,
@@ -20,17 +20,17 @@
 )
 from yokeline.shards.replica import ShardReplica
 
-MAINTENANCE_SECONDS = 0.5
+MAINTENANCE_PERIOD_SECONDS = 0.5
 """Time between two rounds."""
 CHANGES_PER_ROUND = 8
 """Membership changes that a node starts in one round; bounds the snapshots under way."""
-BALANCE_SECONDS = 2.0
+BALANCE_PERIOD_SECONDS = 2.0
 """Time between two balancing rounds; a random share of up to the same again is added."""
-TRANSFERS_PER_BALANCE = 4
-SETTLE_SECONDS = 3.0
+TRANSFERS_PER_BALANCE_ROUND = 4
+MIN_LEADERSHIP_SECONDS = 3.0
 """A leadership is not moved for balance before it has lasted so long."""
 
-_STAYING_STATES = (MemberState.ALIVE, MemberState.JOINING)
+_HEALTHY_STATES = (MemberState.ALIVE, MemberState.JOINING)
 
 
 class GroupMaintenance:
@@ -51,8 +51,8 @@
         reschedule_tick: Callable[[ShardReplica], None],
     ) -> None:
         """Look after ``replicas``; ``finish`` is called with each that was acted on."""
-        self.handing_over = False
-        self.hand_over_blocked: Callable[[ShardId], bool] = _nothing_blocked
+        self.draining = False
+        self.transfer_blocked: Callable[[ShardId], bool] = _never_blocked
         self._context = context
         self._settings = settings
         self._peers = peers
@@ -75,19 +75,19 @@
 
     def run_round(self) -> None:
         """Look at all groups now."""
-        self._next_round = self._context.now + MAINTENANCE_SECONDS
+        self._next_round = self._context.now + MAINTENANCE_PERIOD_SECONDS
         self._members = {member.replica: member for member in self._peers.alive()}
-        self._note_deaths()
-        self._note_leaderships()
-        if self.handing_over:
-            self.hand_over()
+        self._update_dead_members()
+        self._update_led_shards()
+        if self.draining:
+            self.transfer_all()
         self._repair()
-        if self._context.now >= self._next_balance and not self.handing_over:
+        if self._context.now >= self._next_balance and not self.draining:
             self._balance()
 
     # ------------------------------------------------------------ what is known
 
-    def _note_deaths(self) -> None:
+    def _update_dead_members(self) -> None:
         """Keep since when each member of our groups is dead; tell groups whose leader died."""
         now = self._context.now
         involved = {
@@ -97,31 +97,31 @@
         fresh = [member for member in dead if member not in self._dead_since]
         self._dead_since = {member: self._dead_since.get(member, now) for member in dead}
         for member in fresh:
-            self._tell_groups_dead(member)
+            self._notify_groups_of_death(member)
 
-    def _tell_groups_dead(self, member: ReplicaId) -> None:
+    def _notify_groups_of_death(self, member: ReplicaId) -> None:
         for replica in list(self._replicas.values()):
             if replica.group.leader == member:
                 replica.carry_out(replica.group.node_dead(member, self._context.now))
                 self._reschedule_tick(replica)
 
-    def _note_leaderships(self) -> None:
+    def _update_led_shards(self) -> None:
         led = sorted(shard for shard, replica in self._replicas.items() if replica.leads)
         now = self._context.now
         self._led_since = {shard: self._led_since.get(shard, now) for shard in led}
 
     def _condition(self, replica: ReplicaId) -> MemberCondition:
-        if replica == self._context.replica and self.handing_over:
+        if replica == self._context.replica and self.draining:
             return MemberCondition.LEAVING
         dead_since = self._dead_since.get(replica)
         if dead_since is not None:
-            patience = self._settings.consensus.replace_after_seconds
-            dead = self._context.now - dead_since >= patience
+            replace_after = self._settings.consensus.replace_after_seconds
+            dead = self._context.now - dead_since >= replace_after
             return MemberCondition.DEAD if dead else MemberCondition.DOUBTFUL
         member = self._members.get(replica)
         if member is not None and member.state is MemberState.LEAVING:
             return MemberCondition.LEAVING
-        if member is not None and member.state in _STAYING_STATES:
+        if member is not None and member.state in _HEALTHY_STATES:
             return MemberCondition.HEALTHY
         return MemberCondition.DOUBTFUL
 
@@ -142,10 +142,10 @@
             if changes >= CHANGES_PER_ROUND:
                 return
             replica = self._replicas[shard]
-            if self._may_change(replica) and self._repair_group(replica, loads):
+            if self._can_change_members(replica) and self._repair_group(replica, loads):
                 changes += 1
 
-    def _may_change(self, replica: ShardReplica) -> bool:
+    def _can_change_members(self, replica: ShardReplica) -> bool:
         """Return whether a membership change could commit now."""
         # Not its lease: an idle group lets that lapse; the group itself asks for a live quorum.
         ready = replica.leads and replica.group.may_change_members()
@@ -155,11 +155,11 @@
         step = next_step(self._group_condition(replica, loads))
         if step is None:
             return False
-        accepted = self._change(replica, step)
+        accepted = self._propose_change(replica, step)
         self._reschedule_tick(replica)
         return accepted
 
-    def _change(self, replica: ShardReplica, step: RepairStep) -> bool:
+    def _propose_change(self, replica: ShardReplica, step: RepairStep) -> bool:
         now = self._context.now
         adds = isinstance(step, AddMember)
         change = replica.group.add_member if adds else replica.group.remove_member
@@ -191,43 +191,47 @@
 
     # ------------------------------------------------------------ leadership
 
-    def hand_over(self) -> None:
+    def transfer_all(self) -> None:
         """Hand every led shard to a healthy member of another node."""
         for shard in sorted(self._replicas):
             replica = self._replicas[shard]
-            if not replica.leads or self.hand_over_blocked(shard):
+            if not replica.leads or self.transfer_blocked(shard):
                 continue
-            chosen = successor(shard, self._healthy_others(replica), self._directory.shards_led_by)
+            chosen = choose_successor(
+                shard, self._healthy_others(replica), self._directory.shards_led_by
+            )
             if chosen is not None:
                 self._transfer(replica, chosen)
 
     def _balance(self) -> None:
         """Hand some shards to nodes that lead fewer."""
-        pause = BALANCE_SECONDS * (1.0 + self._context.random.random())
+        pause = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
         self._next_balance = self._context.now + pause
-        own_led = len(self._led_since)
-        given: dict[ReplicaId, int] = {}
+        own_count = len(self._led_since)
+        transferred: dict[ReplicaId, int] = {}
         for shard, since in self._led_since.items():
-            if sum(given.values()) >= TRANSFERS_PER_BALANCE:
+            if sum(transferred.values()) >= TRANSFERS_PER_BALANCE_ROUND:
                 return
-            if self._context.now - since < SETTLE_SECONDS:
+            if self._context.now - since < MIN_LEADERSHIP_SECONDS:
                 continue
-            chosen = self._balance_target(self._replicas[shard], own_led, given)
+            chosen = self._balance_target(self._replicas[shard], own_count, transferred)
             if chosen is not None:
-                given[chosen] = given.get(chosen, 0) + 1
-                own_led -= 1
+                transferred[chosen] = transferred.get(chosen, 0) + 1
+                own_count -= 1
                 self._transfer(self._replicas[shard], chosen)
 
     def _balance_target(
-        self, replica: ShardReplica, own_led: int, given: Mapping[ReplicaId, int]
+        self, replica: ShardReplica, own_count: int, transferred: Mapping[ReplicaId, int]
     ) -> ReplicaId | None:
-        if not self._may_change(replica) or self.hand_over_blocked(replica.shard):
+        if not self._can_change_members(replica) or self.transfer_blocked(replica.shard):
             return None
 
         def shards_led_by(member: ReplicaId) -> int:
-            return self._directory.shards_led_by(member) + given.get(member, 0)
+            return self._directory.shards_led_by(member) + transferred.get(member, 0)
 
-        return better_leader(replica.shard, own_led, self._healthy_others(replica), shards_led_by)
+        return choose_balance_target(
+            replica.shard, own_count, self._healthy_others(replica), shards_led_by
+        )
 
     def _transfer(self, replica: ShardReplica, to: ReplicaId) -> None:
         self._context.counters["yokeline_leadership_transfers_total"] += 1
@@ -235,5 +239,5 @@
         self._reschedule_tick(replica)
 
 
-def _nothing_blocked(_shard: ShardId) -> bool:
+def _never_blocked(_shard: ShardId) -> bool:
     return False
