--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -10,7 +10,7 @@
 from yokeline.settings import Settings
 from yokeline.shards.directory import LeaderDirectory
 from yokeline.shards.leadership_transfer import choose_balance_target, choose_successor
-from yokeline.shards.placement import NodePlace
+from yokeline.shards.placement import CandidateNode
 from yokeline.shards.repair import (
     AddMember,
     GroupCondition,
@@ -175,7 +175,7 @@
     ) -> GroupCondition:
         members = {member: self._condition(member) for member in replica.committed_members}
         spares = tuple(
-            NodePlace(replica=member.replica, zone=member.zone)
+            CandidateNode(replica=member.replica, zone=member.zone)
             for member in self._members.values()
             if member.state is MemberState.ALIVE and member.replica not in members
         )
--- a/src/yokeline/shards/placement.py
+++ b/src/yokeline/shards/placement.py
@@ -22,11 +22,11 @@
 from yokeline.membership.view import Member, MemberState
 from yokeline.settings import Settings
 
-GREEDY_LIMIT = 25
+GREEDY_MAX_NODES = 25
 """Clusters of up to so many nodes are placed greedily; a node's peers are few anyway."""
 COPYSET_PERMUTATIONS = 4
 """Each adds ``replicas - 1`` peers to a node."""
-LOAD_SLACK = 1.25
+MAX_LOAD_RATIO = 1.25
 """A new member is chosen among nodes that hold at most this times the mean load."""
 
 
@@ -40,7 +40,7 @@
     groups: tuple[tuple[ReplicaId, ...], ...]
 
 
-class NodePlace(msgspec.Struct, frozen=True, kw_only=True):
+class CandidateNode(msgspec.Struct, frozen=True, kw_only=True):
     """A node that may hold replicas, and its zone."""
 
     replica: ReplicaId
@@ -54,27 +54,27 @@
 
 def first_placement(members: Sequence[Member], settings: Settings) -> Placement:
     """Return the placement of a new deployment over the members that are alive."""
-    places = tuple(
-        NodePlace(replica=member.replica, zone=member.zone)
+    nodes = tuple(
+        CandidateNode(replica=member.replica, zone=member.zone)
         for member in members
         if member.state is MemberState.ALIVE
     )
-    return place(places, settings.cluster.shards, settings.cluster.replicas)
+    return assign_replicas(nodes, settings.cluster.shards, settings.cluster.replicas)
 
 
-def place(places: Sequence[NodePlace], shards: int, replicas: int) -> Placement:
+def assign_replicas(nodes: Sequence[CandidateNode], shards: int, replicas: int) -> Placement:
     """Return groups of ``replicas`` nodes each (fewer nodes: all), spread over zones."""
-    ordered = sorted(places, key=lambda node: node.replica)
+    ordered = sorted(nodes, key=lambda node: node.replica)
     size = min(replicas, len(ordered))
-    if len(ordered) <= GREEDY_LIMIT:
-        return _place_greedily(ordered, shards, size)
-    return _place_copysets(ordered, shards, size)
+    if len(ordered) <= GREEDY_MAX_NODES:
+        return _assign_greedily(ordered, shards, size)
+    return _assign_copysets(ordered, shards, size)
 
 
 def choose_member(
     shard: ShardId,
     zones: Mapping[str, int],
-    candidates: Sequence[NodePlace],
+    candidates: Sequence[CandidateNode],
     loads: Mapping[ReplicaId, int],
 ) -> ReplicaId | None:
     """Return the best new member of a group, None if there is no candidate.
@@ -92,11 +92,11 @@
     if not candidates:
         return None
     fewest = min(zones.get(node.zone, 0) for node in candidates)
-    spread = [node for node in candidates if zones.get(node.zone, 0) == fewest]
-    mean = sum(loads.get(node.replica, 0) for node in spread) / len(spread)
-    bound = math.ceil(mean * LOAD_SLACK)
-    light = [node for node in spread if loads.get(node.replica, 0) <= bound]
-    return max(light, key=lambda node: rank(shard, node.replica)).replica
+    in_emptiest_zone = [node for node in candidates if zones.get(node.zone, 0) == fewest]
+    mean = sum(loads.get(node.replica, 0) for node in in_emptiest_zone) / len(in_emptiest_zone)
+    max_load = math.ceil(mean * MAX_LOAD_RATIO)
+    eligible = [node for node in in_emptiest_zone if loads.get(node.replica, 0) <= max_load]
+    return max(eligible, key=lambda node: rank(shard, node.replica)).replica
 
 
 def encode_placement(placement: Placement) -> str:
@@ -109,15 +109,19 @@
     try:
         placement = msgspec.json.decode(text, type=Placement)
     except msgspec.MsgspecError as error:
-        return Failure(_unusable(f"the placement in the key-value service is malformed: {error}"))
+        return Failure(
+            _placement_error(f"the placement in the key-value service is malformed: {error}")
+        )
     if len(placement.groups) != settings.cluster.shards:
         found = len(placement.groups)
         wanted = settings.cluster.shards
-        return Failure(_unusable(f"the placement has {found} shards, the settings say {wanted}"))
+        return Failure(
+            _placement_error(f"the placement has {found} shards, the settings say {wanted}")
+        )
     return Success(placement)
 
 
-def _unusable(message: str) -> YokelineError:
+def _placement_error(message: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_SETTING,
         message=message,
@@ -125,13 +129,13 @@
     )
 
 
-def _place_greedily(places: Sequence[NodePlace], shards: int, size: int) -> Placement:
+def _assign_greedily(nodes: Sequence[CandidateNode], shards: int, size: int) -> Placement:
     """Fill each group with the least loaded nodes, within a bound on members per zone."""
-    zone_bound = _zone_bound(places, size)
+    max_per_zone = _max_members_per_zone(nodes, size)
     loads: Counter[ReplicaId] = Counter()
     groups: list[tuple[ReplicaId, ...]] = []
     for number in range(shards):
-        group = _greedy_group(ShardId(number), places, size, zone_bound, loads)
+        group = _greedy_group(ShardId(number), nodes, size, max_per_zone, loads)
         loads.update(group)
         groups.append(group)
     return Placement(groups=tuple(groups))
@@ -139,59 +143,59 @@
 
 def _greedy_group(
     shard: ShardId,
-    places: Sequence[NodePlace],
+    nodes: Sequence[CandidateNode],
     size: int,
-    zone_bound: int,
+    max_per_zone: int,
     loads: Mapping[ReplicaId, int],
 ) -> tuple[ReplicaId, ...]:
     zones: Counter[str] = Counter()
-    left = list(places)
+    remaining = list(nodes)
     group: list[ReplicaId] = []
     while len(group) < size:
         best = min(
-            left,
+            remaining,
             key=lambda node: (
-                zones[node.zone] >= zone_bound,
+                zones[node.zone] >= max_per_zone,
                 loads.get(node.replica, 0),
                 zones[node.zone],
                 -rank(shard, node.replica),
             ),
         )
-        left.remove(best)
+        remaining.remove(best)
         zones[best.zone] += 1
         group.append(best.replica)
     return tuple(group)
 
 
-def _zone_bound(places: Sequence[NodePlace], size: int) -> int:
-    zones = {node.zone for node in places}
+def _max_members_per_zone(nodes: Sequence[CandidateNode], size: int) -> int:
+    zones = {node.zone for node in nodes}
     return math.ceil(size / max(1, len(zones)))
 
 
-def _place_copysets(places: Sequence[NodePlace], shards: int, size: int) -> Placement:
+def _assign_copysets(nodes: Sequence[CandidateNode], shards: int, size: int) -> Placement:
     """Deal the shards over few groups of nodes, cut from permutations of all nodes."""
     copysets: list[tuple[ReplicaId, ...]] = []
     for permutation in range(COPYSET_PERMUTATIONS):
-        order = _interleaved(places, permutation)
-        copysets.extend(_cut(order, size))
+        order = _interleave_zones(nodes, permutation)
+        copysets.extend(_split_into_groups(order, size))
     groups = tuple(copysets[number % len(copysets)] for number in range(shards))
     return Placement(groups=groups)
 
 
-def _interleaved(places: Sequence[NodePlace], permutation: int) -> list[ReplicaId]:
+def _interleave_zones(nodes: Sequence[CandidateNode], permutation: int) -> list[ReplicaId]:
     """Return all nodes shuffled, so that neighbours are of different zones where possible."""
-    zones: dict[str, list[NodePlace]] = {}
-    for node in sorted(places, key=lambda node: rank(ShardId(permutation), node.replica)):
+    zones: dict[str, list[CandidateNode]] = {}
+    for node in sorted(nodes, key=lambda node: rank(ShardId(permutation), node.replica)):
         zones.setdefault(node.zone, []).append(node)
     positions: list[tuple[float, int, ReplicaId]] = []
-    for nodes in zones.values():
-        for position, node in enumerate(nodes):
-            share = (position + 0.5) / len(nodes)
+    for zone_nodes in zones.values():
+        for position, node in enumerate(zone_nodes):
+            share = (position + 0.5) / len(zone_nodes)
             positions.append((share, rank(ShardId(permutation), node.replica), node.replica))
     return [replica for _, _, replica in sorted(positions)]
 
 
-def _cut(order: Sequence[ReplicaId], size: int) -> list[tuple[ReplicaId, ...]]:
+def _split_into_groups(order: Sequence[ReplicaId], size: int) -> list[tuple[ReplicaId, ...]]:
     """Cut ``order`` into groups; the last one is filled up from the beginning."""
     padded = [*order, *order[:size]]
     return [tuple(padded[start : start + size]) for start in range(0, len(order), size)]
--- a/src/yokeline/shards/repair.py
+++ b/src/yokeline/shards/repair.py
@@ -31,7 +31,7 @@
 
 from yokeline.consensus.quorum import quorum_size
 from yokeline.identifiers import ReplicaId, ShardId
-from yokeline.shards.placement import NodePlace, choose_member, rank
+from yokeline.shards.placement import CandidateNode, choose_member, rank
 
 
 class MemberCondition(enum.Enum):
@@ -60,7 +60,7 @@
     leader: ReplicaId
     members: Mapping[ReplicaId, MemberCondition]
     zones: Mapping[ReplicaId, str]
-    spares: Sequence[NodePlace]
+    spares: Sequence[CandidateNode]
     loads: Mapping[ReplicaId, int]
     replicas: int
 
@@ -94,8 +94,8 @@
     if leaving:
         return RemoveMember(leaving[0])
     if len(staying) > group.replicas:
-        return RemoveMember(_most_dispensable(group, staying))
-    return _spread_over_zones(group, staying)
+        return RemoveMember(_surplus_member(group, staying))
+    return _rebalance_zones(group, staying)
 
 
 def _members_in(group: GroupCondition, condition: MemberCondition) -> list[ReplicaId]:
@@ -123,7 +123,7 @@
     return Counter(group.zones.get(member, "") for member in members)
 
 
-def _most_dispensable(group: GroupCondition, staying: Sequence[ReplicaId]) -> ReplicaId:
+def _surplus_member(group: GroupCondition, staying: Sequence[ReplicaId]) -> ReplicaId:
     """Return the member whose removal keeps the zones most even; never the leader."""
     zones = _zone_counts(group, staying)
     others = [member for member in staying if member != group.leader]
@@ -137,7 +137,7 @@
     )
 
 
-def _spread_over_zones(group: GroupCondition, staying: Sequence[ReplicaId]) -> RepairStep | None:
+def _rebalance_zones(group: GroupCondition, staying: Sequence[ReplicaId]) -> RepairStep | None:
     """Add a member in a zone that has too few; the surplus one is removed after it."""
     if any(found is not MemberCondition.HEALTHY for found in group.members.values()):
         return None
--- a/tests/unit/shards/test_repair.py
+++ b/tests/unit/shards/test_repair.py
@@ -3,7 +3,7 @@
 import unittest
 
 from yokeline.identifiers import ReplicaId, ShardId
-from yokeline.shards.placement import NodePlace
+from yokeline.shards.placement import CandidateNode
 from yokeline.shards.repair import (
     AddMember,
     GroupCondition,
@@ -32,7 +32,7 @@
             members={ReplicaId(name): condition for name, condition in members.items()},
             zones={ReplicaId(name): zone for name, zone in (zones or {}).items()},
             spares=tuple(
-                NodePlace(replica=ReplicaId(name), zone=zone)
+                CandidateNode(replica=ReplicaId(name), zone=zone)
                 for name, zone in (spares or {}).items()
             ),
             loads={},
