--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -20,7 +20,7 @@
 from yokeline.messages.codec import decode_command
 from yokeline.runs.model import Command, Run, RunStatus
 from yokeline.runs.state_machine import RunStateMachine
-from yokeline.shards.disk import (
+from yokeline.shards.copy_format import (
     StoredShard,
     decode_shard,
     encode_entries,
@@ -98,14 +98,14 @@
     try:
         machine = RunStateMachine.restore(stored.snapshot.data)
     except (msgspec.ValidationError, ormsgpack.MsgpackDecodeError) as error:
-        return Failure(_unreadable(stored.shard, f"its snapshot: {error}"))
+        return Failure(_unreadable_copy_error(stored.shard, f"its snapshot: {error}"))
     walls = [_latest_wall(run) for run in machine.runs.values()]
     for entry in stored.entries:
         if entry.kind is not EntryKind.COMMAND:
             continue
         command = _command_of(entry)
         if command is None:
-            return Failure(_unreadable(stored.shard, f"its entry {entry.index}"))
+            return Failure(_unreadable_copy_error(stored.shard, f"its entry {entry.index}"))
         machine.apply(command)
         walls.append(command.wall)
     active = sum(1 for run in machine.runs.values() if run.status is RunStatus.ACTIVE)
@@ -129,7 +129,7 @@
     return max(times)
 
 
-def set_aside(copy: StoredShard) -> tuple[WriteFile, WriteFile]:
+def set_aside_writes(copy: StoredShard) -> tuple[WriteFile, WriteFile]:
     """Return the effects that keep a copy under names which nothing else ever has."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{copy.replica}-{copy.last_term}"
     snapshot = encode_snapshot(copy.shard, copy.replica, copy.snapshot)
@@ -139,7 +139,7 @@
     )
 
 
-def set_aside_damaged(copy: DamagedCopy, by: ReplicaId) -> tuple[WriteFile, WriteFile]:
+def set_aside_damaged_writes(copy: DamagedCopy, by: ReplicaId) -> tuple[WriteFile, WriteFile]:
     """Return the effects that keep unreadable files, byte for byte, when others replace them."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{by}-damaged"
     return (
@@ -148,7 +148,7 @@
     )
 
 
-def _unreadable(shard: ShardId, what: str) -> YokelineError:
+def _unreadable_copy_error(shard: ShardId, what: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.INTERNAL,
         message=f"the copy of shard {shard} cannot be applied: {what}",
--- a/src/yokeline/shards/disk.py
+++ b/src/yokeline/shards/copy_format.py
@@ -84,12 +84,12 @@
 
 def encode_snapshot(shard: ShardId, replica: ReplicaId, snapshot: Snapshot) -> bytes:
     """Return the content of a snapshot file."""
-    return _record(encode_struct(SnapshotRecord(FORMAT_VERSION, shard, replica, snapshot)))
+    return _encode_record(encode_struct(SnapshotRecord(FORMAT_VERSION, shard, replica, snapshot)))
 
 
 def encode_entries(entries: tuple[LogEntry, ...]) -> bytes:
     """Return what is appended to a log file for these entries."""
-    return b"".join(_record(encode_struct(entry)) for entry in entries)
+    return b"".join(_encode_record(encode_struct(entry)) for entry in entries)
 
 
 def decode_shard(
@@ -106,7 +106,7 @@
     if isinstance(snapshot, Failure):
         return Failure(snapshot.failure())
     record = snapshot.unwrap()
-    log = _read_records(log_file(shard), log_data)
+    log = _parse_records(log_file(shard), log_data)
     if isinstance(log, Failure):
         return Failure(log.failure())
     records = log.unwrap()
@@ -124,20 +124,20 @@
 
 def _decode_snapshot(shard: ShardId, data: bytes) -> Result[SnapshotRecord, YokelineError]:
     name = snapshot_file(shard)
-    records = _read_records(name, data)
+    records = _parse_records(name, data)
     if isinstance(records, Failure):
         return Failure(records.failure())
     payloads = records.unwrap().payloads
     if len(payloads) != 1 or records.unwrap().cut_bytes:
-        return Failure(_damaged(name, 0, "it is not one whole record"))
+        return Failure(_damage_error(name, 0, "it is not one whole record"))
     decoded = decode_struct(payloads[0], SnapshotRecord)
     if isinstance(decoded, Failure):
-        return Failure(_damaged(name, 0, decoded.failure().message))
+        return Failure(_damage_error(name, 0, decoded.failure().message))
     record = decoded.unwrap()
     if record.version != FORMAT_VERSION:
-        return Failure(_unknown_version(name, record.version))
+        return Failure(_version_error(name, record.version))
     if record.shard != shard:
-        return Failure(_damaged(name, 0, f"it is of shard {record.shard}"))
+        return Failure(_damage_error(name, 0, f"it is of shard {record.shard}"))
     return Success(record)
 
 
@@ -152,24 +152,24 @@
     for payload in payloads:
         decoded = decode_struct(payload, LogEntry)
         if isinstance(decoded, Failure):
-            return Failure(_damaged(log_file(shard), 0, decoded.failure().message))
+            return Failure(_damage_error(log_file(shard), 0, decoded.failure().message))
         entry = decoded.unwrap()
         if entry.index <= snapshot_index:
             continue
         if entry.index != snapshot_index + len(entries) + 1:
             reason = f"entry {entry.index} does not follow"
-            return Failure(_damaged(log_file(shard), 0, reason))
+            return Failure(_damage_error(log_file(shard), 0, reason))
         entries.append(entry)
     return Success(tuple(entries))
 
 
-def _record(payload: bytes) -> bytes:
+def _encode_record(payload: bytes) -> bytes:
     length = _LENGTH.pack(len(payload))
     checksum = xxhash.xxh3_64_intdigest(payload)
     return _HEADER.pack(len(payload), xxhash.xxh32_intdigest(length), checksum) + payload
 
 
-def _read_records(name: str, data: bytes) -> Result[_Records, YokelineError]:
+def _parse_records(name: str, data: bytes) -> Result[_Records, YokelineError]:
     """Return the payloads of a file, without an incomplete record at its end."""
     payloads: list[bytes] = []
     position = 0
@@ -178,19 +178,19 @@
         if xxhash.xxh32_intdigest(_LENGTH.pack(length)) != length_checksum:
             if not any(data[position:]):
                 break  # Space that the file system had added but not filled.
-            return Failure(_damaged(name, position, "its length does not match its checksum"))
+            return Failure(_damage_error(name, position, "its length does not match its checksum"))
         start = position + _HEADER.size
         payload = data[start : start + length]
         if len(payload) < length:
             break
         if xxhash.xxh3_64_intdigest(payload) != checksum:
-            return Failure(_damaged(name, position, "it does not match its checksum"))
+            return Failure(_damage_error(name, position, "it does not match its checksum"))
         payloads.append(payload)
         position = start + length
     return Success(_Records(tuple(payloads), len(data) - position))
 
 
-def _damaged(name: str, position: int, reason: str) -> YokelineError:
+def _damage_error(name: str, position: int, reason: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.INTERNAL,
         message=f"{name} is damaged at byte {position}: {reason}",
@@ -198,7 +198,7 @@
     )
 
 
-def _unknown_version(name: str, version: int) -> YokelineError:
+def _version_error(name: str, version: int) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.INTERNAL,
         message=f"{name} has format version {version}, this release knows {FORMAT_VERSION}",
--- a/src/yokeline/shards/disk_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -16,8 +16,8 @@
 from yokeline.effects import DeleteFile, WriteFile
 from yokeline.identifiers import ShardId
 from yokeline.server.context import NodeContext
-from yokeline.shards.copies import CopySet, set_aside, set_aside_damaged
-from yokeline.shards.disk import (
+from yokeline.shards.copies import CopySet, set_aside_damaged_writes, set_aside_writes
+from yokeline.shards.copy_format import (
     StoredShard,
     encode_entries,
     encode_snapshot,
@@ -27,11 +27,11 @@
 from yokeline.shards.lineage import is_obsolete
 from yokeline.shards.replica import ShardReplica
 
-DISK_SECONDS = 0.5
+WRITE_PERIOD_SECONDS = 0.5
 """Time between two rounds of writing; bounds what a copy may lack, and the writes."""
 
 
-class _Copy(msgspec.Struct):
+class _CopyState(msgspec.Struct):
     """What is known of one shard's files.
 
     Attributes:
@@ -44,57 +44,57 @@
     entries: list[LogEntry] = []
 
 
-class ShardDisk:
+class CopyWriter:
     """Writes snapshots and log entries of replicas that have changed."""
 
-    def __init__(self, context: NodeContext, earlier: CopySet) -> None:
+    def __init__(self, context: NodeContext, earlier_copies: CopySet) -> None:
         """Write through ``context``; ``earlier`` starts' copies go once they are replaced."""
         self._context = context
-        self._earlier = earlier
-        self._copies: dict[ShardId, _Copy] = {}
+        self._earlier_copies = earlier_copies
+        self._states: dict[ShardId, _CopyState] = {}
         self._dirty: dict[ShardId, ShardReplica] = {}
-        self._next: float | None = None
+        self._next_write: float | None = None
 
     def note_committed(self, replica: ShardReplica, entries: tuple[LogEntry, ...]) -> None:
         """Remember entries that a replica has applied."""
-        copy = self._copies.setdefault(replica.shard, _Copy())
-        copy.last_term = entries[-1].term
-        if copy.snapshot_index is not None:
-            copy.entries.extend(entries)
-        self._mark(replica)
+        state = self._states.setdefault(replica.shard, _CopyState())
+        state.last_term = entries[-1].term
+        if state.snapshot_index is not None:
+            state.entries.extend(entries)
+        self._mark_dirty(replica)
 
     def note_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
         """Remember that a replica's state was replaced by a snapshot of its leader."""
-        copy = self._copies.setdefault(replica.shard, _Copy())
-        copy.last_term = snapshot.last_term
-        copy.snapshot_index = None
-        copy.entries.clear()
-        self._mark(replica)
+        state = self._states.setdefault(replica.shard, _CopyState())
+        state.last_term = snapshot.last_term
+        state.snapshot_index = None
+        state.entries.clear()
+        self._mark_dirty(replica)
 
     def forget(self, shard: ShardId) -> None:
         """Delete the copy of a shard that this node no longer holds, if this start wrote it."""
-        self._copies.pop(shard, None)
+        self._states.pop(shard, None)
         self._dirty.pop(shard, None)
-        if shard in self._earlier.usable or shard in self._earlier.damaged:
+        if shard in self._earlier_copies.usable or shard in self._earlier_copies.damaged:
             return
         self._context.emit(DeleteFile(log_file(shard)))
         self._context.emit(DeleteFile(snapshot_file(shard)))
 
     def set_aside(self, copy: StoredShard) -> None:
         """Keep a copy that a recovery has made obsolete; the shard's files begin anew."""
-        self._copies.pop(copy.shard, None)
+        self._states.pop(copy.shard, None)
         self._dirty.pop(copy.shard, None)
-        self._keep(copy)
+        self._write_set_aside(copy)
 
-    def _keep(self, copy: StoredShard) -> None:
-        for effect in set_aside(copy):
+    def _write_set_aside(self, copy: StoredShard) -> None:
+        for effect in set_aside_writes(copy):
             self._context.emit(effect)
 
     def tick(self) -> None:
         """Write what has changed, if it is time."""
-        if self._next is None or self._context.now < self._next:
+        if self._next_write is None or self._context.now < self._next_write:
             return
-        self._next = None
+        self._next_write = None
         dirty = self._dirty
         self._dirty = {}
         for replica in dirty.values():
@@ -102,54 +102,54 @@
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        return self._next
+        return self._next_write
 
-    def _mark(self, replica: ShardReplica) -> None:
+    def _mark_dirty(self, replica: ShardReplica) -> None:
         self._dirty[replica.shard] = replica
-        if self._next is None:
-            self._next = self._context.now + DISK_SECONDS
+        if self._next_write is None:
+            self._next_write = self._context.now + WRITE_PERIOD_SECONDS
 
     def _write(self, replica: ShardReplica) -> None:
         if self._context.replica not in replica.committed_members:
             return
-        copy = self._copies[replica.shard]
-        compacted = replica.group.snapshot
-        if copy.snapshot_index is None:
-            self._write_snapshot(replica, copy, self._current_state(replica, copy))
-        elif compacted is not None and compacted.last_index > copy.snapshot_index:
-            self._write_snapshot(replica, copy, compacted)
-        if copy.entries:
-            self._append(replica.shard, copy)
-
-    def _current_state(self, replica: ShardReplica, copy: _Copy) -> Snapshot:
+        state = self._states[replica.shard]
+        group_snapshot = replica.group.snapshot
+        if state.snapshot_index is None:
+            self._write_snapshot(replica, state, self._current_state(replica, state))
+        elif group_snapshot is not None and group_snapshot.last_index > state.snapshot_index:
+            self._write_snapshot(replica, state, group_snapshot)
+        if state.entries:
+            self._append(replica.shard, state)
+
+    def _current_state(self, replica: ShardReplica, state: _CopyState) -> Snapshot:
         return Snapshot(
             last_index=replica.applied_index,
-            last_term=copy.last_term,
+            last_term=state.last_term,
             members=replica.committed_members,
             data=replica.machine.snapshot(),
         )
 
-    def _write_snapshot(self, replica: ShardReplica, copy: _Copy, snapshot: Snapshot) -> None:
+    def _write_snapshot(self, replica: ShardReplica, state: _CopyState, snapshot: Snapshot) -> None:
         """Replace the snapshot first, then empty the log: entries it covers do no harm."""
         shard = replica.shard
-        self._replace_earlier(replica)
+        self._release_earlier_copy(replica)
         data = encode_snapshot(shard, self._context.replica, snapshot)
         self._context.emit(WriteFile(name=snapshot_file(shard), data=data))
         self._context.emit(WriteFile(name=log_file(shard), data=b""))
-        copy.snapshot_index = snapshot.last_index
-        copy.entries = [entry for entry in copy.entries if entry.index > snapshot.last_index]
+        state.snapshot_index = snapshot.last_index
+        state.entries = [entry for entry in state.entries if entry.index > snapshot.last_index]
 
-    def _replace_earlier(self, replica: ShardReplica) -> None:
+    def _release_earlier_copy(self, replica: ShardReplica) -> None:
         """Let go of an earlier start's copy: the shard is live again here."""
-        damaged = self._earlier.damaged.pop(replica.shard, None)
+        damaged = self._earlier_copies.damaged.pop(replica.shard, None)
         if damaged is not None:
-            for effect in set_aside_damaged(damaged, self._context.replica):
+            for effect in set_aside_damaged_writes(damaged, self._context.replica):
                 self._context.emit(effect)
-        copy = self._earlier.usable.pop(replica.shard, None)
+        copy = self._earlier_copies.usable.pop(replica.shard, None)
         if copy is not None and is_obsolete(copy.stored.last_term, replica.group.term):
-            self._keep(copy.stored)
+            self._write_set_aside(copy.stored)
 
-    def _append(self, shard: ShardId, copy: _Copy) -> None:
-        data = encode_entries(tuple(copy.entries))
-        copy.entries = []
+    def _append(self, shard: ShardId, state: _CopyState) -> None:
+        data = encode_entries(tuple(state.entries))
+        state.entries = []
         self._context.emit(WriteFile(name=log_file(shard), data=data, append=True))
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -29,8 +29,8 @@
 from yokeline.settings import Settings
 from yokeline.shards.batches import RaftBatcher
 from yokeline.shards.copies import CopySet
-from yokeline.shards.disk import StoredShard
-from yokeline.shards.disk_writer import ShardDisk
+from yokeline.shards.copy_format import StoredShard
+from yokeline.shards.copy_writer import CopyWriter
 from yokeline.shards.errors import not_leading
 from yokeline.shards.leader_gossip import LeaderGossip
 from yokeline.shards.lineage import is_obsolete
@@ -89,7 +89,7 @@
         self._gossip = LeaderGossip(context, settings.consensus.heartbeat_seconds)
         self._death_observers: list[Callable[[ReplicaId], None]] = []
         self._alive: tuple[ReplicaId, ...] = ()
-        self._disk = ShardDisk(context, self.copies) if settings.node.data_folder else None
+        self._copy_writer = CopyWriter(context, self.copies) if settings.node.data_folder else None
         self.heartbeats = self._gossip.heartbeats
         self._removal = RemovalDetector(context, self._local_replicas, self._gossip, self._leave)
         self._maintenance = GroupMaintenance(
@@ -251,15 +251,15 @@
 
     def _drop_obsolete(self, replica: ShardReplica) -> None:
         """Leave a group that an operator's recovery has replaced."""
-        if self._disk is not None:
-            self._disk.set_aside(replica.export_copy())
+        if self._copy_writer is not None:
+            self._copy_writer.set_aside(replica.export_copy())
         self._context.warn("replica_obsolete", shard=replica.shard, term=replica.group.term)
         self._local_replicas.leave(replica)
 
     def _drop_removed(self) -> None:
         for shard in self._local_replicas.drop_removed():
-            if self._disk is not None:
-                self._disk.forget(shard)
+            if self._copy_writer is not None:
+                self._copy_writer.forget(shard)
 
     # ------------------------------------------------------------ events
 
@@ -315,8 +315,8 @@
             self._removal.check_silent_replicas()
             self._drop_removed()
         self.heartbeats.tick()
-        if self._disk is not None:
-            self._disk.tick()
+        if self._copy_writer is not None:
+            self._copy_writer.tick()
 
     def next_deadline(self) -> float:
         """Return when :meth:`tick` is due."""
@@ -324,7 +324,7 @@
             self._maintenance.next_deadline(),
             self.heartbeats.next_deadline(),
             self._local_replicas.next_deadline(),
-            None if self._disk is None else self._disk.next_deadline(),
+            None if self._copy_writer is None else self._copy_writer.next_deadline(),
         ]
         return min(time for time in times if time is not None)
 
@@ -392,10 +392,10 @@
 
     def replica_committed(self, replica: ShardReplica, entries: tuple[LogEntry, ...]) -> None:
         """Keep committed entries on disk, where there is one."""
-        if self._disk is not None:
-            self._disk.note_committed(replica, entries)
+        if self._copy_writer is not None:
+            self._copy_writer.note_committed(replica, entries)
 
     def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
         """Keep a leader's snapshot on disk, where there is one."""
-        if self._disk is not None:
-            self._disk.note_restored(replica, snapshot)
+        if self._copy_writer is not None:
+            self._copy_writer.note_restored(replica, snapshot)
--- a/src/yokeline/shards/recovery.py
+++ b/src/yokeline/shards/recovery.py
@@ -9,7 +9,7 @@
 from yokeline.identifiers import ReplicaId
 from yokeline.messages.codec import encode_command
 from yokeline.runs.model import RecoverShard
-from yokeline.shards.disk import StoredShard
+from yokeline.shards.copy_format import StoredShard
 
 
 class RecoveryLog(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -30,7 +30,7 @@
 from yokeline.messages.types import ShardLeader
 from yokeline.runs.model import Command
 from yokeline.runs.state_machine import ApplyResult, RunStateMachine
-from yokeline.shards.disk import StoredShard
+from yokeline.shards.copy_format import StoredShard
 from yokeline.shards.errors import leadership_lost, not_leading
 from yokeline.shards.lineage import is_obsolete
 
--- a/tests/simulation/test_recovery.py
+++ b/tests/simulation/test_recovery.py
@@ -10,7 +10,7 @@
 
 from yokeline.effects import HttpFailed, HttpResponse
 from yokeline.identifiers import ShardId, run_id_for_key, shard_of_run
-from yokeline.shards.disk import log_file, snapshot_file
+from yokeline.shards.copy_format import log_file, snapshot_file
 from yokeline.simulation.deployment import Deployment
 from yokeline.simulation.host import Host
 from yokeline.simulation.kernel import Simulation
--- a/tests/unit/shards/test_disk.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -11,7 +11,7 @@
 from yokeline.identifiers import ReplicaId, ShardId
 from yokeline.messages.codec import decode_command
 from yokeline.runs.state_machine import RunStateMachine
-from yokeline.shards.disk import (
+from yokeline.shards.copy_format import (
     StoredShard,
     decode_shard,
     encode_entries,
@@ -34,7 +34,7 @@
     )
 
 
-class DiskFormatTest(unittest.TestCase):
+class CopyFormatTest(unittest.TestCase):
     def test_files_round_trip_and_entries_in_the_snapshot_are_left_out(self) -> None:
         log = encode_entries(entries(9, 11)) + encode_entries(entries(12, 13))
         stored = decode_shard(SHARD, SNAPSHOT_DATA, log).unwrap()
@@ -105,7 +105,7 @@
     data_folder = "data"
 
 
-class DiskWriterTest(unittest.TestCase):
+class CopyWriterTest(unittest.TestCase):
     def restored_runs(self, stored: StoredShard) -> set[str]:
         machine = RunStateMachine.restore(stored.snapshot.data)
         for entry in stored.entries:
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -6,7 +6,7 @@
 from typing import cast
 
 from tests.unit.shards.cluster import Cluster, HostNode, create
-from tests.unit.shards.test_disk import SHARD, DiskCluster, DiskNode
+from tests.unit.shards.test_copy_files import SHARD, DiskCluster, DiskNode
 from yokeline.consensus.messages import AppendEntries, EntryKind, LogEntry
 from yokeline.consensus.types import Snapshot
 from yokeline.effects import Effect, WriteFile
@@ -16,7 +16,7 @@
 from yokeline.runs.model import RecoverShard
 from yokeline.runs.state_machine import RunStateMachine
 from yokeline.shards.copies import read_copies
-from yokeline.shards.disk import encode_entries, encode_snapshot, log_file, snapshot_file
+from yokeline.shards.copy_format import encode_entries, encode_snapshot, log_file, snapshot_file
 from yokeline.shards.lineage import TERMS_PER_LINEAGE, lineage_of, recovery_term
 from yokeline.shards.recovery import recovery_log
 from yokeline.shards.status import ShardState
