--- a/src/yokeline/server/node.py
+++ b/src/yokeline/server/node.py
@@ -65,7 +65,7 @@
 from yokeline.shards.copies import CopySet, read_copies
 from yokeline.shards.host import ShardHost
 from yokeline.shards.router import ShardRouter
-from yokeline.shards.server_side import ShardServer
+from yokeline.shards.shard_server import ShardServer
 from yokeline.store.client import KeyValueClient
 from yokeline.store.configuration import ConfigurationSync
 from yokeline.store.writer import ConfigurationWriter
--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -115,13 +115,13 @@
         state = self._states[replica.shard]
         group_snapshot = replica.group.snapshot
         if state.snapshot_index is None:
-            self._write_snapshot(replica, state, self._current_state(replica, state))
+            self._write_snapshot(replica, state, self._take_snapshot(replica, state))
         elif group_snapshot is not None and group_snapshot.last_index > state.snapshot_index:
             self._write_snapshot(replica, state, group_snapshot)
         if state.entries:
             self._append(replica.shard, state)
 
-    def _current_state(self, replica: ShardReplica, state: _CopyState) -> Snapshot:
+    def _take_snapshot(self, replica: ShardReplica, state: _CopyState) -> Snapshot:
         return Snapshot(
             last_index=replica.applied_index,
             last_term=state.last_term,
--- a/src/yokeline/shards/serving.py
+++ b/src/yokeline/shards/operation_server.py
@@ -42,12 +42,12 @@
         ...
 
 
-def changes_state(operation: Operation) -> bool:
+def is_write(operation: Operation) -> bool:
     """Return whether an operation may have an effect."""
     return isinstance(operation, StartRun | ContinueRun | StopRun)
 
 
-def is_for_next_leader(error: YokelineError) -> bool:
+def is_leadership_error(error: YokelineError) -> bool:
     """Return whether an error only says that the shard's leader has changed or changes.
 
     Operations are idempotent by the ids in them, so that the new leader can be asked, and
--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -10,8 +10,8 @@
 from yokeline.identifiers import ReplicaId, RequestId, ShardId
 from yokeline.runs.events import EventId, RunEvent, TextEvent
 from yokeline.shards.errors import no_answer, no_leader, read_timed_out
+from yokeline.shards.operation_server import EventsReceived, OperationDone, is_write
 from yokeline.shards.operations import Operation, WatchRun
-from yokeline.shards.serving import EventsReceived, OperationDone, changes_state
 
 _TRUE_OF_ANY_ATTEMPT = (
     ErrorKind.BAD_REQUEST,
@@ -90,13 +90,13 @@
         self._unanswered[sender] -= 1
         if error.execution is not Execution.NOT_RUN or error.kind in _TRUE_OF_ANY_ATTEMPT:
             return error
-        if not changes_state(self.operation) or not self.may_have_run:
+        if not is_write(self.operation) or not self.may_have_run:
             return error
         return msgspec.structs.replace(error, execution=Execution.UNKNOWN)
 
     def expiry(self) -> YokelineError:
         """Return what is true of the request when its deadline comes without an answer."""
-        if not changes_state(self.operation):
+        if not is_write(self.operation):
             return read_timed_out(self.shard)
         return no_answer(self.shard) if self.may_have_run else no_leader(self.shard)
 
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -17,14 +17,14 @@
 from yokeline.server.context import NodeContext
 from yokeline.shards.deadlines import DeadlineQueue
 from yokeline.shards.host import ShardHost
-from yokeline.shards.operations import Operation, OperationResult
-from yokeline.shards.pending import PendingRequest
-from yokeline.shards.serving import (
+from yokeline.shards.operation_server import (
     EventsReceived,
     OperationDone,
     OperationServer,
-    is_for_next_leader,
+    is_leadership_error,
 )
+from yokeline.shards.operations import Operation, OperationResult
+from yokeline.shards.pending import PendingRequest
 from yokeline.shards.targets import TargetChooser
 
 RETRY_BASE_SECONDS = 0.05
@@ -94,7 +94,7 @@
         self._forget(pending)
         self._stop_target(pending)
 
-    def waiting(self) -> int:
+    def pending_requests(self) -> int:
         """Return how many requests wait for an answer."""
         return len(self._pending)
 
@@ -276,7 +276,7 @@
             self._finish(pending, result)
             return
         error = result.failure()
-        if not is_for_next_leader(error):
+        if not is_leadership_error(error):
             self._finish(pending, Failure(pending.refusal(sender, error)))
         elif error.execution is Execution.NOT_RUN:
             self._refused(pending, sender)
--- a/src/yokeline/shards/server_side.py
+++ b/src/yokeline/shards/shard_server.py
@@ -13,18 +13,18 @@
 from yokeline.server.context import NodeContext
 from yokeline.shards.errors import answer_too_large
 from yokeline.shards.host import ShardHost
+from yokeline.shards.operation_server import OperationServer, is_leadership_error
 from yokeline.shards.operations import OperationResult
-from yokeline.shards.serving import OperationServer, is_for_next_leader
 
-REPLY_BYTES = DEFAULT_FRAME_LIMIT - 65_536
+MAX_RESULT_BYTES = DEFAULT_FRAME_LIMIT - 65_536
 """Largest result; leaves room for the rest of the frame."""
-REMEMBERED_REPLIES = 1024
+MAX_CACHED_REPLIES = 1024
 """Final replies kept, to be sent again to a router that repeats its request."""
-REMEMBERED_BYTES = 8 * 1024 * 1024
+MAX_CACHED_REPLY_BYTES = 8 * 1024 * 1024
 """Bound on the results in them."""
 
 
-class _Serving:
+class _ActiveRequest:
     """A request under way."""
 
     __slots__ = ("request", "sender", "ticket")
@@ -43,16 +43,16 @@
         self._context = context
         self._host = host
         self._server = server
-        self._under_way: dict[RequestId, _Serving] = {}
-        self._replies: dict[RequestId, ShardReply] = {}
-        self._replies_bytes = 0
-        host.observe_deaths(self._abandon_all_of)
+        self._active: dict[RequestId, _ActiveRequest] = {}
+        self._cached_replies: dict[RequestId, ShardReply] = {}
+        self._cached_bytes = 0
+        host.observe_deaths(self._abandon_requests_from)
 
     def receive_request(self, sender: ReplicaId, request: ShardRequest) -> None:
         """Serve a request, unless it is served already."""
-        if request.request in self._under_way:
+        if request.request in self._active:
             return
-        reply = self._replies.get(request.request)
+        reply = self._cached_replies.get(request.request)
         if reply is not None:
             self._context.send_peer(sender, reply)
         elif self._host.leads(request.shard):
@@ -62,58 +62,60 @@
 
     def receive_cancel(self, sender: ReplicaId, cancel: ShardCancel) -> None:
         """Stop serving a request that nobody waits for."""
-        serving = self._under_way.get(cancel.request)
-        if serving is not None and serving.sender == sender:
-            self._abandon(serving)
+        active = self._active.get(cancel.request)
+        if active is not None and active.sender == sender:
+            self._abandon(active)
 
-    def under_way(self) -> int:
+    def active_requests(self) -> int:
         """Return how many requests of other nodes are being served."""
-        return len(self._under_way)
+        return len(self._active)
 
     def _serve(self, sender: ReplicaId, request: ShardRequest) -> None:
         decoded = decode_operation(request.operation)
         if isinstance(decoded, Failure):
             self._reply(sender, ShardReply(request=request.request, error=decoded.failure()))
             return
-        serving = _Serving(sender, request)
-        self._under_way[request.request] = serving
+        active = _ActiveRequest(sender, request)
+        self._active[request.request] = active
         ticket = self._server.serve(
             decoded.unwrap(),
             request.shard,
             deadline_seconds=request.deadline,
-            done=lambda result: self._finish(serving, result),
-            on_events=lambda events: self._push(serving, events),
+            done=lambda result: self._finish(active, result),
+            on_events=lambda events: self._push(active, events),
         )
-        serving.ticket = ticket
+        active.ticket = ticket
 
-    def _finish(self, serving: _Serving, result: Result[OperationResult, YokelineError]) -> None:
-        if self._under_way.pop(serving.request.request, None) is None:
+    def _finish(
+        self, active: _ActiveRequest, result: Result[OperationResult, YokelineError]
+    ) -> None:
+        if self._active.pop(active.request.request, None) is None:
             return
         if isinstance(result, Failure):
-            self._finish_failed(serving, result.failure())
+            self._finish_failed(active, result.failure())
             return
         data = encode_result(result.unwrap())
-        if len(data) > REPLY_BYTES:
-            error = answer_too_large(len(data), REPLY_BYTES)
-            self._finish_failed(serving, error)
+        if len(data) > MAX_RESULT_BYTES:
+            error = answer_too_large(len(data), MAX_RESULT_BYTES)
+            self._finish_failed(active, error)
             return
-        reply = ShardReply(request=serving.request.request, result=data)
-        self._remember(reply)
-        self._reply(serving.sender, reply)
-
-    def _finish_failed(self, serving: _Serving, error: YokelineError) -> None:
-        request = serving.request
-        if is_for_next_leader(error) and error.execution is Execution.NOT_RUN:
-            self._refuse(serving.sender, request)
+        reply = ShardReply(request=active.request.request, result=data)
+        self._cache_reply(reply)
+        self._reply(active.sender, reply)
+
+    def _finish_failed(self, active: _ActiveRequest, error: YokelineError) -> None:
+        request = active.request
+        if is_leadership_error(error) and error.execution is Execution.NOT_RUN:
+            self._refuse(active.sender, request)
             return
         reply = ShardReply(
             request=request.request,
             error=error,
             leader=self._host.leader_of(request.shard),
         )
-        if not is_for_next_leader(error):
-            self._remember(reply)
-        self._reply(serving.sender, reply)
+        if not is_leadership_error(error):
+            self._cache_reply(reply)
+        self._reply(active.sender, reply)
 
     def _refuse(self, sender: ReplicaId, request: ShardRequest) -> None:
         """Say that nothing was done because this node does not lead."""
@@ -124,26 +126,29 @@
     def _reply(self, sender: ReplicaId, reply: ShardReply) -> None:
         self._context.send_peer(sender, reply)
 
-    def _push(self, serving: _Serving, events: tuple[RunEvent, ...]) -> None:
-        if serving.request.request not in self._under_way:
+    def _push(self, active: _ActiveRequest, events: tuple[RunEvent, ...]) -> None:
+        if active.request.request not in self._active:
             return
-        message = RunEvents(request=serving.request.request, events=encode_events(events))
-        self._context.send_peer(serving.sender, message)
+        message = RunEvents(request=active.request.request, events=encode_events(events))
+        self._context.send_peer(active.sender, message)
 
-    def _remember(self, reply: ShardReply) -> None:
+    def _cache_reply(self, reply: ShardReply) -> None:
         """Keep a final reply; the oldest ones make room."""
-        self._replies[reply.request] = reply
-        self._replies_bytes += len(reply.result)
-        while len(self._replies) > REMEMBERED_REPLIES or self._replies_bytes > REMEMBERED_BYTES:
-            oldest = next(iter(self._replies))
-            self._replies_bytes -= len(self._replies.pop(oldest).result)
-
-    def _abandon(self, serving: _Serving) -> None:
-        del self._under_way[serving.request.request]
-        if serving.ticket is not None:
-            self._server.abandon(serving.ticket)
-
-    def _abandon_all_of(self, sender: ReplicaId) -> None:
+        self._cached_replies[reply.request] = reply
+        self._cached_bytes += len(reply.result)
+        while (
+            len(self._cached_replies) > MAX_CACHED_REPLIES
+            or self._cached_bytes > MAX_CACHED_REPLY_BYTES
+        ):
+            oldest = next(iter(self._cached_replies))
+            self._cached_bytes -= len(self._cached_replies.pop(oldest).result)
+
+    def _abandon(self, active: _ActiveRequest) -> None:
+        del self._active[active.request.request]
+        if active.ticket is not None:
+            self._server.abandon(active.ticket)
+
+    def _abandon_requests_from(self, sender: ReplicaId) -> None:
         """Stop serving a node that is dead."""
-        for serving in [item for item in self._under_way.values() if item.sender == sender]:
-            self._abandon(serving)
+        for active in [item for item in self._active.values() if item.sender == sender]:
+            self._abandon(active)
--- a/tests/unit/shards/routed.py
+++ b/tests/unit/shards/routed.py
@@ -15,10 +15,10 @@
 from yokeline.runs.model import CreateRun, RunSpec
 from yokeline.runs.state_machine import ApplyResult
 from yokeline.settings import Settings
+from yokeline.shards.operation_server import EventsReceived, OperationDone
 from yokeline.shards.operations import Operation, OperationResult, RunResult, StartRun, WatchRun
 from yokeline.shards.router import ShardRouter
-from yokeline.shards.server_side import ShardServer
-from yokeline.shards.serving import EventsReceived, OperationDone
+from yokeline.shards.shard_server import ShardServer
 
 SHARD = ShardId(0)
 Answer = Result[OperationResult, YokelineError]
--- a/tests/unit/shards/test_router.py
+++ b/tests/unit/shards/test_router.py
@@ -75,7 +75,7 @@
         self.cluster.act(asker, lambda: asker.router.cancel(request))
         self.cluster.run(0.1)
         self.assertEqual(leader.executor.abandoned, ["1"])
-        self.assertEqual((asker.router.waiting(), leader.server.under_way()), (0, 0))
+        self.assertEqual((asker.router.pending_requests(), leader.server.active_requests()), (0, 0))
         self.assertEqual(answers, [])
 
     def test_unserved_request_is_surely_not_run(self) -> None:
