--- a/src/yokeline/shards/errors.py
+++ b/src/yokeline/shards/errors.py
@@ -8,7 +8,7 @@
 """A shard without a leader usually has one again after this."""
 
 
-def not_leading(shard: int) -> YokelineError:
+def not_leader(shard: int) -> YokelineError:
     """Return the error for a command that was surely not appended to the log."""
     return YokelineError(
         kind=ErrorKind.UNAVAILABLE,
@@ -39,7 +39,7 @@
     )
 
 
-def no_answer(shard: int) -> YokelineError:
+def write_timed_out(shard: int) -> YokelineError:
     """Return the error for a request that may have been carried out, unheard of."""
     return YokelineError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
@@ -61,7 +61,7 @@
     )
 
 
-def answer_too_large(size: int, limit: int) -> YokelineError:
+def result_too_large(size: int, limit: int) -> YokelineError:
     """Return the error for a result that does not fit a frame between nodes."""
     return YokelineError(
         kind=ErrorKind.LIMIT_EXCEEDED,
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -31,7 +31,7 @@
 from yokeline.shards.copies import CopySet
 from yokeline.shards.copy_format import StoredShard
 from yokeline.shards.copy_writer import CopyWriter
-from yokeline.shards.errors import not_leading
+from yokeline.shards.errors import not_leader
 from yokeline.shards.leader_gossip import LeaderGossip
 from yokeline.shards.lineage import is_obsolete
 from yokeline.shards.local_replicas import LocalReplicas
@@ -123,7 +123,7 @@
         """
         replica = self._replicas.get(shard)
         if replica is None:
-            done(Failure(not_leading(shard)))
+            done(Failure(not_leader(shard)))
             return
         replica.propose(command, self._context.now, done)
         self._local_replicas.reschedule_tick(replica)
@@ -132,7 +132,7 @@
         """Hand over the state machine once it holds all that was committed before."""
         replica = self._replicas.get(shard)
         if replica is None:
-            done(Failure(not_leading(shard)))
+            done(Failure(not_leader(shard)))
             return
         replica.read(self._context.now, done)
         self._local_replicas.reschedule_tick(replica)
--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -9,11 +9,11 @@
 from yokeline.errors import ErrorKind, Execution, YokelineError
 from yokeline.identifiers import ReplicaId, RequestId, ShardId
 from yokeline.runs.events import EventId, RunEvent, TextEvent
-from yokeline.shards.errors import no_answer, no_leader, read_timed_out
+from yokeline.shards.errors import no_leader, read_timed_out, write_timed_out
 from yokeline.shards.operation_server import EventsReceived, OperationDone, is_write
 from yokeline.shards.operations import Operation, WatchRun
 
-_TRUE_OF_ANY_ATTEMPT = (
+_ATTEMPT_INDEPENDENT_KINDS = (
     ErrorKind.BAD_REQUEST,
     ErrorKind.FORBIDDEN,
     ErrorKind.IDEMPOTENCY_KEY_REUSED,
@@ -47,7 +47,7 @@
     ) -> None:
         """Create a request that nothing was done for yet."""
         self.request = request
-        self.wire = request
+        self.wire_id = request
         self.shard = shard
         self.operation = operation
         self.deadline = deadline
@@ -57,10 +57,10 @@
         self.ticket: str | None = None
         self.attempts = 0
         self.resends = 0
-        self.hops = 0
+        self.redirects = 0
         self.gaps = 0
-        self.maybe_done = False
-        self.refused_by: ReplicaId | None = None
+        self.outcome_unknown = False
+        self.rejected_by: ReplicaId | None = None
         self._unanswered: Counter[ReplicaId] = Counter()
         self._position = _first_position(operation)
 
@@ -70,39 +70,39 @@
         """Note that the request has gone to a node."""
         self._unanswered[to] += 1
 
-    def note_refused(self, sender: ReplicaId) -> None:
+    def note_rejected(self, sender: ReplicaId) -> None:
         """Note that one copy of the request had no effect at a node."""
         self._unanswered[sender] -= 1
-        self.refused_by = sender
+        self.rejected_by = sender
 
-    def note_in_doubt(self, sender: ReplicaId) -> None:
+    def note_outcome_unknown(self, sender: ReplicaId) -> None:
         """Note that a node does not know what became of the request."""
         self._unanswered[sender] -= 1
-        self.maybe_done = True
+        self.outcome_unknown = True
 
     @property
     def may_have_run(self) -> bool:
         """Whether some copy of the request may have had, or may yet have, an effect."""
-        return self.maybe_done or any(count > 0 for count in self._unanswered.values())
+        return self.outcome_unknown or any(count > 0 for count in self._unanswered.values())
 
-    def refusal(self, sender: ReplicaId, error: YokelineError) -> YokelineError:
+    def error_across_attempts(self, sender: ReplicaId, error: YokelineError) -> YokelineError:
         """Return a leader's refusal, as far as it is true of all copies of the request."""
         self._unanswered[sender] -= 1
-        if error.execution is not Execution.NOT_RUN or error.kind in _TRUE_OF_ANY_ATTEMPT:
+        if error.execution is not Execution.NOT_RUN or error.kind in _ATTEMPT_INDEPENDENT_KINDS:
             return error
         if not is_write(self.operation) or not self.may_have_run:
             return error
         return msgspec.structs.replace(error, execution=Execution.UNKNOWN)
 
-    def expiry(self) -> YokelineError:
+    def timeout_error(self) -> YokelineError:
         """Return what is true of the request when its deadline comes without an answer."""
         if not is_write(self.operation):
             return read_timed_out(self.shard)
-        return no_answer(self.shard) if self.may_have_run else no_leader(self.shard)
+        return write_timed_out(self.shard) if self.may_have_run else no_leader(self.shard)
 
     # ------------------------------------------------------------ events
 
-    def operation_now(self) -> Operation:
+    def current_operation(self) -> Operation:
         """Return the operation to send: a watch goes on after the last event seen."""
         if not isinstance(self.operation, WatchRun):
             return self.operation
@@ -112,14 +112,14 @@
             after_offset=self._position.offset,
         )
 
-    def take_events(self, events: tuple[RunEvent, ...]) -> tuple[tuple[RunEvent, ...], bool]:
+    def accept_events(self, events: tuple[RunEvent, ...]) -> tuple[tuple[RunEvent, ...], bool]:
         """Return the events that are new, and whether text is missing after them."""
         fresh: list[RunEvent] = []
         for event in events:
             if isinstance(event, TextEvent):
-                if self._misses_text_before(event):
+                if self._has_gap_before(event):
                     return tuple(fresh), True
-                new_text = self._unseen(event)
+                new_text = self._unseen_part(event)
                 if new_text is None:
                     continue
                 event = new_text
@@ -127,12 +127,12 @@
             fresh.append(event)
         return tuple(fresh), False
 
-    def _misses_text_before(self, event: TextEvent) -> bool:
+    def _has_gap_before(self, event: TextEvent) -> bool:
         start = event.id.offset - len(event.text)
         seen = self._position.offset if event.id.call == self._position.call else 0
         return start > seen
 
-    def _unseen(self, event: TextEvent) -> TextEvent | None:
+    def _unseen_part(self, event: TextEvent) -> TextEvent | None:
         """Return the part of a text that is new, None if there is none."""
         if event.id.call != self._position.call:
             return event
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -31,7 +31,7 @@
 from yokeline.runs.model import Command
 from yokeline.runs.state_machine import ApplyResult, RunStateMachine
 from yokeline.shards.copy_format import StoredShard
-from yokeline.shards.errors import leadership_lost, not_leading
+from yokeline.shards.errors import leadership_lost, not_leader
 from yokeline.shards.lineage import is_obsolete
 
 ProposalDone = Callable[[Result[ApplyResult, YokelineError]], None]
@@ -166,19 +166,19 @@
     def propose(self, command: Command, now: float, done: ProposalDone) -> None:
         """Append a command; ``done`` gets its outcome, perhaps before this returns."""
         if not self.leads:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
             return
         proposal = self.group.propose(encode_command(command), now)
         if proposal.accepted:
             self._proposals[proposal.index] = _PendingProposal(proposal.term, done)
         self.carry_out(proposal.effects)
         if not proposal.accepted:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
 
     def read(self, now: float, done: ReadDone) -> None:
         """Hand over the state machine once this replica is known to still lead."""
         if not self.leads:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
             return
         self._next_read += 1
         token = str(self._next_read)
@@ -219,7 +219,7 @@
             case ReadReady():
                 self._complete_read(effect.token, Success(self.machine))
             case ReadFailed():
-                self._complete_read(effect.token, Failure(not_leading(self.shard)))
+                self._complete_read(effect.token, Failure(not_leader(self.shard)))
             case HardStateChanged():
                 self.hard_state = effect.hard_state
             case _:
@@ -252,7 +252,7 @@
         for proposal in proposals.values():
             proposal.done(Failure(leadership_lost(self.shard)))
         for read in reads.values():
-            read(Failure(not_leading(self.shard)))
+            read(Failure(not_leader(self.shard)))
 
     def _complete_read(self, token: str, result: Result[RunStateMachine, YokelineError]) -> None:
         done = self._reads.pop(token, None)
@@ -300,7 +300,7 @@
         if pending.term == entry.term:
             pending.done(Success(result))
         else:
-            pending.done(Failure(not_leading(self.shard)))
+            pending.done(Failure(not_leader(self.shard)))
 
     def _restore(self, snapshot: Snapshot) -> None:
         self.machine = RunStateMachine.restore(snapshot.data)
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -32,13 +32,13 @@
 RESEND_BASE_SECONDS = 1.0
 """Silence of a leader after which the request is sent to it again; doubles."""
 RESEND_MAX_SECONDS = 8.0
-MAX_HOPS = 3
+MAX_REDIRECTS = 3
 """Hints that are followed at once before a pause; two nodes may point at each other."""
-MAX_GAPS = 3
+MAX_EVENT_GAPS = 3
 """Gaps in a request's events after which its watch is not started anew any more."""
 DEADLINE_MARGIN_SECONDS = 0.2
 """A leader answers so much before the asker's deadline, to let the answer arrive."""
-LATE_REPLIES = "yokeline_late_replies_total"
+LATE_REPLIES_METRIC = "yokeline_late_replies_total"
 
 
 class ShardRouter:
@@ -51,9 +51,9 @@
         self._server = server
         self._targets = TargetChooser(context.replica, host)
         self._pending: dict[RequestId, PendingRequest] = {}
-        self._by_wire: dict[RequestId, PendingRequest] = {}
+        self._by_wire_id: dict[RequestId, PendingRequest] = {}
         self._by_shard: dict[ShardId, dict[RequestId, PendingRequest]] = {}
-        self._due: DeadlineQueue[RequestId] = DeadlineQueue()
+        self._deadlines: DeadlineQueue[RequestId] = DeadlineQueue()
         host.observe_leaders(self._leader_changed)
         host.observe_deaths(self._node_died)
 
@@ -81,7 +81,7 @@
         deadline = self._context.now + deadline_seconds
         pending = PendingRequest(request, shard, operation, deadline, done, on_events)
         self._pending[request] = pending
-        self._by_wire[request] = pending
+        self._by_wire_id[request] = pending
         self._by_shard.setdefault(shard, {})[request] = pending
         self._dispatch(pending)
         return request
@@ -92,7 +92,7 @@
         if pending is None:
             return
         self._forget(pending)
-        self._stop_target(pending)
+        self._cancel_at_target(pending)
 
     def pending_requests(self) -> int:
         """Return how many requests wait for an answer."""
@@ -105,87 +105,87 @@
         target = self._targets.choose(pending)
         pending.target = target
         if target is None:
-            self._pause(pending)
+            self._back_off(pending)
         elif target == self._context.replica:
-            self._serve_here(pending)
+            self._serve_locally(pending)
         else:
             self._send(pending, target)
 
     def _send(self, pending: PendingRequest, target: ReplicaId) -> None:
         pending.note_sent(target)
         message = ShardRequest(
-            request=pending.wire,
+            request=pending.wire_id,
             shard=pending.shard,
-            operation=encode_operation(pending.operation_now()),
-            deadline=self._seconds_for_leader(pending),
+            operation=encode_operation(pending.current_operation()),
+            deadline=self._leader_deadline_seconds(pending),
         )
         self._context.send_peer(target, message)
         wait = min(RESEND_BASE_SECONDS * 2.0**pending.resends, RESEND_MAX_SECONDS)
         self._set_due(pending, wait)
 
-    def _serve_here(self, pending: PendingRequest) -> None:
+    def _serve_locally(self, pending: PendingRequest) -> None:
         own = self._context.replica
         attempt = pending.attempts
         pending.note_sent(own)
-        self._due.set(pending.request, pending.deadline)
+        self._deadlines.set(pending.request, pending.deadline)
 
         def done(result: Result[OperationResult, YokelineError]) -> None:
             if attempt == pending.attempts:
                 pending.ticket = None
-            self._answered(pending, own, result)
+            self._handle_result(pending, own, result)
 
         def push(events: tuple[RunEvent, ...]) -> None:
             if attempt == pending.attempts and pending.target == own:
                 self._deliver(pending, events)
 
         ticket = self._server.serve(
-            pending.operation_now(),
+            pending.current_operation(),
             pending.shard,
-            deadline_seconds=self._seconds_for_leader(pending),
+            deadline_seconds=self._leader_deadline_seconds(pending),
             done=done,
             on_events=push,
         )
         if attempt == pending.attempts and pending.request in self._pending:
             pending.ticket = ticket
 
-    def _seconds_for_leader(self, pending: PendingRequest) -> float:
+    def _leader_deadline_seconds(self, pending: PendingRequest) -> float:
         left = max(0.0, pending.deadline - self._context.now)
         return left - min(DEADLINE_MARGIN_SECONDS, left / 2.0)
 
-    def _pause(self, pending: PendingRequest) -> None:
+    def _back_off(self, pending: PendingRequest) -> None:
         """Wait before the next attempt: doubling, with jitter."""
         pending.target = None
-        pending.hops = 0
+        pending.redirects = 0
         longest = min(RETRY_BASE_SECONDS * 2.0**pending.attempts, RETRY_MAX_SECONDS)
         pending.attempts += 1
         self._set_due(pending, longest * (0.5 + 0.5 * self._context.random.random()))
 
     def _set_due(self, pending: PendingRequest, seconds: float) -> None:
-        self._due.set(pending.request, min(pending.deadline, self._context.now + seconds))
+        self._deadlines.set(pending.request, min(pending.deadline, self._context.now + seconds))
 
     # ------------------------------------------------------------ time
 
     def tick(self) -> None:
         """Do what is due by now."""
-        for request in self._due.take_due(self._context.now):
+        for request in self._deadlines.take_due(self._context.now):
             pending = self._pending[request]
             if self._context.now >= pending.deadline:
                 self._expire(pending)
             else:
-                self._try_again(pending)
+                self._retry(pending)
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        return self._due.next()
+        return self._deadlines.next()
 
     def _expire(self, pending: PendingRequest) -> None:
         self._context.counters["yokeline_requests_expired_total"] += 1
-        self._stop_target(pending)
-        self._finish(pending, Failure(pending.expiry()))
+        self._cancel_at_target(pending)
+        self._finish(pending, Failure(pending.timeout_error()))
 
-    def _try_again(self, pending: PendingRequest) -> None:
+    def _retry(self, pending: PendingRequest) -> None:
         """After a pause, or after a silence of the node that was asked."""
-        pending.refused_by = None
+        pending.rejected_by = None
         if pending.target is not None:
             pending.resends += 1
             self._context.counters["yokeline_requests_resent_total"] += 1
@@ -201,89 +201,89 @@
             return
         for pending in list(self._by_shard.get(shard, {}).values()):
             if pending.target != leader.leader:
-                self._redirect(pending)
+                self._reroute(pending)
 
     def _node_died(self, replica: ReplicaId) -> None:
         """Ask elsewhere what was asked of a node that is dead."""
         for pending in list(self._pending.values()):
             if pending.target == replica:
-                self._redirect(pending)
+                self._reroute(pending)
 
-    def _redirect(self, pending: PendingRequest) -> None:
+    def _reroute(self, pending: PendingRequest) -> None:
         if self._pending.get(pending.request) is not pending:
             return
-        self._leave_local_server(pending)
-        pending.refused_by = None
+        self._abandon_local_operation(pending)
+        pending.rejected_by = None
         pending.resends = 0
         pending.attempts += 1
         self._dispatch(pending)
 
-    def _leave_local_server(self, pending: PendingRequest) -> None:
+    def _abandon_local_operation(self, pending: PendingRequest) -> None:
         if pending.ticket is not None:
             self._server.abandon(pending.ticket)
             pending.ticket = None
 
-    def _stop_target(self, pending: PendingRequest) -> None:
+    def _cancel_at_target(self, pending: PendingRequest) -> None:
         """Tell the node that serves a request that no answer is wanted any more."""
         if pending.ticket is not None:
-            self._leave_local_server(pending)
+            self._abandon_local_operation(pending)
         elif pending.target not in (None, self._context.replica):
-            self._context.send_peer(pending.target, ShardCancel(request=pending.wire))
+            self._context.send_peer(pending.target, ShardCancel(request=pending.wire_id))
 
     # ------------------------------------------------------------ answers
 
     def receive_reply(self, sender: ReplicaId, reply: ShardReply) -> None:
         """Take in the answer of another node."""
-        pending = self._by_wire.get(reply.request)
+        pending = self._by_wire_id.get(reply.request)
         if pending is None:
-            self._context.counters[LATE_REPLIES] += 1
+            self._context.counters[LATE_REPLIES_METRIC] += 1
             return
         if reply.leader is not None:
             self._host.receive_leader_update(sender, reply.leader)
         if self._pending.get(pending.request) is not pending:
             return
         if reply.not_leader:
-            self._refused(pending, sender)
+            self._handle_not_leader(pending, sender)
         elif reply.error is not None:
-            self._answered(pending, sender, Failure(reply.error))
+            self._handle_result(pending, sender, Failure(reply.error))
         else:
-            self._answered(pending, sender, decode_result(reply.result))
+            self._handle_result(pending, sender, decode_result(reply.result))
 
-    def _refused(self, pending: PendingRequest, sender: ReplicaId) -> None:
+    def _handle_not_leader(self, pending: PendingRequest, sender: ReplicaId) -> None:
         """A node does not lead the shard and did nothing."""
-        pending.note_refused(sender)
+        pending.note_rejected(sender)
         if pending.target != sender:
             return
         leader = self._host.leader_of(pending.shard)
         known = leader is not None and leader.leader not in (sender, self._context.replica)
-        if known and pending.hops < MAX_HOPS:
-            pending.hops += 1
+        if known and pending.redirects < MAX_REDIRECTS:
+            pending.redirects += 1
             pending.attempts += 1
             self._dispatch(pending)
         else:
-            self._pause(pending)
+            self._back_off(pending)
 
-    def _answered(
+    def _handle_result(
         self,
         pending: PendingRequest,
         sender: ReplicaId,
         result: Result[OperationResult, YokelineError],
     ) -> None:
         if self._pending.get(pending.request) is not pending:
-            self._context.counters[LATE_REPLIES] += 1
+            self._context.counters[LATE_REPLIES_METRIC] += 1
             return
         if isinstance(result, Success):
             self._finish(pending, result)
             return
         error = result.failure()
         if not is_leadership_error(error):
-            self._finish(pending, Failure(pending.refusal(sender, error)))
+            self._finish(pending, Failure(pending.error_across_attempts(sender, error)))
         elif error.execution is Execution.NOT_RUN:
-            self._refused(pending, sender)
+            self._handle_not_leader(pending, sender)
         else:
-            pending.note_in_doubt(sender)
+            pending.note_outcome_unknown(sender)
             if pending.target == sender:
-                self._pause(pending)
+                self._back_off(pending)
 
     def _finish(
         self, pending: PendingRequest, result: Result[OperationResult, YokelineError]
@@ -293,18 +293,18 @@
 
     def _forget(self, pending: PendingRequest) -> None:
         del self._pending[pending.request]
-        del self._by_wire[pending.wire]
-        of_shard = self._by_shard[pending.shard]
-        del of_shard[pending.request]
-        if not of_shard:
+        del self._by_wire_id[pending.wire_id]
+        shard_requests = self._by_shard[pending.shard]
+        del shard_requests[pending.request]
+        if not shard_requests:
             del self._by_shard[pending.shard]
-        self._due.remove(pending.request)
+        self._deadlines.remove(pending.request)
 
     # ------------------------------------------------------------ events
 
     def receive_events(self, sender: ReplicaId, message: RunEvents) -> None:
         """Take in events of a watched run."""
-        pending = self._by_wire.get(message.request)
+        pending = self._by_wire_id.get(message.request)
         if pending is None or pending.target != sender:
             self._context.counters["yokeline_late_events_total"] += 1
             return
@@ -315,21 +315,21 @@
             self._context.warn("events_malformed", reason=decoded.failure().line())
 
     def _deliver(self, pending: PendingRequest, events: tuple[RunEvent, ...]) -> None:
-        fresh, gap = pending.take_events(events)
+        fresh, gap = pending.accept_events(events)
         if fresh and pending.on_events is not None:
             pending.on_events(fresh)
         if gap and self._pending.get(pending.request) is pending:
-            self._watch_anew(pending)
+            self._restart_watch(pending)
 
-    def _watch_anew(self, pending: PendingRequest) -> None:
+    def _restart_watch(self, pending: PendingRequest) -> None:
         """Text is missing: start the watch again, where the last event seen ends."""
         self._context.counters["yokeline_event_gaps_total"] += 1
         pending.gaps += 1
-        if pending.gaps > MAX_GAPS:
+        if pending.gaps > MAX_EVENT_GAPS:
             return
-        self._stop_target(pending)
-        del self._by_wire[pending.wire]
-        pending.wire = self._context.new_request_id()
-        self._by_wire[pending.wire] = pending
+        self._cancel_at_target(pending)
+        del self._by_wire_id[pending.wire_id]
+        pending.wire_id = self._context.new_request_id()
+        self._by_wire_id[pending.wire_id] = pending
         pending.attempts += 1
         self._dispatch(pending)
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -11,7 +11,7 @@
 from yokeline.messages.types import RunEvents, ShardCancel, ShardReply, ShardRequest
 from yokeline.runs.events import RunEvent
 from yokeline.server.context import NodeContext
-from yokeline.shards.errors import answer_too_large
+from yokeline.shards.errors import result_too_large
 from yokeline.shards.host import ShardHost
 from yokeline.shards.operation_server import OperationServer, is_leadership_error
 from yokeline.shards.operations import OperationResult
@@ -96,7 +96,7 @@
             return
         data = encode_result(result.unwrap())
         if len(data) > MAX_RESULT_BYTES:
-            error = answer_too_large(len(data), MAX_RESULT_BYTES)
+            error = result_too_large(len(data), MAX_RESULT_BYTES)
             self._finish_failed(active, error)
             return
         reply = ShardReply(request=active.request.request, result=data)
--- a/src/yokeline/shards/targets.py
+++ b/src/yokeline/shards/targets.py
@@ -20,16 +20,16 @@
         if self._host.leads(pending.shard):
             return self._own
         leader = self._host.leader_of(pending.shard)
-        if leader is not None and self._may_ask(leader.leader, pending):
+        if leader is not None and self._is_candidate(leader.leader, pending):
             return leader.leader
-        return self._someone_who_may_know(pending)
+        return self._fallback_target(pending)
 
-    def _may_ask(self, replica: ReplicaId, pending: PendingRequest) -> bool:
-        if replica in (self._own, pending.refused_by):
+    def _is_candidate(self, replica: ReplicaId, pending: PendingRequest) -> bool:
+        if replica in (self._own, pending.rejected_by):
             return False
         return not self._host.is_dead(replica)
 
-    def _someone_who_may_know(self, pending: PendingRequest) -> ReplicaId | None:
+    def _fallback_target(self, pending: PendingRequest) -> ReplicaId | None:
         """Return a member of the group, else any node: its refusal carries a hint.
 
         A node that is a member itself learns of the next leader as soon as the others do.
@@ -37,9 +37,9 @@
         members = self._host.members_of(pending.shard)
         if self._own in members:
             return None
-        asked = [member for member in members if self._may_ask(member, pending)]
-        if not asked:
+        candidates = [member for member in members if self._is_candidate(member, pending)]
+        if not candidates:
             alive = self._host.alive_nodes()
-            asked = [replica for replica in alive if self._may_ask(replica, pending)]
-        turn = pending.attempts + pending.resends
-        return asked[turn % len(asked)] if asked else None
+            candidates = [replica for replica in alive if self._is_candidate(replica, pending)]
+        attempt = pending.attempts + pending.resends
+        return candidates[attempt % len(candidates)] if candidates else None
--- a/tests/unit/shards/test_router.py
+++ b/tests/unit/shards/test_router.py
@@ -149,13 +149,13 @@
 
     def test_first_refusal_after_an_unanswered_copy_is_not_called_not_run(self) -> None:
         pending = PendingRequest("r/1", SHARD, start("run-1"), 1.0, lambda result: None, None)
-        refusal = YokelineError(kind=ErrorKind.OVERLOADED, message="m", remedy="r")
+        overloaded = YokelineError(kind=ErrorKind.OVERLOADED, message="m", remedy="r")
         pending.note_sent("a")
         pending.note_sent("b")
-        self.assertIs(pending.refusal("b", refusal).execution, Execution.UNKNOWN)
-        pending.note_refused("a")
+        self.assertIs(pending.error_across_attempts("b", overloaded).execution, Execution.UNKNOWN)
+        pending.note_rejected("a")
         pending.note_sent("b")
-        self.assertIs(pending.refusal("b", refusal).execution, Execution.NOT_RUN)
+        self.assertIs(pending.error_across_attempts("b", overloaded).execution, Execution.NOT_RUN)
 
 
 class ServerTest(unittest.TestCase):
