--- a/src/yokeline/shards/batches.py
+++ b/src/yokeline/shards/batches.py
@@ -17,19 +17,19 @@
     def __init__(self, context: NodeContext) -> None:
         """Send through ``context``."""
         self._context = context
-        self._waiting: dict[ReplicaId, list[GroupMessage]] = {}
+        self._pending: dict[ReplicaId, list[GroupMessage]] = {}
 
     def add(self, shard: ShardId, to: ReplicaId, message: RaftMessage) -> None:
         """Put a message into the batch of its receiver."""
-        self._waiting.setdefault(to, []).append(GroupMessage(shard, message))
+        self._pending.setdefault(to, []).append(GroupMessage(shard, message))
 
     def flush(self) -> None:
         """Send everything collected; messages to one receiver stay in order."""
-        if not self._waiting:
+        if not self._pending:
             return
-        waiting = self._waiting
-        self._waiting = {}
-        for to, messages in waiting.items():
+        pending = self._pending
+        self._pending = {}
+        for to, messages in pending.items():
             for batch in _split(messages):
                 self._context.counters["yokeline_raft_batches_sent_total"] += 1
                 self._context.send_peer(to, batch)
@@ -37,17 +37,17 @@
 
 def _split(messages: list[GroupMessage]) -> list[RaftBatch]:
     batches: list[RaftBatch] = []
-    part: list[GroupMessage] = []
+    batch: list[GroupMessage] = []
     size = 0
     for item in messages:
-        part.append(item)
+        batch.append(item)
         size += _payload_bytes(item.message)
         if size >= BATCH_BYTES:
-            batches.append(RaftBatch(tuple(part)))
-            part = []
+            batches.append(RaftBatch(tuple(batch)))
+            batch = []
             size = 0
-    if part:
-        batches.append(RaftBatch(tuple(part)))
+    if batch:
+        batches.append(RaftBatch(tuple(batch)))
     return batches
 
 
--- a/src/yokeline/shards/heartbeats.py
+++ b/src/yokeline/shards/heartbeats.py
@@ -41,10 +41,10 @@
         self._context = context
         self._directory = directory
         self._period = period
-        self._next = 0.0
+        self._next_heartbeat = 0.0
         self._sequence = 0
         self._peers: tuple[ReplicaId, ...] = ()
-        self._heard: dict[ReplicaId, float] = {}
+        self._last_message_at: dict[ReplicaId, float] = {}
         self._unacknowledged: dict[ReplicaId, _UnacknowledgedUpdates] = {}
         self._requested: dict[ReplicaId, dict[ShardId, None]] = {}
 
@@ -57,23 +57,23 @@
         """Exchange heartbeats with these nodes from now on."""
         self._peers = peers
         now = self._context.now
-        self._heard = {peer: self._heard.get(peer, now) for peer in peers}
+        self._last_message_at = {peer: self._last_message_at.get(peer, now) for peer in peers}
 
     def request_update(self, peer: ReplicaId, shard: ShardId) -> None:
         """Ask a peer for fresh news of a shard with the next heartbeat."""
         self._requested.setdefault(peer, {})[shard] = None
 
-    def heard(self, peer: ReplicaId) -> None:
+    def note_message(self, peer: ReplicaId) -> None:
         """Note that a message of a peer arrived."""
-        self._heard[peer] = self._context.now
+        self._last_message_at[peer] = self._context.now
 
     def tick(self) -> None:
         """Send the heartbeats that are due."""
-        if self._context.now < self._next:
+        if self._context.now < self._next_heartbeat:
             return
-        self._next = self._context.now + self._period
+        self._next_heartbeat = self._context.now + self._period
         self._sequence += 1
-        due = {peer for peer in self._peers if self._asks(peer)}
+        due = {peer for peer in self._peers if self._initiates(peer)}
         due.update(self._directory.peers_with_pending_updates())
         due.update(self._requested)
         for peer in sorted(due):
@@ -81,11 +81,11 @@
 
     def next_deadline(self) -> float:
         """Return when the next heartbeats are due."""
-        return self._next
+        return self._next_heartbeat
 
     def receive(self, sender: ReplicaId, heartbeat: Heartbeat) -> tuple[ShardLeader, ...]:
         """Answer a heartbeat and return the leadership news in it."""
-        self.heard(sender)
+        self.note_message(sender)
         reply = HeartbeatReply(
             sequence=heartbeat.sequence,
             configuration_revision=self.configuration_revision(),
@@ -95,7 +95,7 @@
 
     def receive_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
         """Note that a heartbeat, and the news in it, arrived."""
-        self.heard(sender)
+        self.note_message(sender)
         unacknowledged = self._unacknowledged.get(sender)
         if unacknowledged is not None and reply.sequence >= unacknowledged.sequence:
             del self._unacknowledged[sender]
@@ -103,14 +103,14 @@
     def forget_peer(self, peer: ReplicaId) -> None:
         """Drop what is kept for a peer that is dead."""
         self._unacknowledged.pop(peer, None)
-        self._heard.pop(peer, None)
+        self._last_message_at.pop(peer, None)
         self._requested.pop(peer, None)
         self._directory.forget_peer(peer)
 
-    def _asks(self, peer: ReplicaId) -> bool:
+    def _initiates(self, peer: ReplicaId) -> bool:
         if self._context.replica < peer:
             return True
-        silence = self._context.now - self._heard.get(peer, self._context.now)
+        silence = self._context.now - self._last_message_at.get(peer, self._context.now)
         return silence > SILENCE_PERIODS * self._period
 
     def _send(self, peer: ReplicaId) -> None:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -40,7 +40,7 @@
 from yokeline.shards.recovery import RecoveryLog
 from yokeline.shards.removal_detector import RemovalDetector
 from yokeline.shards.replica import ProposalDone, ReadDone, ShardReplica
-from yokeline.shards.status import ShardStatus, lost_majority, shard_status
+from yokeline.shards.status import ShardStatus, has_lost_majority, shard_status
 
 
 class ShardListener(Protocol):
@@ -91,7 +91,9 @@
         self._alive: tuple[ReplicaId, ...] = ()
         self._copy_writer = CopyWriter(context, self.copies) if settings.node.data_folder else None
         self.heartbeats = self._gossip.heartbeats
-        self._removal = RemovalDetector(context, self._local_replicas, self._gossip, self._leave)
+        self._removal = RemovalDetector(
+            context, self._local_replicas, self._gossip, self._leave_group
+        )
         self._maintenance = GroupMaintenance(
             context,
             settings,
@@ -216,12 +218,12 @@
 
     def majority_lost(self, shard: ShardId) -> bool:
         """Return whether all that is known here of a group says that its majority is dead."""
-        known = [self._gossip.directory.members_of(shard)]
+        memberships = [self._gossip.directory.members_of(shard)]
         replica = self._replicas.get(shard)
         if replica is not None:
-            known += [replica.committed_members, replica.group.members]
-        groups = [members for members in known if members]
-        lost = all(lost_majority(members, self._peers.is_dead) for members in groups)
+            memberships += [replica.committed_members, replica.group.members]
+        groups = [members for members in memberships if members]
+        lost = all(has_lost_majority(members, self._peers.is_dead) for members in groups)
         return bool(groups) and lost
 
     def set_hand_over_guard(self, guard: Callable[[ShardId], bool]) -> None:
@@ -241,7 +243,7 @@
         """Act on a change in the membership view at the next tick, which is due now."""
         self._maintenance.schedule_now()
 
-    def _leave(self, replica: ShardReplica) -> None:
+    def _leave_group(self, replica: ShardReplica) -> None:
         update = self.leader_of(replica.shard)
         if update is not None and is_obsolete(replica.group.term, update.term):
             self._drop_obsolete(replica)
@@ -265,7 +267,7 @@
 
     def receive_batch(self, sender: ReplicaId, batch: RaftBatch) -> None:
         """Take in the Raft messages of another node."""
-        self.heartbeats.heard(sender)
+        self.heartbeats.note_message(sender)
         for item in batch.messages:
             replica = self._replica_for(sender, item)
             if replica is None:
@@ -282,9 +284,9 @@
             self._local_replicas.note_term(item.shard, term)
             self._drop_obsolete(replica)
             replica = None
-        return replica or self._create_for(sender, item)
+        return replica or self._join_group(sender, item)
 
-    def _create_for(self, sender: ReplicaId, item: GroupMessage) -> ShardReplica | None:
+    def _join_group(self, sender: ReplicaId, item: GroupMessage) -> ShardReplica | None:
         """Join a group whose leader has added this node."""
         message = item.message
         if not isinstance(message, AppendEntries | InstallSnapshot) or message.leader != sender:
@@ -299,12 +301,12 @@
         for update in self.heartbeats.receive(sender, heartbeat):
             self._removal.receive_update(sender, update)
         self._removal.send_requested_updates(sender, heartbeat.wanted)
-        self._confirm_alive(sender)
+        self._note_leader_alive(sender)
 
     def receive_heartbeat_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
         """Take in the answer to a heartbeat."""
         self.heartbeats.receive_reply(sender, reply)
-        self._confirm_alive(sender)
+        self._note_leader_alive(sender)
 
     def tick(self) -> None:
         """Do what is due by now."""
@@ -332,7 +334,7 @@
         """Send the Raft messages of this event."""
         self._batcher.flush()
 
-    def _confirm_alive(self, sender: ReplicaId) -> None:
+    def _note_leader_alive(self, sender: ReplicaId) -> None:
         for replica in self._replicas.values():
             if replica.group.leader == sender:
                 replica.group.node_alive(sender, self._context.now)
@@ -346,9 +348,9 @@
         self._gossip.update_peers(groups, alive, self.led_shards())
 
     def _report_deaths(self, alive: tuple[ReplicaId, ...]) -> None:
-        gone = sorted(set(self._alive) - set(alive))
+        dead_nodes = sorted(set(self._alive) - set(alive))
         self._alive = alive
-        for replica in gone:
+        for replica in dead_nodes:
             for observer in self._death_observers:
                 observer(replica)
 
--- a/src/yokeline/shards/neighbours.py
+++ b/src/yokeline/shards/neighbours.py
@@ -22,8 +22,8 @@
         return ()
     position = bisect.bisect(others, own)
     offsets = range(-RING_DISTANCE, RING_DISTANCE)
-    chosen = {others[(position + offset) % len(others)] for offset in offsets}
-    return tuple(sorted(chosen))
+    neighbours = {others[(position + offset) % len(others)] for offset in offsets}
+    return tuple(sorted(neighbours))
 
 
 def heartbeat_peers(
@@ -33,8 +33,8 @@
     alive: tuple[ReplicaId, ...],
 ) -> tuple[ReplicaId, ...]:
     """Return the nodes that share a group with this one, and its ring neighbours."""
-    wanted = set(neighbours)
+    peers = set(neighbours)
     for members in groups:
-        wanted.update(members)
-    wanted.discard(own)
-    return tuple(sorted(wanted & set(alive)))
+        peers.update(members)
+    peers.discard(own)
+    return tuple(sorted(peers & set(alive)))
--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -55,7 +55,7 @@
     dead = tuple(member for member in members if is_dead(member))
     return ShardStatus(
         shard=replica.shard,
-        state=_state(replica, lost=lost_majority(members, is_dead)),
+        state=_state(replica, lost=has_lost_majority(members, is_dead)),
         role=group.role.value,
         term=group.term,
         leader=group.leader,
@@ -67,7 +67,7 @@
     )
 
 
-def lost_majority(members: tuple[ReplicaId, ...], is_dead: Callable[[ReplicaId], bool]) -> bool:
+def has_lost_majority(members: tuple[ReplicaId, ...], is_dead: Callable[[ReplicaId], bool]) -> bool:
     """Return whether so many members are dead that no quorum is left."""
     living = sum(1 for member in members if not is_dead(member))
     return living < len(members) // 2 + 1
