--- a/tests/property/test_shard_cluster.py
+++ b/tests/property/test_shard_cluster.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 from returns.result import Success
 
-from tests.unit.shards.cluster import DETECTION
-from tests.unit.shards.routed import SHARD, Answer, RoutedCluster, RoutedNode, start
+from tests.unit.shards.cluster import DETECTION_SECONDS
+from tests.unit.shards.routed import SHARD, Answer, RoutedCluster, RoutedNode, start_operation
 from yokeline.errors import Execution
 from yokeline.identifiers import ReplicaId
 
 STEPS = 40
 REPAIR_SECONDS = 15.0
 """Two nodes at most are in trouble within this time: a majority stays."""
-HEALING_SECONDS = 40.0
+RECOVERY_SECONDS = 40.0
 STOP_SECONDS = 8.0
 
 
@@ -30,31 +30,39 @@
         self.cluster = RoutedCluster(
             nodes=8, shards=1, snapshot_entries=snapshot_entries, snapshot_chunk_bytes=300
         )
-        self.cluster.cut = self._is_cut
+        self.cluster.is_dropped = self._is_dropped
         self.answers: dict[str, tuple[RoutedNode, list[Answer]]] = {}
         self._isolated: set[ReplicaId] = set()
         self._loss = 0.0
         self._starts = 0
-        self._troubles: list[float] = []
+        self._fault_times: list[float] = []
 
-    def _is_cut(self, sender: ReplicaId, to: ReplicaId) -> bool:
+    def _is_dropped(self, sender: ReplicaId, to: ReplicaId) -> bool:
         if (sender in self._isolated) != (to in self._isolated):
             return True
         return self.random.random() < self._loss
 
     def step(self) -> None:
         fault = self.random.choice(
-            (self.crash, self.isolate, self.stop, self.lose, self.ask, self.ask, self.ask)
+            (
+                self.crash,
+                self.isolate,
+                self.drain,
+                self.set_message_loss,
+                self.send_requests,
+                self.send_requests,
+                self.send_requests,
+            )
         )
-        if fault in (self.lose, self.ask):
+        if fault in (self.set_message_loss, self.send_requests):
             fault()
-        elif self._may_trouble():
-            self._troubles.append(self.cluster.now)
+        elif self._may_inject():
+            self._fault_times.append(self.cluster.now)
             fault()
         self.cluster.run(self.random.choice((0.01, 0.1, 0.5, 1.0, 3.0)))
 
-    def _may_trouble(self) -> bool:
-        recent = [at for at in self._troubles if self.cluster.now - at < REPAIR_SECONDS]
+    def _may_inject(self) -> bool:
+        recent = [at for at in self._fault_times if self.cluster.now - at < REPAIR_SECONDS]
         return len(recent) < 2
 
     def _any_node(self) -> RoutedNode:
@@ -68,12 +76,12 @@
         replica = node.context.replica
         if replica not in self.cluster.nodes:
             return
-        self.cluster.kill(replica)
+        self.cluster.crash_node(replica)
         self._starts += 1
         number = self._starts
-        self.cluster.later(
+        self.cluster.schedule(
             self.random.uniform(0.5, 6.0),
-            lambda: self.cluster.start(node.context.name, node.context.zone, number),
+            lambda: self.cluster.start_node(node.context.name, node.context.zone, number),
         )
 
     def isolate(self) -> None:
@@ -91,28 +99,28 @@
                 self.cluster.dead.discard(replica)
                 self.cluster.members[replica] = member
 
-        self.cluster.later(DETECTION, declare_dead)
-        self.cluster.later(self.random.uniform(0.5, 9.0), heal)
+        self.cluster.schedule(DETECTION_SECONDS, declare_dead)
+        self.cluster.schedule(self.random.uniform(0.5, 9.0), heal)
 
-    def stop(self) -> None:
+    def drain(self) -> None:
         node = self._any_node()
-        self.cluster.leave(node)
-        self.cluster.later(STOP_SECONDS, lambda: self._crash(node))
+        self.cluster.begin_drain(node)
+        self.cluster.schedule(STOP_SECONDS, lambda: self._crash(node))
 
-    def lose(self) -> None:
+    def set_message_loss(self) -> None:
         self._loss = self.random.choice((0.0, 0.0, 0.05, 0.2))
 
-    def ask(self) -> None:
+    def send_requests(self) -> None:
         for _ in range(4):
             run = f"run-{len(self.answers)}"
             node = self._any_node()
             deadline = self.random.choice((1.0, 5.0, 20.0))
-            _, answers = self.cluster.ask(node, start(run), deadline)
+            _, answers = self.cluster.send_request(node, start_operation(run), deadline)
             self.answers[run] = (node, answers)
 
     def heal(self) -> None:
         self._loss = 0.0
-        self.cluster.run(HEALING_SECONDS)
+        self.cluster.run(RECOVERY_SECONDS)
 
 
 class ShardClusterProperties(unittest.TestCase):
@@ -136,11 +144,11 @@
             self.assert_true(run, runs, node.context.replica in cluster.nodes, answers)
 
     def assert_true(
-        self, run: str, runs: set[str], asker_lives: bool, answers: list[Answer]
+        self, run: str, runs: set[str], requester_alive: bool, answers: list[Answer]
     ) -> None:
         self.assertLessEqual(len(answers), 1, "answered at most once")
         if not answers:
-            self.assertFalse(asker_lives, f"{run} was never answered")
+            self.assertFalse(requester_alive, f"{run} was never answered")
         elif isinstance(answers[0], Success):
             self.assertIn(run, runs, "an accepted run is never lost")
         elif answers[0].failure().execution is Execution.NOT_RUN:
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -23,8 +23,8 @@
 from yokeline.shards.host import ShardHost
 from yokeline.shards.placement import Placement, first_placement
 
-LATENCY = 0.002
-DETECTION = 3.0
+LATENCY_SECONDS = 0.002
+DETECTION_SECONDS = 3.0
 ADDRESS = Address("127.0.0.1", 0)
 
 Outcome = Result[ApplyResult, YokelineError]
@@ -35,11 +35,11 @@
     return Member(replica, NodeName(name), zone, "region", ADDRESS, ADDRESS, MemberState.ALIVE)
 
 
-def create(run: str) -> CreateRun:
+def create_command(run: str) -> CreateRun:
     return CreateRun(run=RunId(run), spec=RunSpec(tenant="t", program="p"), input="text", wall=1.0)
 
 
-class View:
+class FakePeerView:
     """What one node believes of the others; the cluster changes it after a delay."""
 
     def __init__(self, members: dict[ReplicaId, Member], dead: set[ReplicaId]) -> None:
@@ -59,7 +59,7 @@
         return self.members[replica].zone if replica in self.members else None
 
 
-class Listener:
+class RecordingListener:
     """Records what the host reports."""
 
     def __init__(self) -> None:
@@ -79,16 +79,16 @@
 class HostNode:
     """One process start: context, host and the messages it takes."""
 
-    def __init__(self, own: Member, settings: Settings, view: View, seed: int) -> None:
+    def __init__(self, own: Member, settings: Settings, view: FakePeerView, seed: int) -> None:
         source = random.Random(seed)
         self.context = NodeContext(
             name=own.name, replica=own.replica, zone=own.zone, source=source, wall_offset=0.0
         )
         self.context.set_peer_sender(self._send)
-        self.listener = Listener()
+        self.listener = RecordingListener()
         self.view = view
         self.host = ShardHost(self.context, settings, view, self.listener)
-        self.others: Callable[[ReplicaId, msgspec.Struct], None] | None = None
+        self.handle_other: Callable[[ReplicaId, msgspec.Struct], None] | None = None
 
     def _send(self, to: ReplicaId, message: msgspec.Struct) -> None:
         self.context.emit(SendPeer(to=to, address=ADDRESS, message=message))
@@ -100,8 +100,8 @@
             self.host.receive_heartbeat(sender, message)
         elif isinstance(message, HeartbeatReply):
             self.host.receive_heartbeat_reply(sender, message)
-        elif self.others is not None:
-            self.others(sender, message)
+        elif self.handle_other is not None:
+            self.handle_other(sender, message)
 
     def deadline(self) -> float:
         return self.host.next_deadline()
@@ -128,50 +128,50 @@
         self.members: dict[ReplicaId, Member] = {}
         self.dead: set[ReplicaId] = set()
         self.nodes: dict[ReplicaId, HostNode] = {}
-        self.cut: Callable[[ReplicaId, ReplicaId], bool] = lambda sender, to: False
+        self.is_dropped: Callable[[ReplicaId, ReplicaId], bool] = lambda sender, to: False
         self.sent: list[tuple[ReplicaId, ReplicaId, msgspec.Struct]] = []
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = 0
         for number in range(nodes):
-            self.start(f"node-{number}", f"zone-{number % zones}")
+            self.start_node(f"node-{number}", f"zone-{number % zones}")
         self.placement: Placement = first_placement(self.all_members(), self.settings)
         for node in self.nodes.values():
-            self.act(node, lambda node=node: node.host.start_groups(self.placement))
+            self.run_at(node, lambda node=node: node.host.start_groups(self.placement))
 
     def all_members(self) -> tuple[Member, ...]:
         return tuple(self.members.values())
 
-    def start(self, name: str, zone: str, start: int = 0) -> HostNode:
+    def start_node(self, name: str, zone: str, start: int = 0) -> HostNode:
         own = member(name, zone, start)
         self.members[own.replica] = own
-        view = View(self.members, self.dead)
+        view = FakePeerView(self.members, self.dead)
         node = self.node_type(own, self.settings, view, seed=len(self.nodes))
         self.nodes[own.replica] = node
         return node
 
-    def kill(self, replica: ReplicaId) -> None:
+    def crash_node(self, replica: ReplicaId) -> None:
         """Crash a node; the others' membership notices after a while."""
         del self.nodes[replica]
-        self.later(DETECTION, lambda: self.declare_dead(replica))
+        self.schedule(DETECTION_SECONDS, lambda: self.declare_dead(replica))
 
     def declare_dead(self, replica: ReplicaId) -> None:
         self.members.pop(replica, None)
         self.dead.add(replica)
         for node in list(self.nodes.values()):
-            self.act(node, node.host.peers_changed)
+            self.run_at(node, node.host.peers_changed)
 
-    def leave(self, node: HostNode) -> None:
+    def begin_drain(self, node: HostNode) -> None:
         """Let a node begin its planned stop."""
         replica = node.context.replica
         leaving = msgspec.structs.replace(self.members[replica], state=MemberState.LEAVING)
         self.members[replica] = leaving
-        self.act(node, node.host.hand_over_all)
+        self.run_at(node, node.host.hand_over_all)
 
-    def later(self, seconds: float, action: Callable[[], None]) -> None:
+    def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         self._sequence += 1
         heapq.heappush(self._queue, (self.now + seconds, self._sequence, action))
 
-    def act(self, node: HostNode, action: Callable[[], None]) -> None:
+    def run_at(self, node: HostNode, action: Callable[[], None]) -> None:
         """Do something at a node and carry its effects out."""
         node.context.now = self.now
         action()
@@ -183,15 +183,15 @@
         if not isinstance(effect, SendPeer):
             return
         self.sent.append((sender, effect.to, effect.message))
-        if not self.cut(sender, effect.to):
+        if not self.is_dropped(sender, effect.to):
             data = encode_peer(sender, effect.to, effect.message)
-            self.later(LATENCY, lambda: self._deliver(data))
+            self.schedule(LATENCY_SECONDS, lambda: self._deliver(data))
 
     def _deliver(self, data: bytes) -> None:
         frame = decode_peer(data).unwrap()
         node = self.nodes.get(frame.recipient)
         if node is not None:
-            self.act(node, lambda: node.receive(frame.sender, frame.message))
+            self.run_at(node, lambda: node.receive(frame.sender, frame.message))
 
     def run(self, seconds: float) -> None:
         """Let virtual time pass."""
@@ -207,7 +207,7 @@
                 heapq.heappop(self._queue)[2]()
             else:
                 node = self.nodes[due[1]]
-                self.act(node, node.tick)
+                self.run_at(node, node.tick)
         self.now = end
 
     # ------------------------------------------------------------ questions
@@ -223,7 +223,9 @@
         """Propose at the leader; the list gets the outcome."""
         outcomes: list[Outcome] = []
         node = self.leader(shard)
-        self.act(node, lambda: node.host.propose(ShardId(shard), create(run), outcomes.append))
+        self.run_at(
+            node, lambda: node.host.propose(ShardId(shard), create_command(run), outcomes.append)
+        )
         return outcomes
 
     def group_members(self, shard: int) -> set[ReplicaId]:
--- a/tests/unit/shards/routed.py
+++ b/tests/unit/shards/routed.py
@@ -5,7 +5,7 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-from tests.unit.shards.cluster import Cluster, HostNode, View
+from tests.unit.shards.cluster import Cluster, FakePeerView, HostNode
 from yokeline.errors import YokelineError
 from yokeline.identifiers import ReplicaId, RequestId, RunId, ShardId
 from yokeline.membership.view import Member
@@ -24,7 +24,7 @@
 Answer = Result[OperationResult, YokelineError]
 
 
-def start(run: str) -> StartRun:
+def start_operation(run: str) -> StartRun:
     return StartRun(run=RunId(run), spec=RunSpec(tenant="t", program="p"), input="text")
 
 
@@ -81,12 +81,12 @@
 
 
 class RoutedNode(HostNode):
-    def __init__(self, own: Member, settings: Settings, view: View, seed: int) -> None:
+    def __init__(self, own: Member, settings: Settings, view: FakePeerView, seed: int) -> None:
         super().__init__(own, settings, view, seed)
         self.executor = SimpleExecutor(self)
         self.router = ShardRouter(self.context, self.host, self.executor)
         self.server = ShardServer(self.context, self.host, self.executor)
-        self.others = self._receive
+        self.handle_other = self._receive
 
     def _receive(self, sender: ReplicaId, message: msgspec.Struct) -> None:
         if isinstance(message, ShardRequest):
@@ -112,7 +112,7 @@
     node_type = RoutedNode
     nodes: dict[ReplicaId, RoutedNode]  # type: ignore[assignment]
 
-    def ask(
+    def send_request(
         self,
         node: RoutedNode,
         operation: Operation,
@@ -134,7 +134,7 @@
                 )
             )
 
-        self.act(node, send)
+        self.run_at(node, send)
         return requests[0], answers
 
     def routed_leader(self) -> RoutedNode:
--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -42,14 +42,14 @@
         self.assertEqual(stored.entries, entries(11, 13))
         self.assertEqual((stored.replica, stored.last_index, stored.cut_bytes), (NODE, 13, 0))
 
-    def test_torn_tail_is_cut_wherever_it_is_torn(self) -> None:
-        whole = encode_entries(entries(11, 12))
+    def test_torn_tail_is_truncated_at_every_length(self) -> None:
+        full_log = encode_entries(entries(11, 12))
         first = len(encode_entries(entries(11, 11)))
-        for length in range(first, len(whole)):
-            stored = decode_shard(SHARD, SNAPSHOT_DATA, whole[:length]).unwrap()
+        for length in range(first, len(full_log)):
+            stored = decode_shard(SHARD, SNAPSHOT_DATA, full_log[:length]).unwrap()
             self.assertEqual(stored.entries, entries(11, 11))
             self.assertEqual(stored.cut_bytes, length - first)
-        padded = decode_shard(SHARD, SNAPSHOT_DATA, whole + bytes(64)).unwrap()
+        padded = decode_shard(SHARD, SNAPSHOT_DATA, full_log + bytes(64)).unwrap()
         self.assertEqual(padded.entries, entries(11, 12))
 
     def test_every_damaged_byte_is_refused_with_a_remedy(self) -> None:
@@ -62,7 +62,7 @@
             damaged = SNAPSHOT_DATA[:position] + flipped + SNAPSHOT_DATA[position + 1 :]
             self.assert_refused(damaged, log, snapshot_file(SHARD))
 
-    def test_gap_and_foreign_or_cut_snapshot_are_refused(self) -> None:
+    def test_log_gap_and_foreign_or_truncated_snapshot_are_refused(self) -> None:
         self.assert_refused(SNAPSHOT_DATA, encode_entries(entries(12, 13)), log_file(SHARD))
         self.assert_refused(SNAPSHOT_DATA[:-1], b"", snapshot_file(SHARD))
         other = encode_snapshot(ShardId(4), NODE, SNAPSHOT)
@@ -134,8 +134,8 @@
         cluster.run(6.0)
         crashed = next(node for node in cluster.nodes.values() if not node.host.led_shards())
         assert isinstance(crashed, DiskNode)
-        cluster.kill(crashed.context.replica)
-        restarted = cluster.start(crashed.context.name, crashed.context.zone, start=1)
+        cluster.crash_node(crashed.context.replica)
+        restarted = cluster.start_node(crashed.context.name, crashed.context.zone, start=1)
         assert isinstance(restarted, DiskNode)
         restarted.files.update(crashed.files)
         cluster.run(2.0)
@@ -153,7 +153,7 @@
         node = cluster.leader(0)
         assert isinstance(node, DiskNode)
         self.assertEqual(len(node.files), 2)
-        cluster.leave(node)
+        cluster.begin_drain(node)
         cluster.run(12.0 + LOG_RETENTION_SECONDS)
         self.assertEqual(node.files, {})
 
--- a/tests/unit/shards/test_deadlines.py
+++ b/tests/unit/shards/test_deadlines.py
@@ -8,7 +8,7 @@
 
 
 class DeadlineQueueTest(unittest.TestCase):
-    def test_the_last_deadline_of_each_key_counts_once(self) -> None:
+    def test_only_the_latest_deadline_of_each_key_is_due(self) -> None:
         queue: DeadlineQueue[str] = DeadlineQueue()
         for key, deadline in (("b", 1.0), ("a", 1.0), ("c", 2.0), ("c", 0.5), ("d", 0.2)):
             queue.set(key, deadline)
@@ -17,7 +17,7 @@
         self.assertEqual(["c", "a", "b"], queue.take_due(1.0))
         self.assertEqual(([], None), (queue.take_due(5.0), queue.next()))
 
-    def test_deadlines_that_are_moved_or_removed_do_not_pile_up(self) -> None:
+    def test_moved_and_removed_deadlines_do_not_accumulate(self) -> None:
         queue: DeadlineQueue[int] = DeadlineQueue()
         queue.set(0, 900.0)
         for key in range(1, 10 * COMPACTION_MINIMUM):
--- a/tests/unit/shards/test_host.py
+++ b/tests/unit/shards/test_host.py
@@ -9,10 +9,10 @@
 from yokeline.identifiers import ShardId
 from yokeline.shards.status import ShardState
 
-FAILOVER = 12.0
+FAILOVER_SECONDS = 12.0
 """Virtual seconds for detection, election, replacement and balance."""
 
-REPAIR = 7.5
+REPAIR_SECONDS = 7.5
 """Virtual seconds for detection, the patience before replacement, and the replacement."""
 
 
@@ -32,7 +32,7 @@
             for node in cluster.nodes.values():
                 self.assertEqual(cluster.runs_at(node, shard), {f"run-{shard}"})
 
-    def test_idle_leader_is_shown_as_leading_all_the_time(self) -> None:
+    def test_idle_leader_always_reports_leading(self) -> None:
         cluster = Cluster()
         cluster.run(8.0)
         for _ in range(10):
@@ -54,8 +54,8 @@
             cluster.propose(shard, f"run-{shard}")
         cluster.run(1.0)
         crashed = cluster.leaders(0)[0]
-        cluster.kill(crashed)
-        cluster.run(FAILOVER)
+        cluster.crash_node(crashed)
+        cluster.run(FAILOVER_SECONDS)
         for shard in range(4):
             members = cluster.group_members(shard)
             self.assertEqual(len(members), 5)
@@ -71,8 +71,8 @@
             cluster = Cluster(nodes=6)
             cluster.run(idle)
             crashed = sorted(cluster.nodes)[0]
-            cluster.kill(crashed)
-            cluster.run(REPAIR)
+            cluster.crash_node(crashed)
+            cluster.run(REPAIR_SECONDS)
             for shard in range(4):
                 self.assertEqual(len(cluster.group_members(shard) - {crashed}), 5)
 
@@ -88,12 +88,12 @@
         cluster.run(1.0)
         crashed = sorted(cluster.nodes)[:2]
         for replica in crashed:
-            cluster.kill(replica)
-        cluster.run(FAILOVER)
+            cluster.crash_node(replica)
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(len(cluster.group_members(0)), 3)
         for number, replica in enumerate(crashed):
-            cluster.start(replica.partition("~")[0], f"zone-{number}", start=1)
-        cluster.run(FAILOVER)
+            cluster.start_node(replica.partition("~")[0], f"zone-{number}", start=1)
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(cluster.group_members(0), set(cluster.nodes))
         for node in cluster.nodes.values():
             self.assertEqual(cluster.runs_at(node, 0), {"run-0"})
@@ -103,42 +103,42 @@
         cluster.run(5.0)
         node = cluster.leader(0)
         replica = node.context.replica
-        cluster.leave(node)
+        cluster.begin_drain(node)
         cluster.run(1.0)
         self.assertEqual(node.host.led_shards(), [])
-        cluster.run(FAILOVER)
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(node.host.replicas_left(), 0)
         for shard in range(4):
             self.assertEqual(cluster.group_members(shard), set(cluster.nodes) - {replica})
 
-    def test_guarded_shard_is_handed_over_once_the_guard_lets_go(self) -> None:
+    def test_blocked_leadership_transfer_happens_once_unblocked(self) -> None:
         cluster = Cluster(nodes=6)
         cluster.run(5.0)
         node = cluster.leader(0)
-        guarded = {ShardId(0)}
-        node.host.set_hand_over_guard(lambda shard: shard in guarded)
-        cluster.leave(node)
+        blocked = {ShardId(0)}
+        node.host.set_hand_over_guard(lambda shard: shard in blocked)
+        cluster.begin_drain(node)
         cluster.run(3.0)
         self.assertEqual(node.host.led_shards(), [ShardId(0)])
-        guarded.clear()
-        cluster.run(FAILOVER)
+        blocked.clear()
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(node.host.replicas_left(), 0)
 
     def test_planned_stop_without_spare_node_shrinks_the_groups(self) -> None:
         cluster = Cluster(nodes=3, replicas=3)
         cluster.run(5.0)
         node = cluster.leader(0)
-        cluster.leave(node)
-        cluster.run(FAILOVER)
+        cluster.begin_drain(node)
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(node.host.replicas_left(), 0)
         self.assertEqual(len(cluster.group_members(0)), 2)
 
-    def test_lost_majority_stays_unavailable_and_says_so(self) -> None:
+    def test_lost_majority_is_reported_and_stays_unavailable(self) -> None:
         cluster = Cluster()
         cluster.run(5.0)
         for replica in sorted(cluster.nodes)[:3]:
-            cluster.kill(replica)
-        cluster.run(FAILOVER)
+            cluster.crash_node(replica)
+        cluster.run(FAILOVER_SECONDS)
         for node in cluster.nodes.values():
             states = {status.state for status in node.host.status()}
             self.assertEqual(states, {ShardState.MAJORITY_LOST})
@@ -149,14 +149,14 @@
         cluster.run(5.0)
         node = cluster.leader(0)
         own = node.context.replica
-        cluster.cut = lambda sender, to: own in (sender, to)
+        cluster.is_dropped = lambda sender, to: own in (sender, to)
         outcomes = cluster.propose(0, "run-0")
         cluster.run(5.0)
         self.assertFalse(node.host.may_send(ShardId(0)))
         self.assertEqual(len(outcomes), 1)
         self.assertIs(outcomes[0].failure().execution, Execution.UNKNOWN)
         refused: list[Outcome] = []
-        cluster.act(node, lambda: node.host.propose(ShardId(0), None, refused.append))
+        cluster.run_at(node, lambda: node.host.propose(ShardId(0), None, refused.append))
         self.assertIs(refused[0].failure().execution, Execution.NOT_RUN)
 
     def test_leadership_spreads_over_the_nodes(self) -> None:
@@ -175,9 +175,9 @@
         status = cluster.leader(0).host.status()[0]
         self.assertLess(status.log_entries, 40)
         crashed = next(replica for replica in cluster.nodes if replica not in cluster.leaders(0))
-        cluster.kill(crashed)
-        restarted = cluster.start(crashed.partition("~")[0], "zone-0", start=1)
-        cluster.run(FAILOVER)
+        cluster.crash_node(crashed)
+        restarted = cluster.start_node(crashed.partition("~")[0], "zone-0", start=1)
+        cluster.run(FAILOVER_SECONDS)
         self.assertEqual(len(cluster.runs_at(restarted, 0)), 60)
 
     def test_read_is_served_by_the_leader_only(self) -> None:
@@ -187,15 +187,15 @@
         answers = []
         leader = cluster.leader(0)
         follower = next(node for node in cluster.nodes.values() if node is not leader)
-        cluster.act(leader, lambda: leader.host.read(ShardId(0), answers.append))
-        cluster.act(follower, lambda: follower.host.read(ShardId(0), answers.append))
+        cluster.run_at(leader, lambda: leader.host.read(ShardId(0), answers.append))
+        cluster.run_at(follower, lambda: follower.host.read(ShardId(0), answers.append))
         cluster.run(1.0)
         self.assertIsNot(answers[0], None)
         failed, served = answers
         self.assertIs(failed.failure().execution, Execution.NOT_RUN)
         self.assertEqual(set(served.unwrap().runs), {"run-0"})
 
-    def test_quiet_cluster_sends_two_messages_per_pair_and_period(self) -> None:
+    def test_idle_cluster_sends_two_messages_per_pair_and_period(self) -> None:
         cluster = Cluster(nodes=5, shards=8)
         cluster.run(30.0)
         cluster.sent.clear()
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -5,7 +5,7 @@
 import unittest
 from typing import cast
 
-from tests.unit.shards.cluster import Cluster, HostNode, create
+from tests.unit.shards.cluster import Cluster, HostNode, create_command
 from tests.unit.shards.test_copy_files import SHARD, DiskCluster, DiskNode
 from yokeline.consensus.messages import AppendEntries, EntryKind, LogEntry
 from yokeline.consensus.types import Snapshot
@@ -22,8 +22,8 @@
 from yokeline.shards.status import ShardState
 
 OWN = ReplicaId("node~1")
-ZERO = ShardId(0)
-SETTLED = 14.0
+SHARD_0 = ShardId(0)
+SETTLE_SECONDS = 14.0
 
 
 def files_of(shard: ShardId, *entries: LogEntry) -> dict[str, bytes]:
@@ -35,7 +35,7 @@
 
 
 def command(index: int) -> LogEntry:
-    return LogEntry(index, 3, EntryKind.COMMAND, encode_command(create(f"run-{index}")))
+    return LogEntry(index, 3, EntryKind.COMMAND, encode_command(create_command(f"run-{index}")))
 
 
 class FileCluster(DiskCluster):
@@ -47,8 +47,8 @@
         super()._carry_out(sender, effect)
 
 
-class ReadTest(unittest.TestCase):
-    def test_copies_tell_what_is_in_them(self) -> None:
+class ReadCopiesTest(unittest.TestCase):
+    def test_copy_reports_its_position_runs_and_latest_change(self) -> None:
         files = files_of(SHARD, command(5), command(6))
         copy = read_copies({**files, "set-aside/3-x.log": b"?", "notes": b"?"}).usable[SHARD]
         self.assertEqual((copy.position, copy.runs, copy.active), ((3, 6), 2, 2))
@@ -73,27 +73,27 @@
                 self.assertIn("the", damaged.error.remedy)
 
 
-class TermTest(unittest.TestCase):
-    def test_a_recovery_is_above_every_term_of_lineages_before(self) -> None:
+class RecoveryTermTest(unittest.TestCase):
+    def test_recovery_term_exceeds_every_earlier_term(self) -> None:
         self.assertEqual(recovery_term([]), TERMS_PER_LINEAGE)
-        later = recovery_term([3, TERMS_PER_LINEAGE + 7, 0])
-        self.assertEqual(later, 2 * TERMS_PER_LINEAGE)
-        self.assertEqual(lineage_of(later), 2)
+        later_term = recovery_term([3, TERMS_PER_LINEAGE + 7, 0])
+        self.assertEqual(later_term, 2 * TERMS_PER_LINEAGE)
+        self.assertEqual(lineage_of(later_term), 2)
 
 
 class RecoveryTest(unittest.TestCase):
     def recover(self, cluster: Cluster, node: HostNode, seen: int) -> None:
-        stored = node.host.copy_of(ZERO)
+        stored = node.host.copy_of(SHARD_0)
         assert stored is not None
-        order = RecoverShard(
+        recover_command = RecoverShard(
             copy_of=stored.replica,
             last_index=stored.last_index,
             wall=2.0,
             keyed_until_wall=2.0,
             unkeyed_until_wall=2.0,
         )
-        log = recovery_log(stored, node.context.replica, recovery_term([seen]), order)
-        cluster.act(node, lambda: node.host.recover(ZERO, log))
+        log = recovery_log(stored, node.context.replica, recovery_term([seen]), recover_command)
+        cluster.run_at(node, lambda: node.host.recover(SHARD_0, log))
 
     def lost_cluster(self, cluster: Cluster) -> list[HostNode]:
         """Commit a run, kill the leader and two others, and return the two that are left."""
@@ -103,30 +103,30 @@
         leader = cluster.leaders(0)[0]
         others = sorted(set(cluster.nodes) - {leader})
         for replica in [leader, *others[:2]]:
-            cluster.kill(replica)
-        cluster.run(SETTLED)
+            cluster.crash_node(replica)
+        cluster.run(SETTLE_SECONDS)
         return [cluster.nodes[replica] for replica in others[2:]]
 
-    def test_survivors_memory_is_a_copy(self) -> None:
+    def test_group_is_recovered_from_a_surviving_members_memory(self) -> None:
         cluster = Cluster(shards=1)
         left, right = self.lost_cluster(cluster)
         for node in (left, right):
             self.assertEqual(node.host.status()[0].state, ShardState.MAJORITY_LOST)
-            self.assertTrue(node.host.majority_lost(ZERO))
+            self.assertTrue(node.host.majority_lost(SHARD_0))
         self.assertEqual(cluster.leaders(0), [])
-        self.recover(cluster, left, left.host.term(ZERO))
-        cluster.run(SETTLED)
+        self.recover(cluster, left, left.host.term(SHARD_0))
+        cluster.run(SETTLE_SECONDS)
         self.assertEqual(cluster.leader(0), left)
-        self.assertFalse(right.host.majority_lost(ZERO))
+        self.assertFalse(right.host.majority_lost(SHARD_0))
         self.assertEqual(cluster.group_members(0), {n.context.replica for n in (left, right)})
-        self.assertEqual(lineage_of(right.host.term(ZERO)), 1)
+        self.assertEqual(lineage_of(right.host.term(SHARD_0)), 1)
         outcomes = cluster.propose(0, "run-2")
         cluster.run(6.0)
         self.assertTrue(outcomes[0].unwrap().accepted)
         for node in (left, right):
             self.assertEqual(cluster.runs_at(node, 0), {"run-1", "run-2"})
 
-    def test_a_majority_that_was_only_cut_off_gives_way(self) -> None:
+    def test_partitioned_majority_yields_to_the_recovered_group(self) -> None:
         """The old group serves on its side of the cut, and never after it."""
         cluster = Cluster(shards=1)
         cluster.run(5.0)
@@ -135,27 +135,29 @@
         leader = cluster.leaders(0)[0]
         members = sorted(set(cluster.nodes) - {leader})
         minority = set(members[2:])
-        cluster.cut = lambda sender, to: (sender in minority) != (to in minority)
+        cluster.is_dropped = lambda sender, to: (sender in minority) != (to in minority)
         node = cluster.nodes[members[2]]
         cluster.run(3.0)
         node.view.dead = set(cluster.nodes) - minority
-        self.assertTrue(node.host.majority_lost(ZERO))
-        self.recover(cluster, node, node.host.term(ZERO))
+        self.assertTrue(node.host.majority_lost(SHARD_0))
+        self.recover(cluster, node, node.host.term(SHARD_0))
         old = cluster.nodes[leader]
-        cluster.act(old, lambda: old.host.propose(ZERO, create("old-side"), lambda _: None))
+        cluster.run_at(
+            old, lambda: old.host.propose(SHARD_0, create_command("old-side"), lambda _: None)
+        )
         cluster.run(2.0)
         self.assertIn("old-side", cluster.runs_at(old, 0))
         node.view.dead = cluster.dead
-        cluster.cut = lambda sender, to: False
-        cluster.run(SETTLED)
-        self.assertEqual(cluster.leader(0).host.term(ZERO) // TERMS_PER_LINEAGE, 1)
-        self.assertFalse(old.host.may_send(ZERO) and old.host.term(ZERO) < TERMS_PER_LINEAGE)
-        cluster.run(SETTLED)
+        cluster.is_dropped = lambda sender, to: False
+        cluster.run(SETTLE_SECONDS)
+        self.assertEqual(cluster.leader(0).host.term(SHARD_0) // TERMS_PER_LINEAGE, 1)
+        self.assertFalse(old.host.may_send(SHARD_0) and old.host.term(SHARD_0) < TERMS_PER_LINEAGE)
+        cluster.run(SETTLE_SECONDS)
         for member in cluster.group_members(0):
             self.assertEqual(cluster.runs_at(cluster.nodes[member], 0), {"run-1"})
         self.assertEqual(len(cluster.group_members(0)), 5)
 
-    def test_news_of_a_recovery_ends_the_old_group_at_each_node_that_hears_it(self) -> None:
+    def test_update_of_a_higher_lineage_ends_the_old_group_at_each_node(self) -> None:
         """Whether it leads, follows, or would be drawn in by an old leader's message."""
         cluster = Cluster(nodes=6, shards=1)
         cluster.run(5.0)
@@ -166,44 +168,44 @@
         follower = cluster.nodes[next(m for m in members if m != leader.context.replica)]
         (spare,) = [node for replica, node in cluster.nodes.items() if replica not in members]
         other = ReplicaId("other~1")
-        update = ShardLeader(ZERO, TERMS_PER_LINEAGE + 1, other, (other, members[0]), 1)
+        update = ShardLeader(SHARD_0, TERMS_PER_LINEAGE + 1, other, (other, members[0]), 1)
         heartbeat = Heartbeat(sequence=1, leaders=(update,))
         sender = leader.context.replica
-        stale = RaftBatch((GroupMessage(ZERO, self.append_of(leader)),))
+        stale = RaftBatch((GroupMessage(SHARD_0, self.append_of(leader)),))
         for node in (leader, follower, spare):
-            cluster.act(node, lambda node=node: node.host.receive_heartbeat(other, heartbeat))
-            self.assertIsNone(node.host.machine(ZERO))
-            self.assertFalse(node.host.may_send(ZERO))
-            cluster.act(node, lambda node=node: node.host.receive_batch(sender, stale))
-            self.assertIsNone(node.host.machine(ZERO))
-        self.assertEqual(leader.listener.events[-1], ("lost", ZERO))
+            cluster.run_at(node, lambda node=node: node.host.receive_heartbeat(other, heartbeat))
+            self.assertIsNone(node.host.machine(SHARD_0))
+            self.assertFalse(node.host.may_send(SHARD_0))
+            cluster.run_at(node, lambda node=node: node.host.receive_batch(sender, stale))
+            self.assertIsNone(node.host.machine(SHARD_0))
+        self.assertEqual(leader.listener.events[-1], ("lost", SHARD_0))
 
     def append_of(self, leader: HostNode) -> AppendEntries:
         replica = leader.context.replica
-        return AppendEntries(leader.host.term(ZERO), replica, 0, 0, 0, 1, (command(1),))
+        return AppendEntries(leader.host.term(SHARD_0), replica, 0, 0, 0, 1, (command(1),))
 
     def test_obsolete_copies_are_set_aside_and_never_overwritten(self) -> None:
         cluster = FileCluster(shards=1)
         left, right = cast(list[DiskNode], self.lost_cluster(cluster))
         files = dict(right.files)
-        self.recover(cluster, left, left.host.term(ZERO))
-        cluster.run(SETTLED)
-        self.assertNotEqual(right.files[snapshot_file(ZERO)], files[snapshot_file(ZERO)])
+        self.recover(cluster, left, left.host.term(SHARD_0))
+        cluster.run(SETTLE_SECONDS)
+        self.assertNotEqual(right.files[snapshot_file(SHARD_0)], files[snapshot_file(SHARD_0)])
         kept = [name for name in right.files if name.startswith("set-aside/0-")]
         self.assertEqual(len(kept), 2)
-        copy = read_copies(right.files).usable[ZERO]
+        copy = read_copies(right.files).usable[SHARD_0]
         self.assertEqual(lineage_of(copy.stored.last_term), 1)
 
     def test_damaged_files_are_set_aside_byte_for_byte(self) -> None:
         cluster = DiskCluster(shards=1)
         cluster.run(5.0)
         crashed = next(node for node in cluster.nodes.values() if not node.host.led_shards())
-        cluster.kill(crashed.context.replica)
-        restarted = cast(DiskNode, cluster.start(crashed.context.name, "zone-1", start=1))
-        files = {snapshot_file(ZERO): b"damaged", log_file(ZERO): b"log"}
+        cluster.crash_node(crashed.context.replica)
+        restarted = cast(DiskNode, cluster.start_node(crashed.context.name, "zone-1", start=1))
+        files = {snapshot_file(SHARD_0): b"damaged", log_file(SHARD_0): b"log"}
         restarted.files.update(files)
         restarted.host.copies.damaged.update(read_copies(files).damaged)
-        cluster.run(SETTLED)
+        cluster.run(SETTLE_SECONDS)
         kept = {data for name, data in restarted.files.items() if "damaged" in name}
         self.assertEqual(kept, set(files.values()))
         self.assertEqual(restarted.host.copies.damaged, {})
--- a/tests/unit/shards/test_router.py
+++ b/tests/unit/shards/test_router.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from tests.unit.shards.cluster import create
-from tests.unit.shards.routed import SHARD, Answer, RoutedCluster, start
+from tests.unit.shards.cluster import create_command
+from tests.unit.shards.routed import SHARD, Answer, RoutedCluster, start_operation
 from yokeline.errors import ErrorKind, Execution, YokelineError
 from yokeline.identifiers import RunId
 from yokeline.messages.types import RaftBatch, ShardReply, ShardRequest
@@ -25,130 +25,134 @@
         assert isinstance(result, RunResult)
         self.assertEqual(result.run.run, run)
 
-    def test_leader_serves_itself_and_others_ask_it(self) -> None:
+    def test_leader_serves_local_and_remote_requests(self) -> None:
         for node in list(self.cluster.nodes.values()):
             run = f"run-{node.context.name}"
-            _, answers = self.cluster.ask(node, start(run))
+            _, answers = self.cluster.send_request(node, start_operation(run))
             self.cluster.run(1.0)
             self.assert_started(answers, run)
         self.assertEqual(len(self.cluster.routed_leader().executor.served), 5)
 
     def test_request_survives_the_leaders_crash(self) -> None:
-        asker = self.cluster.follower()
+        requester = self.cluster.follower()
         leader = self.cluster.routed_leader()
         leader.executor.silent = True
-        _, answers = self.cluster.ask(asker, start("run-1"))
+        _, answers = self.cluster.send_request(requester, start_operation("run-1"))
         self.cluster.run(0.1)
         self.assertEqual(answers, [])
-        self.cluster.kill(leader.context.replica)
+        self.cluster.crash_node(leader.context.replica)
         self.cluster.run(8.0)
         self.assert_started(answers, "run-1")
 
-    def test_committed_start_whose_answer_was_lost_is_found_again(self) -> None:
-        asker = self.cluster.follower()
+    def test_lost_reply_is_sent_again_without_serving_twice(self) -> None:
+        requester = self.cluster.follower()
         leader = self.cluster.routed_leader()
-        _, answers = self.cluster.ask(asker, start("run-1"))
-        own, other = leader.context.replica, asker.context.replica
-        self.cluster.cut = lambda sender, to: (sender, to) == (own, other)
+        _, answers = self.cluster.send_request(requester, start_operation("run-1"))
+        own, other = leader.context.replica, requester.context.replica
+        self.cluster.is_dropped = lambda sender, to: (sender, to) == (own, other)
         self.cluster.run(0.5)
         self.assertEqual(answers, [])
-        self.cluster.cut = lambda sender, to: False
+        self.cluster.is_dropped = lambda sender, to: False
         self.cluster.run(2.0)
         self.assert_started(answers, "run-1")
         self.assertEqual(len(leader.executor.served), 1, "the same id is served once")
 
     def test_late_replies_are_dropped_and_counted(self) -> None:
-        asker = self.cluster.follower()
-        request, answers = self.cluster.ask(asker, start("run-1"))
+        requester = self.cluster.follower()
+        request, answers = self.cluster.send_request(requester, start_operation("run-1"))
         self.cluster.run(1.0)
         leader = self.cluster.routed_leader().context.replica
         reply = ShardReply(request=request, not_leader=True)
-        self.cluster.act(asker, lambda: asker.router.receive_reply(leader, reply))
+        self.cluster.run_at(requester, lambda: requester.router.receive_reply(leader, reply))
         self.assertEqual(len(answers), 1)
-        self.assertEqual(asker.context.counters["yokeline_late_replies_total"], 1)
+        self.assertEqual(requester.context.counters["yokeline_late_replies_total"], 1)
 
     def test_cancelled_request_is_not_answered_and_stops_at_the_leader(self) -> None:
-        asker = self.cluster.follower()
+        requester = self.cluster.follower()
         leader = self.cluster.routed_leader()
-        request, answers = self.cluster.ask(asker, WATCH)
+        request, answers = self.cluster.send_request(requester, WATCH)
         self.cluster.run(0.1)
-        self.cluster.act(asker, lambda: asker.router.cancel(request))
+        self.cluster.run_at(requester, lambda: requester.router.cancel(request))
         self.cluster.run(0.1)
         self.assertEqual(leader.executor.abandoned, ["1"])
-        self.assertEqual((asker.router.pending_requests(), leader.server.active_requests()), (0, 0))
+        self.assertEqual(
+            (requester.router.pending_requests(), leader.server.active_requests()), (0, 0)
+        )
         self.assertEqual(answers, [])
 
-    def test_unserved_request_is_surely_not_run(self) -> None:
+    def test_request_that_reached_no_leader_fails_as_not_run(self) -> None:
         cluster = RoutedCluster(nodes=6, shards=1)
         cluster.run(5.0)
-        asker = next(node for node in cluster.nodes.values() if not node.host.status())
+        requester = next(node for node in cluster.nodes.values() if not node.host.status())
         for replica in cluster.group_members(0):
-            cluster.kill(replica)
+            cluster.crash_node(replica)
         cluster.run(5.0)
-        _, answers = cluster.ask(asker, start("run-1"), deadline=2.0)
+        _, answers = cluster.send_request(requester, start_operation("run-1"), deadline=2.0)
         cluster.run(3.0)
         self.assertIs(answers[0].failure().execution, Execution.NOT_RUN)
         self.assertIs(answers[0].failure().kind, ErrorKind.UNAVAILABLE)
 
-    def test_unanswered_request_is_of_unknown_outcome(self) -> None:
-        asker = self.cluster.follower()
-        own = asker.context.replica
-        _, answers = self.cluster.ask(asker, start("run-1"), deadline=2.0)
-        self.cluster.cut = lambda sender, to: to == own
+    def test_unanswered_request_fails_with_unknown_outcome(self) -> None:
+        requester = self.cluster.follower()
+        own = requester.context.replica
+        _, answers = self.cluster.send_request(requester, start_operation("run-1"), deadline=2.0)
+        self.cluster.is_dropped = lambda sender, to: to == own
         self.cluster.run(3.0)
         self.assertIs(answers[0].failure().execution, Execution.UNKNOWN)
         self.assertIs(answers[0].failure().kind, ErrorKind.OUTCOME_UNKNOWN)
 
-    def test_leader_cut_off_before_commit_is_resolved_by_the_next_leader(self) -> None:
+    def test_next_leader_resolves_a_request_of_a_partitioned_leader(self) -> None:
         leader = self.cluster.routed_leader()
         own = leader.context.replica
-        raft_only = self.cluster.cut
-        self.cluster.cut = lambda sender, to: own in (sender, to) or raft_only(sender, to)
-        _, answers = self.cluster.ask(leader, start("run-1"))
+        previous = self.cluster.is_dropped
+        self.cluster.is_dropped = lambda sender, to: own in (sender, to) or previous(sender, to)
+        _, answers = self.cluster.send_request(leader, start_operation("run-1"))
         self.cluster.run(4.0)
         self.assertEqual(answers, [], "the outcome is unknown at the cut-off leader")
-        self.cluster.cut = lambda sender, to: False
+        self.cluster.is_dropped = lambda sender, to: False
         self.cluster.run(4.0)
         self.assert_started(answers, "run-1")
         for node in self.cluster.nodes.values():
             self.assertEqual(self.cluster.runs_at(node, 0), {"run-1"})
 
-    def test_events_continue_at_the_next_leader_where_they_ended(self) -> None:
-        asker = self.cluster.follower()
+    def test_watch_resumes_at_the_next_leader_after_the_last_event(self) -> None:
+        requester = self.cluster.follower()
         leader = self.cluster.routed_leader()
         events: list[RunEvent] = []
-        self.cluster.ask(asker, WATCH, events=events)
+        self.cluster.send_request(requester, WATCH, events=events)
         self.cluster.run(0.1)
-        self.cluster.act(leader, lambda: leader.executor.push((5, "Hello")))
+        self.cluster.run_at(leader, lambda: leader.executor.push((5, "Hello")))
         self.cluster.run(0.1)
-        self.cluster.kill(leader.context.replica)
+        self.cluster.crash_node(leader.context.replica)
         self.cluster.run(8.0)
         following = self.cluster.routed_leader()
         (resumed,) = following.executor.served
         assert isinstance(resumed, WatchRun)
         self.assertEqual((resumed.after_call, resumed.after_offset), (1, 5))
-        self.cluster.act(following, lambda: following.executor.push((8, "lo wo"), (11, "rld")))
+        self.cluster.run_at(following, lambda: following.executor.push((8, "lo wo"), (11, "rld")))
         self.cluster.run(0.1)
         texts = [event.text for event in events if isinstance(event, TextEvent)]
         self.assertEqual("".join(texts), "Hello world")
 
     def test_gap_in_the_events_restarts_the_watch(self) -> None:
-        asker = self.cluster.follower()
+        requester = self.cluster.follower()
         leader = self.cluster.routed_leader()
         events: list[RunEvent] = []
-        self.cluster.ask(asker, WATCH, events=events)
+        self.cluster.send_request(requester, WATCH, events=events)
         self.cluster.run(0.1)
-        self.cluster.cut = lambda sender, to: to == asker.context.replica
-        self.cluster.act(leader, lambda: leader.executor.push((5, "Hello")))
-        self.cluster.cut = lambda sender, to: False
-        self.cluster.act(leader, lambda: leader.executor.push((11, " world")))
+        self.cluster.is_dropped = lambda sender, to: to == requester.context.replica
+        self.cluster.run_at(leader, lambda: leader.executor.push((5, "Hello")))
+        self.cluster.is_dropped = lambda sender, to: False
+        self.cluster.run_at(leader, lambda: leader.executor.push((11, " world")))
         self.cluster.run(0.1)
         self.assertEqual(events, [], "text after a gap is held back")
         self.assertEqual(leader.executor.served, [WATCH, WATCH])
         self.assertEqual(leader.executor.abandoned, ["1"])
 
-    def test_first_refusal_after_an_unanswered_copy_is_not_called_not_run(self) -> None:
-        pending = PendingRequest("r/1", SHARD, start("run-1"), 1.0, lambda result: None, None)
+    def test_error_is_not_reported_as_not_run_while_an_attempt_is_unanswered(self) -> None:
+        pending = PendingRequest(
+            "r/1", SHARD, start_operation("run-1"), 1.0, lambda result: None, None
+        )
         overloaded = YokelineError(kind=ErrorKind.OVERLOADED, message="m", remedy="r")
         pending.note_sent("a")
         pending.note_sent("b")
@@ -166,7 +170,7 @@
         leader = cluster.leaders(0)[0]
         request = ShardRequest(request="x/1", shard=SHARD, operation=b"", deadline=1.0)
         cluster.sent.clear()
-        cluster.act(follower, lambda: follower.server.receive_request(leader, request))
+        cluster.run_at(follower, lambda: follower.server.receive_request(leader, request))
         (reply,) = [item for _, _, item in cluster.sent if isinstance(item, ShardReply)]
         self.assertTrue(reply.not_leader)
         self.assertEqual(reply.leader.leader, leader)
@@ -178,11 +182,11 @@
         sender = cluster.follower().context.replica
         request = ShardRequest(request="x/1", shard=SHARD, operation=b"\xc1", deadline=1.0)
         cluster.sent.clear()
-        cluster.act(leader, lambda: leader.server.receive_request(sender, request))
+        cluster.run_at(leader, lambda: leader.server.receive_request(sender, request))
         replies = [item for _, _, item in cluster.sent if isinstance(item, ShardReply)]
         self.assertIs(replies[0].error.kind, ErrorKind.BAD_REQUEST)
 
-    def test_messages_of_one_event_to_one_node_travel_together(self) -> None:
+    def test_raft_messages_of_one_event_are_batched_by_receiver(self) -> None:
         cluster = RoutedCluster(shards=1)
         cluster.run(5.0)
         leader = cluster.routed_leader()
@@ -190,9 +194,9 @@
 
         def propose_twice() -> None:
             for run in ("run-1", "run-2"):
-                leader.host.propose(SHARD, create(run), lambda result: None)
+                leader.host.propose(SHARD, create_command(run), lambda result: None)
 
-        cluster.act(leader, propose_twice)
+        cluster.run_at(leader, propose_twice)
         batches = [item for _, _, item in cluster.sent if isinstance(item, RaftBatch)]
         self.assertEqual(len(batches), 4)
 
