--- a/src/yokeline/shards/batches.py
+++ b/src/yokeline/shards/batches.py
@@ -37,17 +37,17 @@
 
 def _split(messages: list[GroupMessage]) -> list[RaftBatch]:
     batches: list[RaftBatch] = []
-    batch: list[GroupMessage] = []
+    grouped: list[GroupMessage] = []
     size = 0
     for item in messages:
-        batch.append(item)
+        grouped.append(item)
         size += _payload_bytes(item.message)
         if size >= BATCH_BYTES:
-            batches.append(RaftBatch(tuple(batch)))
-            batch = []
+            batches.append(RaftBatch(tuple(grouped)))
+            grouped = []
             size = 0
-    if batch:
-        batches.append(RaftBatch(tuple(batch)))
+    if grouped:
+        batches.append(RaftBatch(tuple(grouped)))
     return batches
 
 
--- a/src/yokeline/shards/neighbours.py
+++ b/src/yokeline/shards/neighbours.py
@@ -22,8 +22,8 @@
         return ()
     position = bisect.bisect(others, own)
     offsets = range(-RING_DISTANCE, RING_DISTANCE)
-    neighbours = {others[(position + offset) % len(others)] for offset in offsets}
-    return tuple(sorted(neighbours))
+    chosen = {others[(position + offset) % len(others)] for offset in offsets}
+    return tuple(sorted(chosen))
 
 
 def heartbeat_peers(
--- a/src/yokeline/shards/recovery.py
+++ b/src/yokeline/shards/recovery.py
@@ -34,11 +34,9 @@
     The command comes before the new leader's own first entry, so that no run goes on before
     it was applied.
     """
-    last_index = copy.last_index
-    recovery_entry = LogEntry(
-        last_index + 1, term, EntryKind.COMMAND, command=encode_command(command)
-    )
-    membership_entry = LogEntry(last_index + 2, term, EntryKind.MEMBERSHIP, members=(own,))
+    last = copy.last_index
+    recovery_entry = LogEntry(last + 1, term, EntryKind.COMMAND, command=encode_command(command))
+    membership_entry = LogEntry(last + 2, term, EntryKind.MEMBERSHIP, members=(own,))
     snapshot = copy.snapshot if copy.snapshot.last_index else None
     return RecoveryLog(
         term=term, snapshot=snapshot, entries=(*copy.entries, recovery_entry, membership_entry)
