--- a/src/yokeline/shards/__init__.py
+++ b/src/yokeline/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Shards: placement, the host of their Raft groups, and requests to their leaders."""
+"""Replicated shards: replica placement, Raft groups, and routing of requests to leaders."""
