--- a/src/yokeline/shards/lineage.py
+++ b/src/yokeline/shards/lineage.py
@@ -1,16 +1,16 @@
-"""Lineages of a shard's group: which log replaces which.
-
-An operator who recovers a shard starts a group anew from a copy of its log. Members of the
-lost group may still exist (paused, or cut off), with entries that the copy lacks, so that the
-two logs must never mix. A recovery therefore jumps the term by :data:`TERMS_PER_LINEAGE`, and
-the quotient of term and step names the lineage: a replica of a lower lineage that hears of a
-higher one, in a message of the group or in news, is obsolete for good, leader or not.
-
-What this cannot prevent: while a lost majority is only *cut off* and goes on by itself, both
-groups serve, each those callers that it reaches, until the cut heals; then the old group's
-entries since the copy are dropped. The recovery asks the key-value service, which both may
-reach, so that there is only one recovery; but the old group does not ask it, since no run
-depends on that service. It is the operator who must know that the missing processes are gone.
+"""Lineages: which log of a shard replaces which after a recovery.
+
+When a shard has lost its majority, an operator can start a new group from a copy of its log.
+Members of the lost group may still exist, paused or partitioned, with entries that the copy
+lacks. A recovery therefore raises the term to a multiple of :data:`TERMS_PER_LINEAGE`; the
+quotient of a term and this number is its lineage. A replica that receives a group message or
+a leader update of a higher lineage is obsolete and leaves its group, whatever its role.
+
+Limitation: while a lost majority is only partitioned and still runs, both groups serve the
+callers that reach them. When the partition heals, the entries that the old group committed
+since the copy are dropped. The key-value service ensures that there is only one recovery, but
+the old group does not depend on it and is not stopped by it. Before a recovery, the operator
+has to make sure that the missing processes have ended.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 
 TERMS_PER_LINEAGE = 1_000_000_000
-"""More elections than a group can have; terms stay below 2**53 for nine million recoveries."""
+"""More than the elections of a group; nine million recoveries keep terms below 2**53."""
 
 
 def lineage_of(term: int) -> int:
@@ -27,10 +27,10 @@
 
 
 def is_obsolete(term: int, newer: int) -> bool:
-    """Return whether a log of ``term`` was replaced by the recovery that led to ``newer``."""
+    """Return whether the lineage of ``term`` is lower than that of ``newer``."""
     return lineage_of(term) < lineage_of(newer)
 
 
 def recovery_term(seen: Iterable[int]) -> int:
-    """Return the first term of a lineage above those of all terms seen."""
+    """Return the first term of the lineage above those of all terms in ``seen``."""
     return (lineage_of(max(seen, default=0)) + 1) * TERMS_PER_LINEAGE
