--- a/src/yokeline/shards/placement.py
+++ b/src/yokeline/shards/placement.py
@@ -1,10 +1,10 @@
-"""Which nodes hold the replicas of each shard: pure functions over zones.
+"""Placement of shard replicas on nodes: pure functions over zones.
 
-A node's rank for a shard is its rendezvous hash (Thaler and Ravishankar, "Using name-based
-mappings to increase hit rates", 1998). Small clusters are filled greedily, so that each node
-gets the same share. Large ones use copysets (Cidon et al., "Copysets: Reducing the Frequency
-of Data Loss in Cloud Storage", 2013): few distinct groups of nodes, so that a node has few
-peers to exchange heartbeats with, and few combinations of crashes lose a majority.
+Nodes are ranked for a shard by rendezvous hashing (Thaler and Ravishankar, "Using name-based
+mappings to increase hit rates", 1998). Small clusters are filled greedily, which gives each
+node an equal share. Large clusters use copysets (Cidon et al., "Copysets: Reducing the
+Frequency of Data Loss in Cloud Storage", 2013): few distinct groups of nodes, so that a node
+exchanges heartbeats with few peers and few combinations of crashes lose a majority.
 """
 
 from __future__ import annotations
@@ -23,37 +23,37 @@
 from yokeline.settings import Settings
 
 GREEDY_MAX_NODES = 25
-"""Clusters of up to so many nodes are placed greedily; a node's peers are few anyway."""
+"""Largest cluster that is placed greedily; a node there has few peers in any case."""
 COPYSET_PERMUTATIONS = 4
-"""Each adds ``replicas - 1`` peers to a node."""
+"""Each permutation adds ``replicas - 1`` peers to a node."""
 MAX_LOAD_RATIO = 1.25
-"""A new member is chosen among nodes that hold at most this times the mean load."""
+"""A new member is chosen among nodes with at most this multiple of the mean load."""
 
 
 class Placement(msgspec.Struct, frozen=True, kw_only=True):
-    """The members of every shard's group.
+    """Members of every shard's group.
 
     Attributes:
-        groups: Member ids; the position is the shard's number.
+        groups: Member ids by shard number.
     """
 
     groups: tuple[tuple[ReplicaId, ...], ...]
 
 
 class CandidateNode(msgspec.Struct, frozen=True, kw_only=True):
-    """A node that may hold replicas, and its zone."""
+    """A node that may hold replicas, with its zone."""
 
     replica: ReplicaId
     zone: str
 
 
 def rank(shard: ShardId, replica: ReplicaId) -> int:
-    """Return the rendezvous rank of a node for a shard; the highest is preferred."""
+    """Return the rendezvous hash of a node for a shard; the highest is preferred."""
     return xxhash.xxh3_64_intdigest(f"{shard}/{replica}".encode())
 
 
 def first_placement(members: Sequence[Member], settings: Settings) -> Placement:
-    """Return the placement of a new deployment over the members that are alive."""
+    """Return the initial placement of a deployment on the members that are alive."""
     nodes = tuple(
         CandidateNode(replica=member.replica, zone=member.zone)
         for member in members
@@ -63,7 +63,7 @@
 
 
 def assign_replicas(nodes: Sequence[CandidateNode], shards: int, replicas: int) -> Placement:
-    """Return groups of ``replicas`` nodes each (fewer nodes: all), spread over zones."""
+    """Return groups of ``replicas`` nodes (or all, if fewer) that are spread over zones."""
     ordered = sorted(nodes, key=lambda node: node.replica)
     size = min(replicas, len(ordered))
     if len(ordered) <= GREEDY_MAX_NODES:
@@ -77,17 +77,17 @@
     candidates: Sequence[CandidateNode],
     loads: Mapping[ReplicaId, int],
 ) -> ReplicaId | None:
-    """Return the best new member of a group, None if there is no candidate.
+    """Return the node to add to a group, None if there is no candidate.
 
-    The zone with the fewest members first; then, among the nodes that do not hold much more
-    than the mean, the highest rank. (Always taking the least loaded node would send all the
-    groups that lost a member at one moment to the same node.)
+    Only candidates in the zones with the fewest members are considered. Among those whose load
+    is at most :data:`MAX_LOAD_RATIO` times the mean, the highest rank wins. (Choosing the least
+    loaded node would send all groups that lost a member at the same time to one node.)
 
     Args:
         shard: The group's shard.
-        zones: Number of staying members by zone.
+        zones: Number of remaining members by zone.
         candidates: Nodes that are alive and not members.
-        loads: Replicas that each node is believed to hold.
+        loads: Number of replicas by node, as far as it is known.
     """
     if not candidates:
         return None
@@ -100,12 +100,12 @@
 
 
 def encode_placement(placement: Placement) -> str:
-    """Return a placement as the JSON text that the key-value service keeps."""
+    """Return a placement as the JSON text that is stored in the key-value service."""
     return msgspec.json.encode(placement).decode()
 
 
 def decode_placement(text: str, settings: Settings) -> Result[Placement, YokelineError]:
-    """Return the placement in ``text`` if it fits the deployment's number of shards."""
+    """Return the placement in ``text`` if its number of shards matches the settings."""
     try:
         placement = msgspec.json.decode(text, type=Placement)
     except msgspec.MsgspecError as error:
@@ -116,7 +116,7 @@
         found = len(placement.groups)
         wanted = settings.cluster.shards
         return Failure(
-            _placement_error(f"the placement has {found} shards, the settings say {wanted}")
+            _placement_error(f"the placement has {found} shards, but cluster.shards is {wanted}")
         )
     return Success(placement)
 
@@ -125,12 +125,12 @@
     return YokelineError(
         kind=ErrorKind.BAD_SETTING,
         message=message,
-        remedy="give all nodes the same cluster.shards and platform.store_prefix",
+        remedy="set the same cluster.shards and platform.store_prefix on all nodes",
     )
 
 
 def _assign_greedily(nodes: Sequence[CandidateNode], shards: int, size: int) -> Placement:
-    """Fill each group with the least loaded nodes, within a bound on members per zone."""
+    """Fill each group with the least loaded nodes, up to a number of members per zone."""
     max_per_zone = _max_members_per_zone(nodes, size)
     loads: Counter[ReplicaId] = Counter()
     groups: list[tuple[ReplicaId, ...]] = []
@@ -173,7 +173,7 @@
 
 
 def _assign_copysets(nodes: Sequence[CandidateNode], shards: int, size: int) -> Placement:
-    """Deal the shards over few groups of nodes, cut from permutations of all nodes."""
+    """Assign the shards in turn to few groups, which are slices of permutations."""
     copysets: list[tuple[ReplicaId, ...]] = []
     for permutation in range(COPYSET_PERMUTATIONS):
         order = _interleave_zones(nodes, permutation)
@@ -183,7 +183,7 @@
 
 
 def _interleave_zones(nodes: Sequence[CandidateNode], permutation: int) -> list[ReplicaId]:
-    """Return all nodes shuffled, so that neighbours are of different zones where possible."""
+    """Return all nodes shuffled, with adjacent nodes in different zones where possible."""
     zones: dict[str, list[CandidateNode]] = {}
     for node in sorted(nodes, key=lambda node: rank(ShardId(permutation), node.replica)):
         zones.setdefault(node.zone, []).append(node)
@@ -196,6 +196,6 @@
 
 
 def _split_into_groups(order: Sequence[ReplicaId], size: int) -> list[tuple[ReplicaId, ...]]:
-    """Cut ``order`` into groups; the last one is filled up from the beginning."""
+    """Split ``order`` into groups of ``size``; nodes from its start complete the last one."""
     padded = [*order, *order[:size]]
     return [tuple(padded[start : start + size]) for start in range(0, len(order), size)]
