--- a/src/yokeline/shards/directory.py
+++ b/src/yokeline/shards/directory.py
@@ -1,4 +1,4 @@
-"""What a node knows of where each shard is led, and which news its peers still need."""
+"""The last known leader of each shard, and the leader updates queued for each peer."""
 
 from __future__ import annotations
 
@@ -9,15 +9,16 @@
 from yokeline.shards.placement import Placement
 
 NEWS_PER_HEARTBEAT = 16
-"""Bound on the leadership news in one heartbeat."""
+"""Maximum number of leader updates in one heartbeat."""
 NO_LEADER = ReplicaId("")
+"""Leader in the entry of a group whose leader is not known."""
 
 
 class LeaderDirectory:
-    """Newest leadership news by shard, and what is still to be told to whom."""
+    """Latest leader update by shard, and the shards whose updates are queued by peer."""
 
     def __init__(self, own: ReplicaId) -> None:
-        """Start without knowledge, at the node ``own``."""
+        """Start without updates at the node ``own``."""
         self._own = own
         self._latest: dict[ShardId, ShardLeader] = {}
         self._pending: dict[ReplicaId, dict[ShardId, None]] = {}
@@ -25,13 +26,13 @@
         self._replicas_held: Counter[ReplicaId] = Counter()
 
     def load_placement(self, placement: Placement) -> None:
-        """Take the first placement as what is known of groups that were not heard of."""
+        """Enter the initial members of every group that no update is known of."""
         for number, members in enumerate(placement.groups):
             shard = ShardId(number)
             self.merge(ShardLeader(shard, 0, NO_LEADER, members))
 
     def merge(self, update: ShardLeader) -> bool:
-        """Take news in; return whether it was newer than what was known."""
+        """Store an update if it is newer than the known one; return whether it was."""
         known = self._latest.get(update.shard)
         if known is not None and (known.term, known.revision) >= (update.term, update.revision):
             return False
@@ -44,7 +45,7 @@
         return True
 
     def leader_of(self, shard: ShardId) -> ShardLeader | None:
-        """Return the newest news of a shard that names a leader."""
+        """Return the latest update of a shard, None if it names no leader."""
         known = self._latest.get(shard)
         return None if known is None or known.leader == NO_LEADER else known
 
@@ -54,30 +55,30 @@
         return () if known is None else known.members
 
     def shards_led_by(self, replica: ReplicaId) -> int:
-        """Return how many shards a node is believed to lead."""
+        """Return how many shards a node leads, by the latest updates."""
         return self._shards_led[replica]
 
     def loads(self) -> dict[ReplicaId, int]:
-        """Return how many replicas each node is believed to hold."""
+        """Return how many replicas each node holds, by the latest updates."""
         return {replica: count for replica, count in self._replicas_held.items() if count > 0}
 
     def all_updates(self) -> tuple[ShardLeader, ...]:
-        """Return the newest news of all shards, by shard."""
+        """Return the latest update of every shard, in ascending order of shards."""
         return tuple(self._latest[shard] for shard in sorted(self._latest))
 
-    # ------------------------------------------------------------ telling peers
+    # ------------------------------------------------------------ updates for peers
 
     def enqueue(self, peer: ReplicaId, shard: ShardId) -> None:
-        """Note that ``peer`` needs the news of a shard."""
+        """Queue the latest update of a shard for ``peer``."""
         if peer != self._own:
             self._pending.setdefault(peer, {})[shard] = None
 
     def peers_with_pending_updates(self) -> tuple[ReplicaId, ...]:
-        """Return the peers that still need news, in a fixed order."""
+        """Return the peers that updates are queued for, in ascending order."""
         return tuple(sorted(peer for peer, shards in self._pending.items() if shards))
 
     def take_updates(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
-        """Remove and return the next news for a peer, at most one heartbeat full."""
+        """Remove and return the next updates for a peer, as many as fit one heartbeat."""
         shards = self._pending.get(peer)
         if not shards:
             return ()
@@ -88,5 +89,5 @@
         return tuple(item for item in updates if item.leader != NO_LEADER)
 
     def forget_peer(self, peer: ReplicaId) -> None:
-        """Drop the news for a peer that is dead."""
+        """Drop the updates queued for a dead peer."""
         self._pending.pop(peer, None)
