--- a/src/yokeline/shards/neighbours.py
+++ b/src/yokeline/shards/neighbours.py
@@ -1,4 +1,4 @@
-"""With which nodes a node exchanges heartbeats: pure functions of what it sees."""
+"""Which nodes a node exchanges heartbeats with: pure functions."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from yokeline.identifiers import ReplicaId
 
 RING_DISTANCE = 1
-"""Neighbours to each side, in the ring of all nodes by id, that news are relayed to."""
+"""Neighbours on each side, in the ring of all nodes by id, that updates are relayed to."""
 
 
 def ring_neighbours(own: ReplicaId, alive: tuple[ReplicaId, ...]) -> tuple[ReplicaId, ...]:
-    """Return the next nodes to both sides in the ring of replica ids.
+    """Return the nearest nodes on both sides in the ring of replica ids.
 
-    The ring connects every node, whatever groups it is in, so that news which are relayed
-    along it reach all.
+    The ring connects all nodes regardless of their groups, so that updates relayed along it
+    reach every node.
     """
     others = sorted(replica for replica in alive if replica != own)
     if not others:
@@ -32,7 +32,7 @@
     neighbours: tuple[ReplicaId, ...],
     alive: tuple[ReplicaId, ...],
 ) -> tuple[ReplicaId, ...]:
-    """Return the nodes that share a group with this one, and its ring neighbours."""
+    """Return the live nodes that share a group with this node, and its ring neighbours."""
     peers = set(neighbours)
     for members in groups:
         peers.update(members)
