--- a/src/yokeline/shards/targets.py
+++ b/src/yokeline/shards/targets.py
@@ -1,4 +1,4 @@
-"""Which node a request is sent to."""
+"""Choice of the node that a request is sent to."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class TargetChooser:
-    """Chooses by what this node believes of the shards' leaders."""
+    """Chooses targets by the leaders and members that this node knows."""
 
     def __init__(self, own: ReplicaId, host: ShardHost) -> None:
-        """Choose for the node ``own``."""
+        """Choose targets for requests of the node ``own``."""
         self._own = own
         self._host = host
 
     def choose(self, pending: PendingRequest) -> ReplicaId | None:
-        """Return the node to ask: the leader, else one that may know it; None to wait."""
+        """Return the leader, else a node that may know the leader; None to wait."""
         if self._host.leads(pending.shard):
             return self._own
         leader = self._host.leader_of(pending.shard)
@@ -30,9 +30,10 @@
         return not self._host.is_dead(replica)
 
     def _fallback_target(self, pending: PendingRequest) -> ReplicaId | None:
-        """Return a member of the group, else any node: its refusal carries a hint.
+        """Return a member of the group, else any live node: its rejection names the leader.
 
-        A node that is a member itself learns of the next leader as soon as the others do.
+        A node that is a member itself waits, since it learns of a new leader as early as the other
+        members do.
         """
         members = self._host.members_of(pending.shard)
         if self._own in members:
