--- a/src/yokeline/shards/deadlines.py
+++ b/src/yokeline/shards/deadlines.py
@@ -1,4 +1,4 @@
-"""A queue of deadlines by key, for components with many timers."""
+"""A priority queue with one deadline per key."""
 
 from __future__ import annotations
 
@@ -6,28 +6,28 @@
 from typing import Generic, TypeVar
 
 COMPACTION_MINIMUM = 256
-"""Entries from which the heap is rebuilt once superseded ones are the majority."""
+"""Heap size up to which superseded entries are not worth a rebuild."""
 
 K = TypeVar("K", bound=int | str)
 
 
 class DeadlineQueue(Generic[K]):
-    """Keeps one deadline per key, in monotonic seconds; equal ones come by key.
+    """One deadline per key, in monotonic seconds; equal deadlines are ordered by key.
 
-    Superseded deadlines are skipped when they come up, or dropped once they are the majority.
+    Superseded entries stay in the heap until they are reached, or until they are the majority
+    and the heap is rebuilt.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
         self._deadlines: dict[K, float] = {}
         self._heap: list[tuple[float, K]] = []
 
     def __len__(self) -> int:
-        """Return how many entries the heap holds, superseded ones that are left included."""
+        """Return the number of heap entries, including superseded ones."""
         return len(self._heap)
 
     def set(self, key: K, deadline: float) -> None:
-        """Set or move the deadline of ``key``."""
+        """Set or replace the deadline of ``key``."""
         if self._deadlines.get(key) == deadline:
             return
         self._deadlines[key] = deadline
@@ -37,7 +37,7 @@
             heapq.heapify(self._heap)
 
     def remove(self, key: K) -> None:
-        """Forget ``key``."""
+        """Remove the deadline of ``key``, if there is one."""
         self._deadlines.pop(key, None)
 
     def next(self) -> float | None:
@@ -47,7 +47,7 @@
         return self._heap[0][0] if self._heap else None
 
     def take_due(self, now: float) -> list[K]:
-        """Remove and return the keys whose deadline is reached, earliest first."""
+        """Remove and return the keys whose deadline is reached, earliest deadline first."""
         due: list[K] = []
         while (first := self.next()) is not None and first <= now:
             _, key = heapq.heappop(self._heap)
