--- a/src/yokeline/shards/batches.py
+++ b/src/yokeline/shards/batches.py
@@ -1,4 +1,4 @@
-"""Joins all Raft messages of one event to one node into few messages."""
+"""Batches the Raft messages that one event causes for one node."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from yokeline.server.context import NodeContext
 
 BATCH_BYTES = 1_048_576
-"""A batch is closed when its payload reaches this; one message may exceed it."""
+"""Payload size at which a batch is closed; a single message may exceed it."""
 
 
 class RaftBatcher:
@@ -20,11 +20,11 @@
         self._pending: dict[ReplicaId, list[GroupMessage]] = {}
 
     def add(self, shard: ShardId, to: ReplicaId, message: RaftMessage) -> None:
-        """Put a message into the batch of its receiver."""
+        """Add a message to the batch of its receiver."""
         self._pending.setdefault(to, []).append(GroupMessage(shard, message))
 
     def flush(self) -> None:
-        """Send everything collected; messages to one receiver stay in order."""
+        """Send the collected messages; those to one receiver stay in order."""
         if not self._pending:
             return
         pending = self._pending
