--- a/src/yokeline/shards/operations.py
+++ b/src/yokeline/shards/operations.py
@@ -1,7 +1,7 @@
-"""Operations that a gateway asks of a shard's leader, and their results.
+"""Operations that a gateway requests from a shard's leader, and their results.
 
-Every operation that names an existing run carries the caller's tenant; a run of another
-tenant is answered exactly like a run that does not exist.
+Every operation on an existing run carries the caller's tenant; a run of another tenant gets
+the same reply as a run that does not exist.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class StartRun(msgspec.Struct, frozen=True, kw_only=True, tag="start_run"):
-    """Create a run (or find the one that its idempotency key made) -> :class:`RunResult`."""
+    """Create a run, or find the run of its idempotency key; result: :class:`RunResult`."""
 
     run: RunId
     spec: RunSpec
@@ -21,7 +21,7 @@
 
 
 class ContinueRun(msgspec.Struct, frozen=True, kw_only=True, tag="continue_run"):
-    """Append a turn to an idle conversation -> :class:`RunResult`."""
+    """Append a turn to an idle conversation; result: :class:`RunResult`."""
 
     run: RunId
     tenant: str
@@ -31,25 +31,25 @@
 
 
 class ReadRun(msgspec.Struct, frozen=True, kw_only=True, tag="read_run"):
-    """Read a run, linearizable -> :class:`RunResult`."""
+    """Read a run linearizably; result: :class:`RunResult`."""
 
     run: RunId
     tenant: str
     with_history: bool = True
-    """Without it the result has no messages, which is cheap for long runs."""
+    """If false, the result has no messages, which is cheap for long runs."""
 
 
 class AwaitRun(msgspec.Struct, frozen=True, kw_only=True, tag="await_run"):
-    """Read a run once it is idle or final (or the deadline comes) -> :class:`RunResult`."""
+    """Read a run once it is idle or final, or at the deadline; result: :class:`RunResult`."""
 
     run: RunId
     tenant: str
     turn: int = 0
-    """Wait until at least this turn is answered; 0 means the current one."""
+    """Wait until at least this turn is answered; 0 means the current turn."""
 
 
 class WatchRun(msgspec.Struct, frozen=True, kw_only=True, tag="watch_run"):
-    """Push the run's events after a position, then -> :class:`RunResult`."""
+    """Stream a run's events after a position; result: :class:`RunResult`."""
 
     run: RunId
     tenant: str
@@ -58,14 +58,14 @@
 
 
 class StopRun(msgspec.Struct, frozen=True, kw_only=True, tag="stop_run"):
-    """Cancel a run -> :class:`RunResult`."""
+    """Cancel a run; result: :class:`RunResult`."""
 
     run: RunId
     tenant: str
 
 
 class ListRuns(msgspec.Struct, frozen=True, kw_only=True, tag="list_runs"):
-    """List a tenant's runs of this shard by id -> :class:`RunList`."""
+    """List a tenant's runs of this shard in the order of their ids; result: :class:`RunList`."""
 
     tenant: str
     after: str = ""
@@ -76,13 +76,13 @@
 
 
 class RunResult(msgspec.Struct, frozen=True, kw_only=True, tag="run_result"):
-    """A run as it stands."""
+    """The current state of a run."""
 
     run: Run
 
 
 class RunList(msgspec.Struct, frozen=True, kw_only=True, tag="run_list"):
-    """Some runs (without their histories) in the order of their ids."""
+    """Runs without their histories, in the order of their ids."""
 
     runs: tuple[Run, ...]
 
