--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -1,4 +1,4 @@
-"""What the admin API shows of the shards of a node."""
+"""Status of a node's shard replicas, for the admin API."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 
 
 class ShardState(enum.Enum):
-    """Whether a shard serves, as this node sees it."""
+    """Availability of a shard, as this node sees it."""
 
     LEADING = "leading"
-    """This node leads it: a quorum answered its last messages."""
+    """This node leads the shard; a quorum answered its last messages."""
     FOLLOWING = "following"
     ELECTING = "electing"
     """No leader is known at this moment."""
     MAJORITY_LOST = "majority_lost"
-    """So many members are dead that no quorum is left: it stays unavailable until enough of
-    them return, or until an operator recovers it (``yokeline recover``)."""
+    """Too many members are dead for a quorum: the shard is unavailable until enough of them
+    return or an operator recovers it (``yokeline recover``).
+    """
 
 
 class ShardStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica of a shard.
+    """Status of one shard replica.
 
     Attributes:
-        members: Members by the last committed configuration.
-        dead: Those of them that are dead.
-        applied_index: Last log entry applied here.
-        log_entries: Entries kept since the last compaction.
-        runs: Runs in the shard.
+        members: Members of the last committed configuration.
+        dead: Members that are dead.
+        applied_index: Index of the last log entry applied here.
+        log_entries: Number of entries kept since the last compaction.
+        runs: Number of runs in the shard.
     """
 
     shard: ShardId
@@ -78,6 +79,6 @@
     if lost:
         return ShardState.MAJORITY_LOST
     if group.role is RaftRole.LEADER:
-        # A leader that a majority does not answer resigns by itself; an idle one has no lease.
+        # The lease is not checked: an idle leader has none, and one without a quorum steps down.
         return ShardState.LEADING
     return ShardState.ELECTING if group.leader is None else ShardState.FOLLOWING
