--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -1,4 +1,4 @@
-"""State of one request of a router, from the caller's call to its one answer."""
+"""State of one routed request: its attempts and its position in the events."""
 
 from __future__ import annotations
 
@@ -18,22 +18,23 @@
     ErrorKind.FORBIDDEN,
     ErrorKind.IDEMPOTENCY_KEY_REUSED,
 )
-"""Kinds that depend on the request and on what is committed already: every attempt of the
-request meets the same refusal."""
+"""Kinds that depend on the request and on committed state only, so that they hold for every
+attempt of the request.
+"""
 
 
 class PendingRequest:
-    """What is known of the attempts of one request.
+    """A request and what is known of its attempts.
 
     Attributes:
-        request: What the caller knows the request by.
-        wire: The id that the request travels under; a new one after a gap in its events.
-        target: The node that is to answer; None while none is known.
+        request: Id that the caller knows the request by.
+        wire_id: Id sent to other nodes; a new one each time that a watch restarts after a gap.
+        target: Node that is to reply; None while none is known.
         ticket: Ticket of the local executor, while this node serves the request itself.
-        attempts: Attempts so far, for the pauses between them.
-        hops: Hints followed at once since the last pause.
-        maybe_done: Some leader did not know what became of the request.
-        refused_by: The last node that answered that it does not lead.
+        attempts: Attempts so far, which determine the backoff.
+        redirects: Leader hints followed without a pause since the last backoff.
+        outcome_unknown: A leader has replied that it does not know the outcome of an attempt.
+        rejected_by: The last node that replied that it does not lead the shard.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         done: OperationDone,
         on_events: EventsReceived | None,
     ) -> None:
-        """Create a request that nothing was done for yet."""
+        """Create a request without attempts."""
         self.request = request
         self.wire_id = request
         self.shard = shard
@@ -64,29 +65,29 @@
         self._unanswered: Counter[ReplicaId] = Counter()
         self._position = _first_position(operation)
 
-    # ------------------------------------------------------------ what may have happened
+    # ------------------------------------------------------------ attempts
 
     def note_sent(self, to: ReplicaId) -> None:
-        """Note that the request has gone to a node."""
+        """Record that an attempt was sent to a node."""
         self._unanswered[to] += 1
 
     def note_rejected(self, sender: ReplicaId) -> None:
-        """Note that one copy of the request had no effect at a node."""
+        """Record that a node rejected an attempt without any effect."""
         self._unanswered[sender] -= 1
         self.rejected_by = sender
 
     def note_outcome_unknown(self, sender: ReplicaId) -> None:
-        """Note that a node does not know what became of the request."""
+        """Record that a node does not know the outcome of an attempt."""
         self._unanswered[sender] -= 1
         self.outcome_unknown = True
 
     @property
     def may_have_run(self) -> bool:
-        """Whether some copy of the request may have had, or may yet have, an effect."""
+        """Whether an attempt may have had an effect, or may still have one."""
         return self.outcome_unknown or any(count > 0 for count in self._unanswered.values())
 
     def error_across_attempts(self, sender: ReplicaId, error: YokelineError) -> YokelineError:
-        """Return a leader's refusal, as far as it is true of all copies of the request."""
+        """Return a leader's error with an ``execution`` that holds for all attempts."""
         self._unanswered[sender] -= 1
         if error.execution is not Execution.NOT_RUN or error.kind in _ATTEMPT_INDEPENDENT_KINDS:
             return error
@@ -95,7 +96,7 @@
         return msgspec.structs.replace(error, execution=Execution.UNKNOWN)
 
     def timeout_error(self) -> YokelineError:
-        """Return what is true of the request when its deadline comes without an answer."""
+        """Return the error for a request whose deadline passes without a reply."""
         if not is_write(self.operation):
             return read_timed_out(self.shard)
         return write_timed_out(self.shard) if self.may_have_run else no_leader(self.shard)
@@ -103,7 +104,7 @@
     # ------------------------------------------------------------ events
 
     def current_operation(self) -> Operation:
-        """Return the operation to send: a watch goes on after the last event seen."""
+        """Return the operation to send; a watch resumes after the last event received."""
         if not isinstance(self.operation, WatchRun):
             return self.operation
         return msgspec.structs.replace(
@@ -133,7 +134,7 @@
         return start > seen
 
     def _unseen_part(self, event: TextEvent) -> TextEvent | None:
-        """Return the part of a text that is new, None if there is none."""
+        """Return the part of a text that was not received before, None if there is none."""
         if event.id.call != self._position.call:
             return event
         length = event.id.offset - self._position.offset
