--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -1,4 +1,4 @@
-"""The shard replicas of one node: routes Raft messages, applies logs, tells who leads."""
+"""The shard replicas of one node: Raft messages, applied logs and leader updates."""
 
 from __future__ import annotations
 
@@ -44,14 +44,14 @@
 
 
 class ShardListener(Protocol):
-    """Learns what becomes of the shards of this node."""
+    """Receives the changes of this node's shards."""
 
     def leadership_gained(self, shard: ShardId, term: int) -> None:
-        """This node leads, and everything committed before is applied."""
+        """This node leads the shard and has applied everything committed before."""
         ...
 
     def leadership_lost(self, shard: ShardId) -> None:
-        """This node leads no longer."""
+        """This node no longer leads the shard."""
         ...
 
     def command_applied(self, shard: ShardId, command: Command, result: ApplyResult) -> None:
@@ -66,8 +66,9 @@
     :meth:`next_deadline` is reached.
 
     Attributes:
-        heartbeats: Set its ``configuration_revision`` to let heartbeats carry it.
-        copies: Copies of earlier process starts whose shards are not live again here.
+        heartbeats: Heartbeats to other nodes; they carry the configuration revision that its
+            ``configuration_revision`` returns.
+        copies: Copies left by earlier process starts, of shards not live again at this node.
     """
 
     def __init__(
@@ -78,7 +79,7 @@
         listener: ShardListener | None = None,
         copies: CopySet | None = None,
     ) -> None:
-        """Host no replica yet; ``copies`` are what the data folder held at the start."""
+        """Start without replicas; ``copies`` were read from the data folder at the start."""
         self.copies = copies or CopySet()
         self._context = context
         self._peers = peers
@@ -104,24 +105,24 @@
         )
 
     def set_listener(self, listener: ShardListener) -> None:
-        """Install the listener (where it is made after the host)."""
+        """Set the listener, which may be created after the host."""
         self._listener = listener
 
     def observe_leaders(self, observer: Callable[[ShardId], None]) -> None:
-        """Call ``observer`` whenever the believed leader of a shard may have changed."""
+        """Call ``observer`` whenever the known leader of a shard may have changed."""
         self._gossip.observe(observer)
 
     def observe_deaths(self, observer: Callable[[ReplicaId], None]) -> None:
-        """Call ``observer`` when a node that was alive is dead."""
+        """Call ``observer`` with each node that was alive and is now dead."""
         self._death_observers.append(observer)
 
     # ------------------------------------------------------------ requests
 
     def propose(self, shard: ShardId, command: Command, done: ProposalDone) -> None:
-        """Commit a command; ``done`` gets the outcome, perhaps before this returns.
+        """Commit a command; ``done`` gets the outcome, possibly before this returns.
 
-        It is called with a failure of execution NOT_RUN if the command was surely not
-        appended, and UNKNOWN if the leadership was lost before the outcome was known.
+        A failure has the execution NOT_RUN if the command was certainly not appended, and
+        UNKNOWN if leadership was lost before the outcome was known.
         """
         replica = self._replicas.get(shard)
         if replica is None:
@@ -131,7 +132,7 @@
         self._local_replicas.reschedule_tick(replica)
 
     def read(self, shard: ShardId, done: ReadDone) -> None:
-        """Hand over the state machine once it holds all that was committed before."""
+        """Pass the state machine to ``done`` once it holds everything committed before the call."""
         replica = self._replicas.get(shard)
         if replica is None:
             done(Failure(not_leader(shard)))
@@ -140,12 +141,12 @@
         self._local_replicas.reschedule_tick(replica)
 
     def machine(self, shard: ShardId) -> RunStateMachine | None:
-        """Return the local state of a shard, None if this node holds no replica."""
+        """Return the local state machine of a shard, None if this node holds no replica."""
         replica = self._replicas.get(shard)
         return None if replica is None else replica.machine
 
     def leads(self, shard: ShardId) -> bool:
-        """Return whether this node leads a shard and has applied all of its past."""
+        """Return whether this node leads a shard and has applied everything committed before."""
         replica = self._replicas.get(shard)
         return replica is not None and replica.leads
 
@@ -159,30 +160,30 @@
         return 0 if replica is None else replica.group.term
 
     def may_send(self, shard: ShardId) -> bool:
-        """Return whether a quorum has confirmed this node's leadership just now."""
+        """Return whether this node leads a shard and holds a valid leader lease."""
         replica = self._replicas.get(shard)
         if replica is None or not replica.leads:
             return False
         return replica.group.lease_valid(self._context.now)
 
     def leader_of(self, shard: ShardId) -> ShardLeader | None:
-        """Return the best known leader of a shard."""
+        """Return the latest update that names the leader of a shard, None if there is none."""
         return self._gossip.directory.leader_of(shard)
 
     def members_of(self, shard: ShardId) -> tuple[ReplicaId, ...]:
-        """Return the last known members of a shard's group; empty if nothing is known."""
+        """Return the last known members of a shard's group; empty if none are known."""
         return self._gossip.directory.members_of(shard)
 
     def receive_leader_update(self, sender: ReplicaId, update: ShardLeader) -> None:
-        """Take in what another node said of a shard's leader."""
+        """Process a leader update from another node."""
         self._removal.receive_update(sender, update)
 
     def is_dead(self, replica: ReplicaId) -> bool:
-        """Return whether a process start is believed to be over."""
+        """Return whether a process start is believed to have ended."""
         return self._peers.is_dead(replica)
 
     def alive_nodes(self) -> tuple[ReplicaId, ...]:
-        """Return the process starts that are not dead, this one included."""
+        """Return the process starts that are not dead, including this one."""
         return tuple(member.replica for member in self._peers.alive())
 
     def status(self) -> list[ShardStatus]:
@@ -192,10 +193,10 @@
             for shard in sorted(self._replicas)
         ]
 
-    # ------------------------------------------------------------ life of the groups
+    # ------------------------------------------------------------ group lifecycle
 
     def start_groups(self, placement: Placement) -> None:
-        """Take part in the groups of the first placement that name this process start."""
+        """Join the groups of the initial placement that include this process start."""
         self._gossip.directory.load_placement(placement)
         for number, members in enumerate(placement.groups):
             if self._context.replica in members:
@@ -203,7 +204,7 @@
         self._update_peers()
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> None:
-        """Begin a shard's group anew, of this node alone; see ``server.recovery``."""
+        """Restart a shard's group with this node as its only member; see ``server.recovery``."""
         old = self._replicas.get(shard)
         if old is not None:
             self._drop_obsolete(old)
@@ -212,12 +213,12 @@
         self._update_peers()
 
     def copy_of(self, shard: ShardId) -> StoredShard | None:
-        """Return what the replica at this node holds, committed or not."""
+        """Return the state and log of the local replica, including uncommitted entries."""
         replica = self._replicas.get(shard)
         return None if replica is None else replica.export_copy()
 
     def majority_lost(self, shard: ShardId) -> bool:
-        """Return whether all that is known here of a group says that its majority is dead."""
+        """Return whether each membership of a group that is known here has lost its majority."""
         memberships = [self._gossip.directory.members_of(shard)]
         replica = self._replicas.get(shard)
         if replica is not None:
@@ -227,11 +228,11 @@
         return bool(groups) and lost
 
     def set_hand_over_guard(self, guard: Callable[[ShardId], bool]) -> None:
-        """Keep leading a shard, in a planned stop and for balance, while ``guard`` says so."""
+        """Do not transfer a shard's leadership while ``guard`` returns true for the shard."""
         self._maintenance.transfer_blocked = guard
 
     def hand_over_all(self) -> None:
-        """Begin the planned stop: lead nothing any more, as far as others can take over."""
+        """Begin the planned stop: transfer every leadership that another node can take over."""
         self._maintenance.draining = True
         self._maintenance.run_round()
 
@@ -240,7 +241,7 @@
         return len(self._replicas)
 
     def peers_changed(self) -> None:
-        """Act on a change in the membership view at the next tick, which is due now."""
+        """Make maintenance due now, because the membership view has changed."""
         self._maintenance.schedule_now()
 
     def _leave_group(self, replica: ShardReplica) -> None:
@@ -252,7 +253,7 @@
         self._update_peers()
 
     def _drop_obsolete(self, replica: ShardReplica) -> None:
-        """Leave a group that an operator's recovery has replaced."""
+        """Leave a group that a recovery has replaced, and set aside what this node holds of it."""
         if self._copy_writer is not None:
             self._copy_writer.set_aside(replica.export_copy())
         self._context.warn("replica_obsolete", shard=replica.shard, term=replica.group.term)
@@ -266,7 +267,7 @@
     # ------------------------------------------------------------ events
 
     def receive_batch(self, sender: ReplicaId, batch: RaftBatch) -> None:
-        """Take in the Raft messages of another node."""
+        """Process the Raft messages of another node."""
         self.heartbeats.note_message(sender)
         for item in batch.messages:
             replica = self._replica_for(sender, item)
@@ -277,7 +278,7 @@
             self._local_replicas.reschedule_tick(replica)
 
     def _replica_for(self, sender: ReplicaId, item: GroupMessage) -> ShardReplica | None:
-        """Return the replica that a message is for, of its lineage or a higher one."""
+        """Return the replica that processes a message, if any; an obsolete one is dropped first."""
         term = item.message.term
         replica = self._replicas.get(item.shard)
         if replica is not None and is_obsolete(replica.group.term, term):
@@ -297,19 +298,19 @@
         return replica
 
     def receive_heartbeat(self, sender: ReplicaId, heartbeat: Heartbeat) -> None:
-        """Take in a heartbeat of another node."""
+        """Process a heartbeat of another node."""
         for update in self.heartbeats.receive(sender, heartbeat):
             self._removal.receive_update(sender, update)
         self._removal.send_requested_updates(sender, heartbeat.wanted)
         self._note_leader_alive(sender)
 
     def receive_heartbeat_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
-        """Take in the answer to a heartbeat."""
+        """Process the reply to a heartbeat."""
         self.heartbeats.receive_reply(sender, reply)
         self._note_leader_alive(sender)
 
     def tick(self) -> None:
-        """Do what is due by now."""
+        """Run everything that is due."""
         self._local_replicas.tick()
         if self._context.now >= self._maintenance.next_deadline():
             self._maintenance.run_round()
@@ -331,7 +332,7 @@
         return min(time for time in times if time is not None)
 
     def flush(self) -> None:
-        """Send the Raft messages of this event."""
+        """Send the Raft messages collected during the current event."""
         self._batcher.flush()
 
     def _note_leader_alive(self, sender: ReplicaId) -> None:
@@ -357,24 +358,24 @@
     # ------------------------------------------------------------ ReplicaObserver
 
     def replica_sends(self, shard: ShardId, to: ReplicaId, message: RaftMessage) -> None:
-        """Put a message into the batch of its receiver."""
+        """Add a message to the batch of its receiver."""
         self._batcher.add(shard, to, message)
 
     def replica_gained_leadership(self, replica: ShardReplica) -> None:
-        """Announce the leadership and tell the listener."""
+        """Announce the leadership and notify the listener."""
         self._context.counters["yokeline_leaderships_gained_total"] += 1
         self._gossip.announce_to_all(replica)
         if self._listener is not None:
             self._listener.leadership_gained(replica.shard, replica.group.term)
 
     def replica_lost_leadership(self, replica: ShardReplica) -> None:
-        """Tell the listener that the leadership is lost."""
+        """Notify the listener of the lost leadership."""
         self._context.counters["yokeline_leaderships_lost_total"] += 1
         if self._listener is not None:
             self._listener.leadership_lost(replica.shard)
 
     def replica_state_changed(self, replica: ShardReplica) -> None:
-        """Tell others of new members, or note a new leader."""
+        """As leader, announce the members; as follower, record the leader."""
         if replica.leads:
             self._gossip.announce_to_all(replica)
         elif replica.group.role is not RaftRole.LEADER:
@@ -383,21 +384,21 @@
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
-        """Tell others of new members, the removed ones too."""
+        """Announce the members to all peers, and to the members just removed."""
         if replica.leads:
             self._gossip.announce(replica, (*self.heartbeats.peers, *removed))
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
-        """Tell the listener about an applied command."""
+        """Notify the listener of an applied command."""
         if self._listener is not None:
             self._listener.command_applied(replica.shard, command, result)
 
     def replica_committed(self, replica: ShardReplica, entries: tuple[LogEntry, ...]) -> None:
-        """Keep committed entries on disk, where there is one."""
+        """Record committed entries for the copy on disk, if there is a data folder."""
         if self._copy_writer is not None:
             self._copy_writer.note_committed(replica, entries)
 
     def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Keep a leader's snapshot on disk, where there is one."""
+        """Record a leader's snapshot for the copy on disk, if there is a data folder."""
         if self._copy_writer is not None:
             self._copy_writer.note_restored(replica, snapshot)
