--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -1,4 +1,4 @@
-"""One replica of a shard: its Raft group, its state machine, and who waits for what."""
+"""One replica of a shard: its Raft group, its state machine and its pending requests."""
 
 from __future__ import annotations
 
@@ -39,28 +39,28 @@
 
 
 class ReplicaObserver(Protocol):
-    """What a replica reports to its host."""
+    """Receives the events of a replica."""
 
     def replica_sends(self, shard: ShardId, to: ReplicaId, message: RaftMessage) -> None:
-        """A message is to be sent."""
+        """The replica sends a message."""
         ...
 
     def replica_gained_leadership(self, replica: ShardReplica) -> None:
-        """The replica leads, and everything committed before is applied."""
+        """The replica leads and has applied everything committed before."""
         ...
 
     def replica_lost_leadership(self, replica: ShardReplica) -> None:
-        """The replica leads no longer."""
+        """The replica no longer leads."""
         ...
 
     def replica_state_changed(self, replica: ShardReplica) -> None:
-        """Role, leader or members of the replica changed."""
+        """The role, leader or members of the replica changed."""
         ...
 
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
-        """Another configuration was committed; it leaves ``removed`` out."""
+        """A configuration was committed that no longer includes ``removed``."""
         ...
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
@@ -72,7 +72,7 @@
         ...
 
     def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """The state was replaced by a snapshot of the leader."""
+        """A snapshot replaced the state of the replica."""
         ...
 
 
@@ -82,15 +82,15 @@
 
 
 class ShardReplica:
-    """Carries out the effects of one group, in order and never nested.
+    """Carries out the effects of one Raft group, in order and without recursion.
 
     Attributes:
         shard: The shard.
         group: The Raft group.
         machine: State after the entry ``applied_index``.
-        committed_members: Members by the last applied configuration.
-        hard_state: What must be remembered if this replica leaves the group.
-        heard_at: When the last message of the group came.
+        committed_members: Members of the last applied configuration.
+        hard_state: Term and vote, to be kept after the replica has left the group.
+        last_message_at: Monotonic time at which the last message of the group arrived.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
         snapshot_entries: int,
         hard_state: HardState,
     ) -> None:
-        """Run ``group``; compact its log after ``snapshot_entries`` entries."""
+        """Run ``group``; compact its log after every ``snapshot_entries`` entries."""
         self.shard = shard
         self.group = group
         self.machine = RunStateMachine()
@@ -127,31 +127,32 @@
 
     @property
     def membership_applied(self) -> bool:
-        """Whether the members in force are committed and applied."""
+        """Whether the configuration in force is committed and applied."""
         return set(self.committed_members) == set(self.group.members)
 
     @property
     def is_carrying_out(self) -> bool:
-        """Whether effects are being carried out (we are inside a callback of them)."""
+        """Whether effects are being carried out, so that the caller runs in a callback of one."""
         return self._is_carrying_out
 
     @property
     def announced_members(self) -> tuple[ReplicaId, ...]:
-        """Members as a leader tells them: nobody that may still count is left out."""
+        """Members that a leader announces: during a change, those of both configurations."""
         if self.membership_applied:
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
 
     def is_removed_by(self, update: ShardLeader) -> bool:
-        """Return whether a leader's news prove that this replica was removed for good.
+        """Return whether a leader update proves that this replica was removed permanently.
 
-        A removed replica may never see the entry that removes it, and one that is added
-        again passes its old removal while it catches up, so that its own log proves nothing.
-        News without this replica say that no configuration with it was in force at the
-        leader when everything up to ``news.revision`` was committed: a quorum of others
-        holds all that. If our log ends there or earlier, nobody depends on what we hold.
+        The local log proves nothing: a removed replica may never receive the entry that removes
+        it, and a replica that is added again replays its earlier removal while it catches up.
+        An update without this replica means that no configuration with it was in force at the
+        leader when everything up to ``update.revision`` was committed, so that a quorum of other
+        members holds those entries. If the local log ends at this index or before, no member
+        depends on this replica.
 
-        News of a higher lineage always do: a recovery has replaced the group.
+        An update of a higher lineage is always a proof: a recovery has replaced the group.
         """
         if is_obsolete(self.group.term, update.term):
             return True
@@ -164,7 +165,7 @@
     # ------------------------------------------------------------ requests
 
     def propose(self, command: Command, now: float, done: ProposalDone) -> None:
-        """Append a command; ``done`` gets its outcome, perhaps before this returns."""
+        """Append a command; ``done`` gets its outcome, possibly before this returns."""
         if not self.leads:
             done(Failure(not_leader(self.shard)))
             return
@@ -176,7 +177,7 @@
             done(Failure(not_leader(self.shard)))
 
     def read(self, now: float, done: ReadDone) -> None:
-        """Hand over the state machine once this replica is known to still lead."""
+        """Pass the state machine to ``done`` once this replica is known to still lead."""
         if not self.leads:
             done(Failure(not_leader(self.shard)))
             return
@@ -186,14 +187,14 @@
         self.carry_out(self.group.read(token, now))
 
     def change_members(self, proposal: Proposal) -> bool:
-        """Carry out the outcome of a proposed membership change; return if accepted."""
+        """Carry out the effects of a proposed membership change; return whether accepted."""
         self.carry_out(proposal.effects)
         return proposal.accepted
 
     # ------------------------------------------------------------ effects
 
     def carry_out(self, effects: Iterable[RaftEffect]) -> None:
-        """Carry effects out after those that are under way already."""
+        """Carry out effects, after those that are already queued."""
         self._queue.extend(effects)
         if self._is_carrying_out:
             return
@@ -244,7 +245,7 @@
         self._observer.replica_lost_leadership(self)
 
     def _fail_pending(self) -> None:
-        """Answer everything that waits for an outcome which this replica will not learn."""
+        """Fail the proposals and reads whose outcome this replica will not learn."""
         proposals = self._proposals
         reads = self._reads
         self._proposals = {}
@@ -289,7 +290,7 @@
     def _apply_command(self, entry: LogEntry) -> None:
         decoded = decode_command(entry.command)
         if not isinstance(decoded, Success):
-            # Skipping it would let this replica's state differ from the others': stop instead.
+            # Skipping the entry would make this replica diverge from the others.
             raise YokelineException(decoded.failure())
         command = decoded.unwrap()
         result = self.machine.apply(command)
@@ -316,7 +317,7 @@
             self.group.compact(self.applied_index, self.machine.snapshot())
 
     def export_copy(self) -> StoredShard:
-        """Return all that is in the log here, committed or not, as a copy to start from."""
+        """Return the snapshot and the log, including uncommitted entries, as a copy."""
         empty = Snapshot(0, 0, self.group.members, RunStateMachine().snapshot())
         snapshot = self.group.snapshot or empty
         return StoredShard(
@@ -327,7 +328,7 @@
         )
 
     def close(self) -> None:
-        """Answer everything that waits; the replica leaves its group."""
+        """Fail all pending requests, because the replica leaves its group."""
         if self._leadership_reported:
             self._transition_not_leading()
         self._fail_pending()
