--- a/src/yokeline/shards/local_replicas.py
+++ b/src/yokeline/shards/local_replicas.py
@@ -1,4 +1,4 @@
-"""The replicas that a node holds: joining and leaving groups, and their timers."""
+"""The replicas that a node holds: joining and leaving groups, and the timers of groups."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from yokeline.shards.replica import ReplicaObserver, ShardReplica
 
 _RETAINED_ENTRIES_DIVISOR = 8
-"""Of the entries after which a log is compacted, one in so many is kept for those that lag."""
+"""Compaction retains 1 / divisor of ``snapshot_entries`` for followers that lag behind."""
 
 
 class LocalReplicas:
-    """Replicas by shard.
+    """The replicas of one node, by shard.
 
     Attributes:
-        replicas: The replicas of groups that this node is in. Read only for everybody else.
+        replicas: Replicas of the groups that this node is in; read-only for other classes.
     """
 
     def __init__(self, context: NodeContext, settings: Settings, observer: ReplicaObserver) -> None:
-        """Hold no replica yet; new ones report to ``observer``."""
+        """Start without replicas; new ones report to ``observer``."""
         self.replicas: dict[ShardId, ShardReplica] = {}
         self._context = context
         self._observer = observer
@@ -40,13 +40,16 @@
         self._highest_terms: dict[ShardId, int] = {}
 
     def bootstrap(self, shard: ShardId, members: tuple[ReplicaId, ...]) -> None:
-        """Begin a group of the first placement, unless this node is or was in it."""
+        """Start a group of the initial placement.
+
+        Does nothing if this node is in the group, has left it, or knows of its recovery.
+        """
         was_recovered = lineage_of(self._highest_terms.get(shard, 0)) > 0
         if shard not in self.replicas and shard not in self._removed and not was_recovered:
             self.reschedule_tick(self._create(shard, members))
 
     def join(self, shard: ShardId, term: int) -> ShardReplica | None:
-        """Take part in a group that has added this node, unless a recovery has replaced it."""
+        """Join a group that has added this node; None if a recovery has replaced the group."""
         if is_obsolete(term, self._highest_terms.get(shard, 0)):
             return None
         replica = self._removed.take_replica(shard)
@@ -56,7 +59,7 @@
         return replica
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> ShardReplica:
-        """Begin a group of this node alone, from the copy of one that lost its majority."""
+        """Start a group with this node as its only member, from a copy of the lost group."""
         self.note_term(shard, log.term)
         self._removed.take_replica(shard)
         self._removed.take_hard_state(shard)
@@ -67,11 +70,11 @@
         return replica
 
     def note_term(self, shard: ShardId, term: int) -> None:
-        """Remember the highest term heard of, which may make what is held here obsolete."""
+        """Record the highest term of a shard, which tells whether a replica is obsolete."""
         self._highest_terms[shard] = max(term, self._highest_terms.get(shard, 0))
 
     def leave(self, replica: ShardReplica) -> None:
-        """Stop taking part in a group that has removed this node."""
+        """Leave a group that has removed this node."""
         del self.replicas[replica.shard]
         self._deadlines.remove(replica.shard)
         replica.close()
@@ -79,16 +82,16 @@
         self._context.log("replica_left", shard=replica.shard, term=replica.group.term)
 
     def drop_removed(self) -> Iterable[ShardId]:
-        """Drop replicas that left their groups long ago; return their shards."""
+        """Drop replicas whose retention time after the removal is over; return their shards."""
         return self._removed.drop_expired(self._context.now)
 
     def reschedule_tick(self, replica: ShardReplica) -> None:
-        """Set the timer of a group after it was called."""
+        """Update the deadline of a group after a call into the group."""
         if not replica.is_carrying_out and self.replicas.get(replica.shard) is replica:
             self._deadlines.set(replica.shard, replica.group.next_deadline())
 
     def tick(self) -> None:
-        """Tick the groups whose time has come."""
+        """Tick the groups that are due."""
         for shard in self._deadlines.take_due(self._context.now):
             replica = self.replicas.get(shard)
             if replica is not None:
@@ -124,7 +127,7 @@
 
 
 def _raft_settings(consensus: ConsensusSection) -> RaftSettings:
-    """Return the settings of all groups."""
+    """Return the Raft settings that all groups share."""
     return RaftSettings(
         heartbeat_seconds=consensus.heartbeat_seconds,
         election_timeout_seconds=consensus.election_timeout_seconds,
