--- a/src/yokeline/shards/removal_detector.py
+++ b/src/yokeline/shards/removal_detector.py
@@ -1,4 +1,4 @@
-"""Finds out that groups have removed this node, which their logs may never tell it."""
+"""Detects that groups have removed this node, which their logs may never show."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from yokeline.shards.replica import ShardReplica
 
 REMOVED_SILENCE_SECONDS = 3.0
-"""Silence of a group after which a replica that it seems to have removed asks its leader."""
+"""Silence after which a replica that is not in its group's membership asks for an update."""
 MEMBER_SILENCE_SECONDS = 12.0
-"""The same for a member; idle groups speak more often than this."""
+"""Silence after which a member asks for an update; idle groups send more often."""
 
 
 class RemovalDetector:
-    """Compares leadership news with the replicas held, and asks for news where needed."""
+    """Compares leader updates with the local replicas, and requests updates for silent ones."""
 
     def __init__(
         self,
@@ -27,7 +27,7 @@
         gossip: LeaderGossip,
         leave: Callable[[ShardReplica], None],
     ) -> None:
-        """Call ``leave`` with each replica that its group has surely removed."""
+        """Call ``leave`` with each replica that its group has certainly removed."""
         self._context = context
         self._local_replicas = replicas
         self._replicas = replicas.replicas
@@ -35,7 +35,7 @@
         self._leave = leave
 
     def receive_update(self, sender: ReplicaId, update: ShardLeader) -> None:
-        """Take news in; they may say that this node is out of a group."""
+        """Process a leader update; leave the group if the update proves a removal."""
         self._local_replicas.note_term(update.shard, update.term)
         if not self._gossip.receive_update(sender, update):
             return
@@ -44,7 +44,7 @@
             self._leave(replica)
 
     def send_requested_updates(self, sender: ReplicaId, shards: tuple[ShardId, ...]) -> None:
-        """Give a node the news that it asked for; fresh ones of what this node leads."""
+        """Queue the updates that a node requested, with current ones of shards led here."""
         for shard in shards:
             replica = self._replicas.get(shard)
             if replica is not None and replica.leads:
@@ -53,7 +53,7 @@
                 self._gossip.directory.enqueue(sender, shard)
 
     def check_silent_replicas(self) -> None:
-        """Leave silent groups that have removed this node; ask where that is not clear."""
+        """Leave silent groups that have removed this node; if unclear, request an update."""
         for replica in list(self._replicas.values()):
             update = self._gossip.directory.leader_of(replica.shard)
             if update is None or update.leader == self._context.replica:
