--- a/src/yokeline/shards/removed_replicas.py
+++ b/src/yokeline/shards/removed_replicas.py
@@ -1,4 +1,4 @@
-"""Replicas that their groups have removed: kept for a while, then only their votes."""
+"""Replicas that their groups have removed: kept for a while, then only term and vote."""
 
 from __future__ import annotations
 
@@ -9,21 +9,20 @@
 LOG_RETENTION_SECONDS = 60.0
 """Time for which a removed replica keeps its log.
 
-News of a removal may arrive after the node was added again. The leader counts on what the
-replica has acknowledged since, so its log must still be there when the leader writes to it.
+An update about a removal may arrive after the node was added again. The leader relies on what
+the replica has acknowledged since, so its log must still exist when the leader writes to it.
 """
 
 
 class RemovedReplicas:
-    """Remembers what a node must not forget of groups that it is no longer in."""
+    """What a node must keep of groups that have removed it."""
 
     def __init__(self) -> None:
-        """Start empty."""
         self._replicas: dict[ShardId, tuple[ShardReplica, float]] = {}
         self._hard_states: dict[ShardId, HardState] = {}
 
     def __contains__(self, shard: ShardId) -> bool:
-        """Return whether this process was ever removed from a shard's group."""
+        """Return whether a removed replica of a shard, or its vote, is kept."""
         return shard in self._replicas or shard in self._hard_states
 
     def add(self, replica: ShardReplica, now: float) -> None:
@@ -31,16 +30,16 @@
         self._replicas[replica.shard] = (replica, now)
 
     def take_replica(self, shard: ShardId) -> ShardReplica | None:
-        """Hand a kept replica back, since its group has written to it again."""
+        """Remove and return a replica whose group has added this node again."""
         kept = self._replicas.pop(shard, None)
         return None if kept is None else kept[0]
 
     def take_hard_state(self, shard: ShardId) -> HardState | None:
-        """Return term and vote of a dropped replica, so that it never votes twice in a term."""
+        """Remove and return term and vote of a dropped replica, to prevent a second vote."""
         return self._hard_states.pop(shard, None)
 
     def drop_expired(self, now: float) -> list[ShardId]:
-        """Drop the logs of replicas removed long ago; return their shards."""
+        """Drop the logs of replicas past the retention time; return their shards."""
         expired = [
             shard
             for shard, (_, since) in self._replicas.items()
