--- a/src/yokeline/shards/leader_gossip.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -1,4 +1,4 @@
-"""Leadership news: what this node tells others of the shards it leads, and passes on."""
+"""Gossip of leader updates: announces the shards led by this node and relays others."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 
 
 class LeaderGossip:
-    """Decides who is told what, through the heartbeats.
+    """Decides which peers get which leader updates; heartbeats carry the updates.
 
     Attributes:
-        directory: What is known of all shards.
-        heartbeats: Carry the news.
+        directory: Latest update of every shard.
+        heartbeats: Heartbeats to the peers.
     """
 
     def __init__(self, context: NodeContext, heartbeat_seconds: float) -> None:
-        """Start without knowledge."""
+        """Start without known leaders."""
         self.directory = LeaderDirectory(context.replica)
         self.heartbeats = Heartbeats(context, self.directory, heartbeat_seconds)
         self._context = context
@@ -30,11 +30,11 @@
         self._neighbours: tuple[ReplicaId, ...] = ()
 
     def observe(self, observer: Callable[[ShardId], None]) -> None:
-        """Call ``observer`` whenever the believed leader of a shard may have changed."""
+        """Call ``observer`` whenever the known leader of a shard may have changed."""
         self._observers.append(observer)
 
     def receive_update(self, sender: ReplicaId, update: ShardLeader) -> bool:
-        """Take in what another node said, and pass it on; return whether it was new."""
+        """Store an update and relay it along the ring; return whether it was new."""
         if not self.directory.merge(update):
             return False
         for peer in self._neighbours:
@@ -44,7 +44,7 @@
         return True
 
     def announce(self, replica: ShardReplica, listeners: Iterable[ReplicaId]) -> None:
-        """Tell others that this node leads a shard, and who its members are."""
+        """Announce to ``listeners`` that this node leads a shard, with its members."""
         update = ShardLeader(
             replica.shard,
             replica.group.term,
@@ -58,11 +58,11 @@
         self._notify_observers(replica.shard)
 
     def announce_to_all(self, replica: ShardReplica) -> None:
-        """Tell all peers and all members about a shard that this node leads."""
+        """Announce a shard that this node leads to all peers and all members."""
         self.announce(replica, (*self.heartbeats.peers, *replica.announced_members))
 
     def record_followed_leader(self, replica: ShardReplica) -> None:
-        """Note whom a replica of this node follows."""
+        """Record the leader that a replica of this node follows."""
         group = replica.group
         if group.leader is None:
             return
@@ -82,7 +82,7 @@
         alive: tuple[ReplicaId, ...],
         led: Iterable[ShardId],
     ) -> None:
-        """Recompute whom heartbeats are exchanged with, and greet who is new."""
+        """Recompute the heartbeat peers, and queue updates for new ones."""
         own = self._context.replica
         self._neighbours = ring_neighbours(own, alive)
         before = self.heartbeats.peers
@@ -95,7 +95,7 @@
         self._enqueue_for_new_peers(sorted(set(peers) - set(before)), tuple(led))
 
     def _enqueue_for_new_peers(self, peers: Iterable[ReplicaId], led: Iterable[ShardId]) -> None:
-        """Tell new peers what this node leads, and new ring neighbours all it knows."""
+        """Queue the shards led here; for new ring neighbours, all known updates."""
         for peer in peers:
             for shard in led:
                 self.directory.enqueue(peer, shard)
