--- a/src/yokeline/shards/heartbeats.py
+++ b/src/yokeline/shards/heartbeats.py
@@ -1,7 +1,7 @@
-"""One coalesced heartbeat per pair of nodes, with leadership news and configuration revision.
+"""One coalesced heartbeat per pair of nodes, with leader updates and configuration revision.
 
-Of a pair, the node with the lower id asks and the other one answers, so that each pair costs
-two messages per period and both sides have heard from each other.
+In a pair, the node with the lower id sends the heartbeat and the other node replies, so that
+a pair costs two messages per period and each node hears from the other.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from yokeline.shards.directory import LeaderDirectory
 
 SILENCE_PERIODS = 2
-"""Periods without a word after which the answering side asks by itself."""
+"""Periods of silence after which the replying node sends a heartbeat itself."""
 RESEND_PERIODS = 2
-"""Periods without an answer after which news are told again."""
+"""Periods without a reply after which updates are sent again."""
 
 
 class _UnacknowledgedUpdates(msgspec.Struct, frozen=True):
-    """News in a heartbeat that is not answered yet."""
+    """Updates in a heartbeat that has no reply yet."""
 
     sequence: int
     updates: tuple[ShardLeader, ...]
 
 
 class Heartbeats:
-    """Sends and answers heartbeats, and remembers when each peer was last heard.
+    """Sends and answers heartbeats, and records when the last message of each peer arrived.
 
     Attributes:
         configuration_revision: Returns the highest configuration revision applied here.
@@ -50,21 +50,21 @@
 
     @property
     def peers(self) -> tuple[ReplicaId, ...]:
-        """Return the nodes that heartbeats are exchanged with."""
+        """Nodes that heartbeats are exchanged with."""
         return self._peers
 
     def set_peers(self, peers: tuple[ReplicaId, ...]) -> None:
-        """Exchange heartbeats with these nodes from now on."""
+        """Replace the nodes that heartbeats are exchanged with."""
         self._peers = peers
         now = self._context.now
         self._last_message_at = {peer: self._last_message_at.get(peer, now) for peer in peers}
 
     def request_update(self, peer: ReplicaId, shard: ShardId) -> None:
-        """Ask a peer for fresh news of a shard with the next heartbeat."""
+        """Request the current update of a shard from a peer with the next heartbeat."""
         self._requested.setdefault(peer, {})[shard] = None
 
     def note_message(self, peer: ReplicaId) -> None:
-        """Note that a message of a peer arrived."""
+        """Record that a message of a peer arrived."""
         self._last_message_at[peer] = self._context.now
 
     def tick(self) -> None:
@@ -84,7 +84,7 @@
         return self._next_heartbeat
 
     def receive(self, sender: ReplicaId, heartbeat: Heartbeat) -> tuple[ShardLeader, ...]:
-        """Answer a heartbeat and return the leadership news in it."""
+        """Reply to a heartbeat and return its leader updates."""
         self.note_message(sender)
         reply = HeartbeatReply(
             sequence=heartbeat.sequence,
@@ -94,14 +94,14 @@
         return heartbeat.leaders
 
     def receive_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
-        """Note that a heartbeat, and the news in it, arrived."""
+        """Record that a peer has received a heartbeat and its updates."""
         self.note_message(sender)
         unacknowledged = self._unacknowledged.get(sender)
         if unacknowledged is not None and reply.sequence >= unacknowledged.sequence:
             del self._unacknowledged[sender]
 
     def forget_peer(self, peer: ReplicaId) -> None:
-        """Drop what is kept for a peer that is dead."""
+        """Drop the state of a dead peer."""
         self._unacknowledged.pop(peer, None)
         self._last_message_at.pop(peer, None)
         self._requested.pop(peer, None)
@@ -124,7 +124,7 @@
         self._context.send_peer(peer, heartbeat)
 
     def _updates_for(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
-        """Return the news to tell now: one heartbeat full at a time, until it is answered."""
+        """Return the updates to send now: none while earlier ones are unacknowledged."""
         unacknowledged = self._unacknowledged.get(peer)
         if unacknowledged is not None:
             if self._sequence - unacknowledged.sequence < RESEND_PERIODS:
