--- a/src/yokeline/shards/directory.py
+++ b/src/yokeline/shards/directory.py
@@ -1,4 +1,4 @@
-"""What a node knows of where each shard is led, and which news its peers still need."""
+"""The last known leader of each shard, and the leader updates queued for each peer."""
 
 from __future__ import annotations
 
@@ -9,84 +9,85 @@
 from yokeline.shards.placement import Placement
 
 NEWS_PER_HEARTBEAT = 16
-"""Bound on the leadership news in one heartbeat."""
+"""Maximum number of leader updates in one heartbeat."""
 NO_LEADER = ReplicaId("")
+"""Leader in the entry of a group whose leader is not known."""
 
 
 class LeaderDirectory:
-    """Newest leadership news by shard, and what is still to be told to whom."""
+    """Latest leader update by shard, and the shards whose updates are queued by peer."""
 
     def __init__(self, own: ReplicaId) -> None:
-        """Start without knowledge, at the node ``own``."""
+        """Start without updates at the node ``own``."""
         self._own = own
-        self._known: dict[ShardId, ShardLeader] = {}
-        self._untold: dict[ReplicaId, dict[ShardId, None]] = {}
-        self._leads: Counter[ReplicaId] = Counter()
-        self._holds: Counter[ReplicaId] = Counter()
+        self._latest: dict[ShardId, ShardLeader] = {}
+        self._pending: dict[ReplicaId, dict[ShardId, None]] = {}
+        self._shards_led: Counter[ReplicaId] = Counter()
+        self._replicas_held: Counter[ReplicaId] = Counter()
 
-    def start(self, placement: Placement) -> None:
-        """Take the first placement as what is known of groups that were not heard of."""
+    def load_placement(self, placement: Placement) -> None:
+        """Enter the initial members of every group that no update is known of."""
         for number, members in enumerate(placement.groups):
             shard = ShardId(number)
-            self.learn(ShardLeader(shard, 0, NO_LEADER, members))
+            self.merge(ShardLeader(shard, 0, NO_LEADER, members))
 
-    def learn(self, news: ShardLeader) -> bool:
-        """Take news in; return whether it was newer than what was known."""
-        known = self._known.get(news.shard)
-        if known is not None and (known.term, known.revision) >= (news.term, news.revision):
+    def merge(self, update: ShardLeader) -> bool:
+        """Store an update if it is newer than the known one; return whether it was."""
+        known = self._latest.get(update.shard)
+        if known is not None and (known.term, known.revision) >= (update.term, update.revision):
             return False
         if known is not None:
-            self._leads[known.leader] -= 1
-            self._holds.subtract(known.members)
-        self._leads[news.leader] += 1
-        self._holds.update(news.members)
-        self._known[news.shard] = news
+            self._shards_led[known.leader] -= 1
+            self._replicas_held.subtract(known.members)
+        self._shards_led[update.leader] += 1
+        self._replicas_held.update(update.members)
+        self._latest[update.shard] = update
         return True
 
     def leader_of(self, shard: ShardId) -> ShardLeader | None:
-        """Return the newest news of a shard that names a leader."""
-        known = self._known.get(shard)
+        """Return the latest update of a shard, None if it names no leader."""
+        known = self._latest.get(shard)
         return None if known is None or known.leader == NO_LEADER else known
 
     def members_of(self, shard: ShardId) -> tuple[ReplicaId, ...]:
         """Return the last known members of a shard's group."""
-        known = self._known.get(shard)
+        known = self._latest.get(shard)
         return () if known is None else known.members
 
-    def led_by(self, replica: ReplicaId) -> int:
-        """Return how many shards a node is believed to lead."""
-        return self._leads[replica]
+    def shards_led_by(self, replica: ReplicaId) -> int:
+        """Return how many shards a node leads, by the latest updates."""
+        return self._shards_led[replica]
 
     def loads(self) -> dict[ReplicaId, int]:
-        """Return how many replicas each node is believed to hold."""
-        return {replica: count for replica, count in self._holds.items() if count > 0}
+        """Return how many replicas each node holds, by the latest updates."""
+        return {replica: count for replica, count in self._replicas_held.items() if count > 0}
 
-    def known(self) -> tuple[ShardLeader, ...]:
-        """Return the newest news of all shards, by shard."""
-        return tuple(self._known[shard] for shard in sorted(self._known))
+    def all_updates(self) -> tuple[ShardLeader, ...]:
+        """Return the latest update of every shard, in ascending order of shards."""
+        return tuple(self._latest[shard] for shard in sorted(self._latest))
 
-    # ------------------------------------------------------------ telling peers
+    # ------------------------------------------------------------ updates for peers
 
-    def tell(self, peer: ReplicaId, shard: ShardId) -> None:
-        """Note that ``peer`` needs the news of a shard."""
+    def enqueue(self, peer: ReplicaId, shard: ShardId) -> None:
+        """Queue the latest update of a shard for ``peer``."""
         if peer != self._own:
-            self._untold.setdefault(peer, {})[shard] = None
+            self._pending.setdefault(peer, {})[shard] = None
 
-    def untold_peers(self) -> tuple[ReplicaId, ...]:
-        """Return the peers that still need news, in a fixed order."""
-        return tuple(sorted(peer for peer, shards in self._untold.items() if shards))
+    def peers_with_pending_updates(self) -> tuple[ReplicaId, ...]:
+        """Return the peers that updates are queued for, in ascending order."""
+        return tuple(sorted(peer for peer, shards in self._pending.items() if shards))
 
-    def take_news(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
-        """Remove and return the next news for a peer, at most one heartbeat full."""
-        shards = self._untold.get(peer)
+    def take_updates(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
+        """Remove and return the next updates for a peer, as many as fit one heartbeat."""
+        shards = self._pending.get(peer)
         if not shards:
             return ()
         taken = list(shards)[:NEWS_PER_HEARTBEAT]
         for shard in taken:
             del shards[shard]
-        news = [self._known[shard] for shard in taken if shard in self._known]
-        return tuple(item for item in news if item.leader != NO_LEADER)
+        updates = [self._latest[shard] for shard in taken if shard in self._latest]
+        return tuple(item for item in updates if item.leader != NO_LEADER)
 
     def forget_peer(self, peer: ReplicaId) -> None:
-        """Drop the news for a peer that is dead."""
-        self._untold.pop(peer, None)
+        """Drop the updates queued for a dead peer."""
+        self._pending.pop(peer, None)
--- a/src/yokeline/shards/heartbeats.py
+++ b/src/yokeline/shards/heartbeats.py
@@ -1,7 +1,7 @@
-"""One coalesced heartbeat per pair of nodes, with leadership news and configuration revision.
+"""One coalesced heartbeat per pair of nodes, with leader updates and configuration revision.
 
-Of a pair, the node with the lower id asks and the other one answers, so that each pair costs
-two messages per period and both sides have heard from each other.
+In a pair, the node with the lower id sends the heartbeat and the other node replies, so that
+a pair costs two messages per period and each node hears from the other.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from yokeline.shards.directory import LeaderDirectory
 
 SILENCE_PERIODS = 2
-"""Periods without a word after which the answering side asks by itself."""
-RETELL_PERIODS = 2
-"""Periods without an answer after which news are told again."""
+"""Periods of silence after which the replying node sends a heartbeat itself."""
+RESEND_PERIODS = 2
+"""Periods without a reply after which updates are sent again."""
 
 
-class _ToldNews(msgspec.Struct, frozen=True):
-    """News in a heartbeat that is not answered yet."""
+class _UnacknowledgedUpdates(msgspec.Struct, frozen=True):
+    """Updates in a heartbeat that has no reply yet."""
 
     sequence: int
-    news: tuple[ShardLeader, ...]
+    updates: tuple[ShardLeader, ...]
 
 
 class Heartbeats:
-    """Sends and answers heartbeats, and remembers when each peer was last heard.
+    """Sends and answers heartbeats, and records when the last message of each peer arrived.
 
     Attributes:
         configuration_revision: Returns the highest configuration revision applied here.
@@ -41,51 +41,51 @@
         self._context = context
         self._directory = directory
         self._period = period
-        self._next = 0.0
+        self._next_heartbeat = 0.0
         self._sequence = 0
         self._peers: tuple[ReplicaId, ...] = ()
-        self._heard: dict[ReplicaId, float] = {}
-        self._told: dict[ReplicaId, _ToldNews] = {}
-        self._wanted: dict[ReplicaId, dict[ShardId, None]] = {}
+        self._last_message_at: dict[ReplicaId, float] = {}
+        self._unacknowledged: dict[ReplicaId, _UnacknowledgedUpdates] = {}
+        self._requested: dict[ReplicaId, dict[ShardId, None]] = {}
 
     @property
     def peers(self) -> tuple[ReplicaId, ...]:
-        """Return the nodes that heartbeats are exchanged with."""
+        """Nodes that heartbeats are exchanged with."""
         return self._peers
 
     def set_peers(self, peers: tuple[ReplicaId, ...]) -> None:
-        """Exchange heartbeats with these nodes from now on."""
+        """Replace the nodes that heartbeats are exchanged with."""
         self._peers = peers
         now = self._context.now
-        self._heard = {peer: self._heard.get(peer, now) for peer in peers}
+        self._last_message_at = {peer: self._last_message_at.get(peer, now) for peer in peers}
 
-    def want_news(self, peer: ReplicaId, shard: ShardId) -> None:
-        """Ask a peer for fresh news of a shard with the next heartbeat."""
-        self._wanted.setdefault(peer, {})[shard] = None
+    def request_update(self, peer: ReplicaId, shard: ShardId) -> None:
+        """Request the current update of a shard from a peer with the next heartbeat."""
+        self._requested.setdefault(peer, {})[shard] = None
 
-    def heard(self, peer: ReplicaId) -> None:
-        """Note that a message of a peer arrived."""
-        self._heard[peer] = self._context.now
+    def note_message(self, peer: ReplicaId) -> None:
+        """Record that a message of a peer arrived."""
+        self._last_message_at[peer] = self._context.now
 
     def tick(self) -> None:
         """Send the heartbeats that are due."""
-        if self._context.now < self._next:
+        if self._context.now < self._next_heartbeat:
             return
-        self._next = self._context.now + self._period
+        self._next_heartbeat = self._context.now + self._period
         self._sequence += 1
-        due = {peer for peer in self._peers if self._asks(peer)}
-        due.update(self._directory.untold_peers())
-        due.update(self._wanted)
+        due = {peer for peer in self._peers if self._initiates(peer)}
+        due.update(self._directory.peers_with_pending_updates())
+        due.update(self._requested)
         for peer in sorted(due):
             self._send(peer)
 
     def next_deadline(self) -> float:
         """Return when the next heartbeats are due."""
-        return self._next
+        return self._next_heartbeat
 
     def receive(self, sender: ReplicaId, heartbeat: Heartbeat) -> tuple[ShardLeader, ...]:
-        """Answer a heartbeat and return the leadership news in it."""
-        self.heard(sender)
+        """Reply to a heartbeat and return its leader updates."""
+        self.note_message(sender)
         reply = HeartbeatReply(
             sequence=heartbeat.sequence,
             configuration_revision=self.configuration_revision(),
@@ -94,48 +94,48 @@
         return heartbeat.leaders
 
     def receive_reply(self, sender: ReplicaId, reply: HeartbeatReply) -> None:
-        """Note that a heartbeat, and the news in it, arrived."""
-        self.heard(sender)
-        told = self._told.get(sender)
-        if told is not None and reply.sequence >= told.sequence:
-            del self._told[sender]
+        """Record that a peer has received a heartbeat and its updates."""
+        self.note_message(sender)
+        unacknowledged = self._unacknowledged.get(sender)
+        if unacknowledged is not None and reply.sequence >= unacknowledged.sequence:
+            del self._unacknowledged[sender]
 
     def forget_peer(self, peer: ReplicaId) -> None:
-        """Drop what is kept for a peer that is dead."""
-        self._told.pop(peer, None)
-        self._heard.pop(peer, None)
-        self._wanted.pop(peer, None)
+        """Drop the state of a dead peer."""
+        self._unacknowledged.pop(peer, None)
+        self._last_message_at.pop(peer, None)
+        self._requested.pop(peer, None)
         self._directory.forget_peer(peer)
 
-    def _asks(self, peer: ReplicaId) -> bool:
+    def _initiates(self, peer: ReplicaId) -> bool:
         if self._context.replica < peer:
             return True
-        silence = self._context.now - self._heard.get(peer, self._context.now)
+        silence = self._context.now - self._last_message_at.get(peer, self._context.now)
         return silence > SILENCE_PERIODS * self._period
 
     def _send(self, peer: ReplicaId) -> None:
         heartbeat = Heartbeat(
             sequence=self._sequence,
-            leaders=self._news_for(peer),
+            leaders=self._updates_for(peer),
             configuration_revision=self.configuration_revision(),
-            wanted=tuple(self._wanted.pop(peer, ())),
+            wanted=tuple(self._requested.pop(peer, ())),
         )
         self._context.counters["yokeline_heartbeats_sent_total"] += 1
         self._context.send_peer(peer, heartbeat)
 
-    def _news_for(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
-        """Return the news to tell now: one heartbeat full at a time, until it is answered."""
-        told = self._told.get(peer)
-        if told is not None:
-            if self._sequence - told.sequence < RETELL_PERIODS:
+    def _updates_for(self, peer: ReplicaId) -> tuple[ShardLeader, ...]:
+        """Return the updates to send now: none while earlier ones are unacknowledged."""
+        unacknowledged = self._unacknowledged.get(peer)
+        if unacknowledged is not None:
+            if self._sequence - unacknowledged.sequence < RESEND_PERIODS:
                 return ()
-            del self._told[peer]
-            for item in told.news:
-                self._directory.tell(peer, item.shard)
-        news = self._directory.take_news(peer)
-        if news:
-            self._told[peer] = _ToldNews(self._sequence, news)
-        return news
+            del self._unacknowledged[peer]
+            for item in unacknowledged.updates:
+                self._directory.enqueue(peer, item.shard)
+        updates = self._directory.take_updates(peer)
+        if updates:
+            self._unacknowledged[peer] = _UnacknowledgedUpdates(self._sequence, updates)
+        return updates
 
 
 def _no_revision() -> int:
--- a/src/yokeline/shards/news.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -1,4 +1,4 @@
-"""Leadership news: what this node tells others of the shards it leads, and passes on."""
+"""Gossip of leader updates: announces the shards led by this node and relays others."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 from yokeline.shards.replica import ShardReplica
 
 
-class LeadershipNews:
-    """Decides who is told what, through the heartbeats.
+class LeaderGossip:
+    """Decides which peers get which leader updates; heartbeats carry the updates.
 
     Attributes:
-        directory: What is known of all shards.
-        heartbeats: Carry the news.
+        directory: Latest update of every shard.
+        heartbeats: Heartbeats to the peers.
     """
 
     def __init__(self, context: NodeContext, heartbeat_seconds: float) -> None:
-        """Start without knowledge."""
+        """Start without known leaders."""
         self.directory = LeaderDirectory(context.replica)
         self.heartbeats = Heartbeats(context, self.directory, heartbeat_seconds)
         self._context = context
@@ -30,47 +30,47 @@
         self._neighbours: tuple[ReplicaId, ...] = ()
 
     def observe(self, observer: Callable[[ShardId], None]) -> None:
-        """Call ``observer`` whenever the believed leader of a shard may have changed."""
+        """Call ``observer`` whenever the known leader of a shard may have changed."""
         self._observers.append(observer)
 
-    def learn(self, sender: ReplicaId, news: ShardLeader) -> bool:
-        """Take in what another node said, and pass it on; return whether it was new."""
-        if not self.directory.learn(news):
+    def receive_update(self, sender: ReplicaId, update: ShardLeader) -> bool:
+        """Store an update and relay it along the ring; return whether it was new."""
+        if not self.directory.merge(update):
             return False
         for peer in self._neighbours:
-            if peer not in (sender, news.leader):
-                self.directory.tell(peer, news.shard)
-        self._report(news.shard)
+            if peer not in (sender, update.leader):
+                self.directory.enqueue(peer, update.shard)
+        self._notify_observers(update.shard)
         return True
 
     def announce(self, replica: ShardReplica, listeners: Iterable[ReplicaId]) -> None:
-        """Tell others that this node leads a shard, and who its members are."""
-        news = ShardLeader(
+        """Announce to ``listeners`` that this node leads a shard, with its members."""
+        update = ShardLeader(
             replica.shard,
             replica.group.term,
             self._context.replica,
             replica.announced_members,
             replica.applied_index,
         )
-        self.directory.learn(news)
+        self.directory.merge(update)
         for peer in listeners:
-            self.directory.tell(peer, replica.shard)
-        self._report(replica.shard)
+            self.directory.enqueue(peer, replica.shard)
+        self._notify_observers(replica.shard)
 
     def announce_to_all(self, replica: ShardReplica) -> None:
-        """Tell all peers and all members about a shard that this node leads."""
+        """Announce a shard that this node leads to all peers and all members."""
         self.announce(replica, (*self.heartbeats.peers, *replica.announced_members))
 
-    def note_leader(self, replica: ShardReplica) -> None:
-        """Note whom a replica of this node follows."""
+    def record_followed_leader(self, replica: ShardReplica) -> None:
+        """Record the leader that a replica of this node follows."""
         group = replica.group
         if group.leader is None:
             return
-        news = ShardLeader(replica.shard, group.term, group.leader, replica.announced_members)
-        if self.directory.learn(news):
-            self._report(replica.shard)
+        update = ShardLeader(replica.shard, group.term, group.leader, replica.announced_members)
+        if self.directory.merge(update):
+            self._notify_observers(replica.shard)
 
-    def _report(self, shard: ShardId) -> None:
+    def _notify_observers(self, shard: ShardId) -> None:
         for observer in self._observers:
             observer(shard)
 
@@ -82,7 +82,7 @@
         alive: tuple[ReplicaId, ...],
         led: Iterable[ShardId],
     ) -> None:
-        """Recompute whom heartbeats are exchanged with, and greet who is new."""
+        """Recompute the heartbeat peers, and queue updates for new ones."""
         own = self._context.replica
         self._neighbours = ring_neighbours(own, alive)
         before = self.heartbeats.peers
@@ -92,13 +92,13 @@
         self.heartbeats.set_peers(peers)
         for peer in sorted(set(before) - set(alive)):
             self.heartbeats.forget_peer(peer)
-        self._greet(sorted(set(peers) - set(before)), tuple(led))
+        self._enqueue_for_new_peers(sorted(set(peers) - set(before)), tuple(led))
 
-    def _greet(self, peers: Iterable[ReplicaId], led: Iterable[ShardId]) -> None:
-        """Tell new peers what this node leads, and new ring neighbours all it knows."""
+    def _enqueue_for_new_peers(self, peers: Iterable[ReplicaId], led: Iterable[ShardId]) -> None:
+        """Queue the shards led here; for new ring neighbours, all known updates."""
         for peer in peers:
             for shard in led:
-                self.directory.tell(peer, shard)
+                self.directory.enqueue(peer, shard)
             if peer in self._neighbours:
-                for news in self.directory.known():
-                    self.directory.tell(peer, news.shard)
+                for update in self.directory.all_updates():
+                    self.directory.enqueue(peer, update.shard)
--- a/src/yokeline/shards/recovery.py
+++ b/src/yokeline/shards/recovery.py
@@ -9,7 +9,7 @@
 from yokeline.identifiers import ReplicaId
 from yokeline.messages.codec import encode_command
 from yokeline.runs.model import RecoverShard
-from yokeline.shards.disk import StoredShard
+from yokeline.shards.copy_format import StoredShard
 
 
 class RecoveryLog(msgspec.Struct, frozen=True, kw_only=True):
@@ -35,7 +35,9 @@
     it was applied.
     """
     last = copy.last_index
-    recovered = LogEntry(last + 1, term, EntryKind.COMMAND, command=encode_command(command))
-    alone = LogEntry(last + 2, term, EntryKind.MEMBERSHIP, members=(own,))
+    recovery_entry = LogEntry(last + 1, term, EntryKind.COMMAND, command=encode_command(command))
+    membership_entry = LogEntry(last + 2, term, EntryKind.MEMBERSHIP, members=(own,))
     snapshot = copy.snapshot if copy.snapshot.last_index else None
-    return RecoveryLog(term=term, snapshot=snapshot, entries=(*copy.entries, recovered, alone))
+    return RecoveryLog(
+        term=term, snapshot=snapshot, entries=(*copy.entries, recovery_entry, membership_entry)
+    )
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -1,4 +1,4 @@
-"""One replica of a shard: its Raft group, its state machine, and who waits for what."""
+"""One replica of a shard: its Raft group, its state machine and its pending requests."""
 
 from __future__ import annotations
 
@@ -30,8 +30,8 @@
 from yokeline.messages.types import ShardLeader
 from yokeline.runs.model import Command
 from yokeline.runs.state_machine import ApplyResult, RunStateMachine
-from yokeline.shards.disk import StoredShard
-from yokeline.shards.errors import leadership_lost, not_leading
+from yokeline.shards.copy_format import StoredShard
+from yokeline.shards.errors import leadership_lost, not_leader
 from yokeline.shards.lineage import is_obsolete
 
 ProposalDone = Callable[[Result[ApplyResult, YokelineError]], None]
@@ -39,28 +39,28 @@
 
 
 class ReplicaObserver(Protocol):
-    """What a replica reports to its host."""
+    """Receives the events of a replica."""
 
     def replica_sends(self, shard: ShardId, to: ReplicaId, message: RaftMessage) -> None:
-        """A message is to be sent."""
+        """The replica sends a message."""
         ...
 
-    def replica_gained(self, replica: ShardReplica) -> None:
-        """The replica leads, and everything committed before is applied."""
+    def replica_gained_leadership(self, replica: ShardReplica) -> None:
+        """The replica leads and has applied everything committed before."""
         ...
 
-    def replica_lost(self, replica: ShardReplica) -> None:
-        """The replica leads no longer."""
+    def replica_lost_leadership(self, replica: ShardReplica) -> None:
+        """The replica no longer leads."""
         ...
 
-    def replica_changed(self, replica: ShardReplica) -> None:
-        """Role, leader or members of the replica changed."""
+    def replica_state_changed(self, replica: ShardReplica) -> None:
+        """The role, leader or members of the replica changed."""
         ...
 
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
-        """Another configuration was committed; it leaves ``removed`` out."""
+        """A configuration was committed that no longer includes ``removed``."""
         ...
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
@@ -72,7 +72,7 @@
         ...
 
     def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """The state was replaced by a snapshot of the leader."""
+        """A snapshot replaced the state of the replica."""
         ...
 
 
@@ -82,15 +82,15 @@
 
 
 class ShardReplica:
-    """Carries out the effects of one group, in order and never nested.
+    """Carries out the effects of one Raft group, in order and without recursion.
 
     Attributes:
         shard: The shard.
         group: The Raft group.
         machine: State after the entry ``applied_index``.
-        committed_members: Members by the last applied configuration.
-        hard_state: What must be remembered if this replica leaves the group.
-        heard_at: When the last message of the group came.
+        committed_members: Members of the last applied configuration.
+        hard_state: Term and vote, to be kept after the replica has left the group.
+        last_message_at: Monotonic time at which the last message of the group arrived.
     """
 
     def __init__(
@@ -101,20 +101,20 @@
         snapshot_entries: int,
         hard_state: HardState,
     ) -> None:
-        """Run ``group``; compact its log after ``snapshot_entries`` entries."""
+        """Run ``group``; compact its log after every ``snapshot_entries`` entries."""
         self.shard = shard
         self.group = group
         self.machine = RunStateMachine()
         self.applied_index = 0
         self.committed_members = group.members
         self.hard_state = hard_state
-        self.heard_at = 0.0
+        self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
         self._ready_term: int | None = None
-        self._gained_reported = False
+        self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
-        self._carrying_out = False
+        self._is_carrying_out = False
         self._proposals: dict[int, _PendingProposal] = {}
         self._reads: dict[str, ReadDone] = {}
         self._next_read = 0
@@ -126,59 +126,60 @@
         return group.role is RaftRole.LEADER and group.term == self._ready_term
 
     @property
-    def membership_settled(self) -> bool:
-        """Whether the members in force are committed and applied."""
+    def membership_applied(self) -> bool:
+        """Whether the configuration in force is committed and applied."""
         return set(self.committed_members) == set(self.group.members)
 
     @property
-    def busy(self) -> bool:
-        """Whether effects are being carried out (we are inside a callback of them)."""
-        return self._carrying_out
+    def is_carrying_out(self) -> bool:
+        """Whether effects are being carried out, so that the caller runs in a callback of one."""
+        return self._is_carrying_out
 
     @property
     def announced_members(self) -> tuple[ReplicaId, ...]:
-        """Members as a leader tells them: nobody that may still count is left out."""
-        if self.membership_settled:
+        """Members that a leader announces: during a change, those of both configurations."""
+        if self.membership_applied:
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
 
-    def removed_by(self, news: ShardLeader) -> bool:
-        """Return whether a leader's news prove that this replica was removed for good.
+    def is_removed_by(self, update: ShardLeader) -> bool:
+        """Return whether a leader update proves that this replica was removed permanently.
 
-        A removed replica may never see the entry that removes it, and one that is added
-        again passes its old removal while it catches up, so that its own log proves nothing.
-        News without this replica say that no configuration with it was in force at the
-        leader when everything up to ``news.revision`` was committed: a quorum of others
-        holds all that. If our log ends there or earlier, nobody depends on what we hold.
+        The local log proves nothing: a removed replica may never receive the entry that removes
+        it, and a replica that is added again replays its earlier removal while it catches up.
+        An update without this replica means that no configuration with it was in force at the
+        leader when everything up to ``update.revision`` was committed, so that a quorum of other
+        members holds those entries. If the local log ends at this index or before, no member
+        depends on this replica.
 
-        News of a higher lineage always do: a recovery has replaced the group.
+        An update of a higher lineage is always a proof: a recovery has replaced the group.
         """
-        if is_obsolete(self.group.term, news.term):
+        if is_obsolete(self.group.term, update.term):
             return True
-        if self.group.replica in news.members or not news.members:
+        if self.group.replica in update.members or not update.members:
             return False
-        if self.group.role is RaftRole.LEADER or news.term < self.group.term:
+        if self.group.role is RaftRole.LEADER or update.term < self.group.term:
             return False
-        return news.revision >= self.group.last_index
+        return update.revision >= self.group.last_index
 
     # ------------------------------------------------------------ requests
 
     def propose(self, command: Command, now: float, done: ProposalDone) -> None:
-        """Append a command; ``done`` gets its outcome, perhaps before this returns."""
+        """Append a command; ``done`` gets its outcome, possibly before this returns."""
         if not self.leads:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
             return
         proposal = self.group.propose(encode_command(command), now)
         if proposal.accepted:
             self._proposals[proposal.index] = _PendingProposal(proposal.term, done)
         self.carry_out(proposal.effects)
         if not proposal.accepted:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
 
     def read(self, now: float, done: ReadDone) -> None:
-        """Hand over the state machine once this replica is known to still lead."""
+        """Pass the state machine to ``done`` once this replica is known to still lead."""
         if not self.leads:
-            done(Failure(not_leading(self.shard)))
+            done(Failure(not_leader(self.shard)))
             return
         self._next_read += 1
         token = str(self._next_read)
@@ -186,23 +187,23 @@
         self.carry_out(self.group.read(token, now))
 
     def change_members(self, proposal: Proposal) -> bool:
-        """Carry out the outcome of a proposed membership change; return if accepted."""
+        """Carry out the effects of a proposed membership change; return whether accepted."""
         self.carry_out(proposal.effects)
         return proposal.accepted
 
     # ------------------------------------------------------------ effects
 
     def carry_out(self, effects: Iterable[RaftEffect]) -> None:
-        """Carry effects out after those that are under way already."""
+        """Carry out effects, after those that are already queued."""
         self._queue.extend(effects)
-        if self._carrying_out:
+        if self._is_carrying_out:
             return
-        self._carrying_out = True
+        self._is_carrying_out = True
         try:
             while self._queue:
                 self._carry_out_one(self._queue.popleft())
         finally:
-            self._carrying_out = False
+            self._is_carrying_out = False
 
     def _carry_out_one(self, effect: RaftEffect) -> None:
         match effect:
@@ -215,11 +216,11 @@
             case RoleChanged():
                 self._role_changed(effect)
             case MembersChanged():
-                self._observer.replica_changed(self)
+                self._observer.replica_state_changed(self)
             case ReadReady():
-                self._finish_read(effect.token, Success(self.machine))
+                self._complete_read(effect.token, Success(self.machine))
             case ReadFailed():
-                self._finish_read(effect.token, Failure(not_leading(self.shard)))
+                self._complete_read(effect.token, Failure(not_leader(self.shard)))
             case HardStateChanged():
                 self.hard_state = effect.hard_state
             case _:
@@ -227,24 +228,24 @@
 
     def _role_changed(self, change: RoleChanged) -> None:
         still_leads = change.role is RaftRole.LEADER and change.term == self._ready_term
-        if self._gained_reported and not still_leads:
-            self._transition_lost()
+        if self._leadership_reported and not still_leads:
+            self._transition_not_leading()
         if change.role is not RaftRole.LEADER:
-            self._fail_waiting()
-        self._observer.replica_changed(self)
+            self._fail_pending()
+        self._observer.replica_state_changed(self)
 
-    def _transition_gained(self, term: int) -> None:
+    def _transition_leading(self, term: int) -> None:
         self._ready_term = term
-        self._gained_reported = True
-        self._observer.replica_gained(self)
+        self._leadership_reported = True
+        self._observer.replica_gained_leadership(self)
 
-    def _transition_lost(self) -> None:
+    def _transition_not_leading(self) -> None:
         self._ready_term = None
-        self._gained_reported = False
-        self._observer.replica_lost(self)
+        self._leadership_reported = False
+        self._observer.replica_lost_leadership(self)
 
-    def _fail_waiting(self) -> None:
-        """Answer everything that waits for an outcome which this replica will not learn."""
+    def _fail_pending(self) -> None:
+        """Fail the proposals and reads whose outcome this replica will not learn."""
         proposals = self._proposals
         reads = self._reads
         self._proposals = {}
@@ -252,9 +253,9 @@
         for proposal in proposals.values():
             proposal.done(Failure(leadership_lost(self.shard)))
         for read in reads.values():
-            read(Failure(not_leading(self.shard)))
+            read(Failure(not_leader(self.shard)))
 
-    def _finish_read(self, token: str, result: Result[RunStateMachine, YokelineError]) -> None:
+    def _complete_read(self, token: str, result: Result[RunStateMachine, YokelineError]) -> None:
         done = self._reads.pop(token, None)
         if done is not None:
             done(result)
@@ -280,8 +281,8 @@
                 pass
             case _:
                 assert_never(entry.kind)
-        if self._leads_term(entry.term) and not self._gained_reported:
-            self._transition_gained(entry.term)
+        if self._leads_term(entry.term) and not self._leadership_reported:
+            self._transition_leading(entry.term)
 
     def _leads_term(self, term: int) -> bool:
         return self.group.role is RaftRole.LEADER and self.group.term == term
@@ -289,7 +290,7 @@
     def _apply_command(self, entry: LogEntry) -> None:
         decoded = decode_command(entry.command)
         if not isinstance(decoded, Success):
-            # Skipping it would let this replica's state differ from the others': stop instead.
+            # Skipping the entry would make this replica diverge from the others.
             raise YokelineException(decoded.failure())
         command = decoded.unwrap()
         result = self.machine.apply(command)
@@ -300,14 +301,14 @@
         if pending.term == entry.term:
             pending.done(Success(result))
         else:
-            pending.done(Failure(not_leading(self.shard)))
+            pending.done(Failure(not_leader(self.shard)))
 
     def _restore(self, snapshot: Snapshot) -> None:
         self.machine = RunStateMachine.restore(snapshot.data)
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
         self._observer.replica_restored(self, snapshot)
-        self._observer.replica_changed(self)
+        self._observer.replica_state_changed(self)
 
     def _compact_if_due(self) -> None:
         snapshot = self.group.snapshot
@@ -315,8 +316,8 @@
         if self.applied_index - compacted_index >= self._snapshot_entries:
             self.group.compact(self.applied_index, self.machine.snapshot())
 
-    def copy(self) -> StoredShard:
-        """Return all that is in the log here, committed or not, as a copy to start from."""
+    def export_copy(self) -> StoredShard:
+        """Return the snapshot and the log, including uncommitted entries, as a copy."""
         empty = Snapshot(0, 0, self.group.members, RunStateMachine().snapshot())
         snapshot = self.group.snapshot or empty
         return StoredShard(
@@ -327,7 +328,7 @@
         )
 
     def close(self) -> None:
-        """Answer everything that waits; the replica leaves its group."""
-        if self._gained_reported:
-            self._transition_lost()
-        self._fail_waiting()
+        """Fail all pending requests, because the replica leaves its group."""
+        if self._leadership_reported:
+            self._transition_not_leading()
+        self._fail_pending()
--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -1,4 +1,4 @@
-"""What the admin API shows of the shards of a node."""
+"""Status of a node's shard replicas, for the admin API."""
 
 from __future__ import annotations
 
@@ -13,27 +13,28 @@
 
 
 class ShardState(enum.Enum):
-    """Whether a shard serves, as this node sees it."""
+    """Availability of a shard, as this node sees it."""
 
     LEADING = "leading"
-    """This node leads it: a quorum answered its last messages."""
+    """This node leads the shard; a quorum answered its last messages."""
     FOLLOWING = "following"
     ELECTING = "electing"
     """No leader is known at this moment."""
     MAJORITY_LOST = "majority_lost"
-    """So many members are dead that no quorum is left: it stays unavailable until enough of
-    them return, or until an operator recovers it (``yokeline recover``)."""
+    """Too many members are dead for a quorum: the shard is unavailable until enough of them
+    return or an operator recovers it (``yokeline recover``).
+    """
 
 
 class ShardStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """One replica of a shard.
+    """Status of one shard replica.
 
     Attributes:
-        members: Members by the last committed configuration.
-        dead: Those of them that are dead.
-        applied_index: Last log entry applied here.
-        log_entries: Entries kept since the last compaction.
-        runs: Runs in the shard.
+        members: Members of the last committed configuration.
+        dead: Members that are dead.
+        applied_index: Index of the last log entry applied here.
+        log_entries: Number of entries kept since the last compaction.
+        runs: Number of runs in the shard.
     """
 
     shard: ShardId
@@ -55,7 +56,7 @@
     dead = tuple(member for member in members if is_dead(member))
     return ShardStatus(
         shard=replica.shard,
-        state=_state(replica, lost=lost_majority(members, is_dead)),
+        state=_state(replica, lost=has_lost_majority(members, is_dead)),
         role=group.role.value,
         term=group.term,
         leader=group.leader,
@@ -67,7 +68,7 @@
     )
 
 
-def lost_majority(members: tuple[ReplicaId, ...], is_dead: Callable[[ReplicaId], bool]) -> bool:
+def has_lost_majority(members: tuple[ReplicaId, ...], is_dead: Callable[[ReplicaId], bool]) -> bool:
     """Return whether so many members are dead that no quorum is left."""
     living = sum(1 for member in members if not is_dead(member))
     return living < len(members) // 2 + 1
@@ -78,6 +79,6 @@
     if lost:
         return ShardState.MAJORITY_LOST
     if group.role is RaftRole.LEADER:
-        # A leader that a majority does not answer resigns by itself; an idle one has no lease.
+        # The lease is not checked: an idle leader has none, and one without a quorum steps down.
         return ShardState.LEADING
     return ShardState.ELECTING if group.leader is None else ShardState.FOLLOWING
--- a/src/yokeline/shards/targets.py
+++ b/src/yokeline/shards/targets.py
@@ -1,4 +1,4 @@
-"""Which node a request is sent to."""
+"""Choice of the node that a request is sent to."""
 
 from __future__ import annotations
 
@@ -8,38 +8,39 @@
 
 
 class TargetChooser:
-    """Chooses by what this node believes of the shards' leaders."""
+    """Chooses targets by the leaders and members that this node knows."""
 
     def __init__(self, own: ReplicaId, host: ShardHost) -> None:
-        """Choose for the node ``own``."""
+        """Choose targets for requests of the node ``own``."""
         self._own = own
         self._host = host
 
     def choose(self, pending: PendingRequest) -> ReplicaId | None:
-        """Return the node to ask: the leader, else one that may know it; None to wait."""
+        """Return the leader, else a node that may know the leader; None to wait."""
         if self._host.leads(pending.shard):
             return self._own
         leader = self._host.leader_of(pending.shard)
-        if leader is not None and self._may_ask(leader.leader, pending):
+        if leader is not None and self._is_candidate(leader.leader, pending):
             return leader.leader
-        return self._someone_who_may_know(pending)
+        return self._fallback_target(pending)
 
-    def _may_ask(self, replica: ReplicaId, pending: PendingRequest) -> bool:
-        if replica in (self._own, pending.refused_by):
+    def _is_candidate(self, replica: ReplicaId, pending: PendingRequest) -> bool:
+        if replica in (self._own, pending.rejected_by):
             return False
         return not self._host.is_dead(replica)
 
-    def _someone_who_may_know(self, pending: PendingRequest) -> ReplicaId | None:
-        """Return a member of the group, else any node: its refusal carries a hint.
+    def _fallback_target(self, pending: PendingRequest) -> ReplicaId | None:
+        """Return a member of the group, else any live node: its rejection names the leader.
 
-        A node that is a member itself learns of the next leader as soon as the others do.
+        A node that is a member itself waits, since it learns of a new leader as early as the other
+        members do.
         """
         members = self._host.members_of(pending.shard)
         if self._own in members:
             return None
-        asked = [member for member in members if self._may_ask(member, pending)]
-        if not asked:
+        candidates = [member for member in members if self._is_candidate(member, pending)]
+        if not candidates:
             alive = self._host.alive_nodes()
-            asked = [replica for replica in alive if self._may_ask(replica, pending)]
-        turn = pending.attempts + pending.resends
-        return asked[turn % len(asked)] if asked else None
+            candidates = [replica for replica in alive if self._is_candidate(replica, pending)]
+        attempt = pending.attempts + pending.resends
+        return candidates[attempt % len(candidates)] if candidates else None
--- a/tests/unit/shards/test_disk.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -11,7 +11,7 @@
 from yokeline.identifiers import ReplicaId, ShardId
 from yokeline.messages.codec import decode_command
 from yokeline.runs.state_machine import RunStateMachine
-from yokeline.shards.disk import (
+from yokeline.shards.copy_format import (
     StoredShard,
     decode_shard,
     encode_entries,
@@ -19,7 +19,7 @@
     log_file,
     snapshot_file,
 )
-from yokeline.shards.removed import KEPT_SECONDS
+from yokeline.shards.removed_replicas import LOG_RETENTION_SECONDS
 
 SHARD = ShardId(3)
 NODE = ReplicaId("node~1")
@@ -34,7 +34,7 @@
     )
 
 
-class DiskFormatTest(unittest.TestCase):
+class CopyFormatTest(unittest.TestCase):
     def test_files_round_trip_and_entries_in_the_snapshot_are_left_out(self) -> None:
         log = encode_entries(entries(9, 11)) + encode_entries(entries(12, 13))
         stored = decode_shard(SHARD, SNAPSHOT_DATA, log).unwrap()
@@ -42,14 +42,14 @@
         self.assertEqual(stored.entries, entries(11, 13))
         self.assertEqual((stored.replica, stored.last_index, stored.cut_bytes), (NODE, 13, 0))
 
-    def test_torn_tail_is_cut_wherever_it_is_torn(self) -> None:
-        whole = encode_entries(entries(11, 12))
+    def test_torn_tail_is_truncated_at_every_length(self) -> None:
+        full_log = encode_entries(entries(11, 12))
         first = len(encode_entries(entries(11, 11)))
-        for length in range(first, len(whole)):
-            stored = decode_shard(SHARD, SNAPSHOT_DATA, whole[:length]).unwrap()
+        for length in range(first, len(full_log)):
+            stored = decode_shard(SHARD, SNAPSHOT_DATA, full_log[:length]).unwrap()
             self.assertEqual(stored.entries, entries(11, 11))
             self.assertEqual(stored.cut_bytes, length - first)
-        padded = decode_shard(SHARD, SNAPSHOT_DATA, whole + bytes(64)).unwrap()
+        padded = decode_shard(SHARD, SNAPSHOT_DATA, full_log + bytes(64)).unwrap()
         self.assertEqual(padded.entries, entries(11, 12))
 
     def test_every_damaged_byte_is_refused_with_a_remedy(self) -> None:
@@ -62,7 +62,7 @@
             damaged = SNAPSHOT_DATA[:position] + flipped + SNAPSHOT_DATA[position + 1 :]
             self.assert_refused(damaged, log, snapshot_file(SHARD))
 
-    def test_gap_and_foreign_or_cut_snapshot_are_refused(self) -> None:
+    def test_log_gap_and_foreign_or_truncated_snapshot_are_refused(self) -> None:
         self.assert_refused(SNAPSHOT_DATA, encode_entries(entries(12, 13)), log_file(SHARD))
         self.assert_refused(SNAPSHOT_DATA[:-1], b"", snapshot_file(SHARD))
         other = encode_snapshot(ShardId(4), NODE, SNAPSHOT)
@@ -105,7 +105,7 @@
     data_folder = "data"
 
 
-class DiskWriterTest(unittest.TestCase):
+class CopyWriterTest(unittest.TestCase):
     def restored_runs(self, stored: StoredShard) -> set[str]:
         machine = RunStateMachine.restore(stored.snapshot.data)
         for entry in stored.entries:
@@ -134,8 +134,8 @@
         cluster.run(6.0)
         crashed = next(node for node in cluster.nodes.values() if not node.host.led_shards())
         assert isinstance(crashed, DiskNode)
-        cluster.kill(crashed.context.replica)
-        restarted = cluster.start(crashed.context.name, crashed.context.zone, start=1)
+        cluster.crash_node(crashed.context.replica)
+        restarted = cluster.start_node(crashed.context.name, crashed.context.zone, start=1)
         assert isinstance(restarted, DiskNode)
         restarted.files.update(crashed.files)
         cluster.run(2.0)
@@ -153,8 +153,8 @@
         node = cluster.leader(0)
         assert isinstance(node, DiskNode)
         self.assertEqual(len(node.files), 2)
-        cluster.leave(node)
-        cluster.run(12.0 + KEPT_SECONDS)
+        cluster.begin_drain(node)
+        cluster.run(12.0 + LOG_RETENTION_SECONDS)
         self.assertEqual(node.files, {})
 
 
