--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -80,9 +80,9 @@
     """
     if run.status is not RunStatus.ACTIVE:
         return None
-    under_way = rules.call_under_way(run)
-    if under_way is not None:
-        return RecoverCall(call=under_way)
+    in_flight = rules.in_flight_call(run)
+    if in_flight is not None:
+        return RecoverCall(call=in_flight)
     unknown = rules.unknown_call_of_turn(run)
     if unknown is not None and unknown.error is not None:
         return ended_with(run, unknown.error)
--- a/src/yokeline/runs/rules.py
+++ b/src/yokeline/runs/rules.py
@@ -42,7 +42,7 @@
     return run.calls[-1] if run.calls else None
 
 
-def call_under_way(run: Run) -> CallRecord | None:
+def in_flight_call(run: Run) -> CallRecord | None:
     """Return the call that has started and not finished, if there is one."""
     call = last_call(run)
     if call is None or call.status is not CallStatus.STARTED:
@@ -126,7 +126,7 @@
     """Check that a parent has a started child call that waits for this child."""
     if parent is None or is_final(parent):
         return Failure(conflict(child, "no parent waits for this child"))
-    call = call_under_way(parent)
+    call = in_flight_call(parent)
     if call is None or call.kind is not CallKind.CHILD or call.backend != child:
         return Failure(conflict(parent.run, f"no started call waits for child {child}"))
     if parent.spec.tenant != tenant:
@@ -153,7 +153,7 @@
         return Failure(conflict(run.run, f"call {command.number} is not the next one"))
     if command.attempt != 1:
         return Failure(conflict(run.run, "the first attempt of a call has number 1"))
-    if call_under_way(run) is not None:
+    if in_flight_call(run) is not None:
         return Failure(conflict(run.run, "the call before has not finished"))
     if unknown_call_of_turn(run) is not None:
         return Failure(conflict(run.run, "the outcome of the call before is unknown"))
@@ -180,7 +180,7 @@
         command: The outcome.
         child: For a child call: the child run, if it exists.
     """
-    call = call_under_way(run)
+    call = in_flight_call(run)
     if is_final(run) or call is None:
         return Failure(conflict(run.run, "no call is under way"))
     if (command.number, command.attempt) != (call.number, call.attempt):
@@ -204,7 +204,7 @@
         return Failure(conflict(run.run, f"the run is {run.status.value}"))
     if command.status not in FINISH_STATUSES:
         return Failure(conflict(run.run, f"a run is not finished as {command.status.value}"))
-    if call_under_way(run) is not None:
+    if in_flight_call(run) is not None:
         return Failure(conflict(run.run, "a call is under way"))
     if command.status is RunStatus.IDLE and not run.spec.conversation:
         return Failure(conflict(run.run, "only a conversation becomes idle"))
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -215,7 +215,7 @@
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
-        call = rules.call_under_way(run)
+        call = rules.in_flight_call(run)
         child = self.runs.get(RunId(call.backend)) if call is not None else None
         check = rules.check_call_finished(run, command, child)
         if isinstance(check, Failure) or call is None:
@@ -295,7 +295,7 @@
             budget.settle(member, reserved, usage)
 
     def _cancel(self, run: Run, command: CancelRun) -> None:
-        call = rules.call_under_way(run)
+        call = rules.in_flight_call(run)
         status = RunStatus.CANCELLED
         if call is not None and self._leaves_doubt(call):
             status = RunStatus.OUTCOME_UNKNOWN
@@ -307,7 +307,7 @@
     def _end_in_doubt(self, run: Run, wall: float) -> None:
         """End a run of which nobody knows how far it went."""
         set_answer(run, "", lost_with_majority())
-        call = rules.call_under_way(run)
+        call = rules.in_flight_call(run)
         if call is not None:
             self._abandon_call(run, call, wall)
         end_run(run, RunStatus.OUTCOME_UNKNOWN, wall)
--- a/tests/property/test_run_state_machine.py
+++ b/tests/property/test_run_state_machine.py
@@ -322,11 +322,11 @@
         for run in self.machine.runs.values():
             numbers = [call.number for call in run.calls]
             self._require(numbers == list(range(1, len(numbers) + 1)), "calls out of order")
-            under_way = [call for call in run.calls if call.status is CallStatus.STARTED]
-            self._require(len(under_way) <= 1, "two calls under way in one run")
-            self._require(not under_way or under_way[0] is run.calls[-1], "an old call is open")
+            in_flight = [call for call in run.calls if call.status is CallStatus.STARTED]
+            self._require(len(in_flight) <= 1, "two calls under way in one run")
+            self._require(not in_flight or in_flight[0] is run.calls[-1], "an old call is open")
             if run.status is not RunStatus.ACTIVE:
-                self._require(not under_way, "a call is under way in a run that has ended")
+                self._require(not in_flight, "a call is under way in a run that has ended")
 
     @invariant()
     def budgets_add_up(self) -> None:
--- a/tests/unit/runs/support.py
+++ b/tests/unit/runs/support.py
@@ -111,7 +111,7 @@
     def __init__(self, *names: str) -> None:
         self.addresses = {name: Address(f"10.0.0.{n}", 80) for n, name in enumerate(names, start=1)}
         self.room = True
-        self.under_way: dict[str, str] = {}
+        self.in_flight: dict[str, str] = {}
         self.demands: list[CallDemand] = []
         self.policy = make_policy("affinity")
         self.clock: Callable[[], float] = lambda: 0.0
@@ -132,7 +132,7 @@
         return self.addresses.get(engine)
 
     def call_sent(self, engine: str, _demand: CallDemand, call_id: str) -> None:
-        self.under_way[call_id] = engine
+        self.in_flight[call_id] = engine
 
     def call_ended(
         self,
@@ -143,10 +143,10 @@
         ok: bool,
         completion_tokens: int = 0,
     ) -> None:
-        self.under_way.pop(call_id, None)
+        self.in_flight.pop(call_id, None)
 
     def text_received(self, call_id: str) -> None:
-        assert call_id in self.under_way
+        assert call_id in self.in_flight
 
     def order(self, waiting: Sequence[CallDemand]) -> tuple[int, ...]:
         return self.policy.order(waiting, self.clock())
--- a/tests/unit/runs/test_executor.py
+++ b/tests/unit/runs/test_executor.py
@@ -71,7 +71,7 @@
         self.assertEqual(final.digest, answer_digest("one two!"))
         self.assertEqual(bench.result_run("WatchRun").status, RunStatus.SUCCEEDED)
         self.assertEqual(bench.run().spent.completion_tokens, 3)
-        self.assertEqual(bench.engines.under_way, {})
+        self.assertEqual(bench.engines.in_flight, {})
         self.assertEqual(len(bench.opened("DELETE", "/v1/cache/entries/run-1")), 1)
 
     def test_event_ids_rise_and_resume_gives_the_rest(self) -> None:
@@ -299,7 +299,7 @@
         self.assertEqual((bench.run().status, child.status), (RunStatus.CANCELLED,) * 2)
         self.assertEqual(len(bench.opened("DELETE", "/v1/calls/run-1.1-1-1")), 1)
         self.assertEqual(bench.executor.active_runs(), 0)
-        self.assertEqual(bench.engines.under_way, {})
+        self.assertEqual(bench.engines.in_flight, {})
 
     def test_stop_during_an_unrepeatable_call_says_unknown(self) -> None:
         bench = Bench()
