--- a/src/yokeline/runs/snapshot.py
+++ b/src/yokeline/runs/snapshot.py
@@ -1,4 +1,4 @@
-"""The runs of a shard as bytes, for snapshots of its log."""
+"""Serialization of a shard's state for log snapshots."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 from yokeline.identifiers import RunId
 from yokeline.runs.model import Run
-from yokeline.runs.recovery import Doubt
+from yokeline.runs.recovery import DoubtWindow
 
 
 class ShardContent(msgspec.Struct, frozen=True):
-    """All state of a shard.
+    """The state of a shard; the field names are stored in snapshots.
 
     Attributes:
-        runs: In the order of their ids.
-        doubt: What is in doubt since the shard was recovered from a copy.
+        runs: Runs ordered by id.
+        doubt: Doubt window of the last recovery.
     """
 
     runs: tuple[Run, ...]
-    doubt: Doubt = Doubt()
+    doubt: DoubtWindow = DoubtWindow()
 
 
-def encode_runs(runs: Mapping[RunId, Run], doubt: Doubt) -> bytes:
-    """Return a shard's state as bytes: equal states give equal bytes."""
+def encode_runs(runs: Mapping[RunId, Run], doubt_window: DoubtWindow) -> bytes:
+    """Encode a shard's state as MessagePack; equal states give equal bytes."""
     ordered = tuple(runs[run] for run in sorted(runs))
-    return ormsgpack.packb(msgspec.to_builtins(ShardContent(ordered, doubt)))
+    return ormsgpack.packb(msgspec.to_builtins(ShardContent(ordered, doubt_window)))
 
 
 def decode_runs(data: bytes) -> ShardContent:
-    """Return the state that :func:`encode_runs` was given.
+    """Decode the bytes of :func:`encode_runs`.
 
     Raises:
-        msgspec.ValidationError: The bytes are no such snapshot.
-        ormsgpack.MsgpackDecodeError: They are not even MessagePack.
+        msgspec.ValidationError: The content does not match :class:`ShardContent`.
+        ormsgpack.MsgpackDecodeError: The bytes are not MessagePack.
     """
     return msgspec.convert(ormsgpack.unpackb(data), ShardContent)
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -46,11 +46,11 @@
     Usage,
 )
 from yokeline.runs.recovery import (
-    Doubt,
-    goes_on,
-    is_under_way,
-    lost_with_majority,
-    turn_lost_with_majority,
+    DoubtWindow,
+    is_resumable,
+    may_have_advanced,
+    request_possibly_run,
+    turn_possibly_run,
 )
 from yokeline.runs.snapshot import decode_runs, encode_runs
 from yokeline.runs.tree import ancestors, descendants
@@ -76,13 +76,13 @@
 
     Attributes:
         runs: Runs by id. Read only for everybody else.
-        doubt: What is in doubt since the shard was recovered from a copy.
+        doubt_window: Doubt window of the last recovery from a copy.
     """
 
     def __init__(self) -> None:
         """Create a shard without runs."""
         self.runs: dict[RunId, Run] = {}
-        self.doubt = Doubt()
+        self.doubt_window = DoubtWindow()
 
     def apply(self, command: Command) -> ApplyResult:
         """Apply one committed command.
@@ -117,7 +117,7 @@
 
     def snapshot(self) -> bytes:
         """Return the whole state as bytes; equal states give equal bytes."""
-        return encode_runs(self.runs, self.doubt)
+        return encode_runs(self.runs, self.doubt_window)
 
     @classmethod
     def restore(cls, data: bytes) -> RunStateMachine:
@@ -125,7 +125,7 @@
         machine = cls()
         content = decode_runs(data)
         machine.runs = {run.run: run for run in content.runs}
-        machine.doubt = content.doubt
+        machine.doubt_window = content.doubt
         return machine
 
     # ------------------------------------------------------------ transitions
@@ -145,8 +145,8 @@
             return _rejected(command.run, conflict(command.run, "a child names its parent"))
         run = created_run(command)
         self.runs[command.run] = run
-        if command.parent is None and self.doubt.covers_request(command.spec, command.wall):
-            self._end_in_doubt(run, command.wall)
+        if command.parent is None and self.doubt_window.covers_request(command.spec, command.wall):
+            self._end_as_unknown(run, command.wall)
         return ApplyResult(accepted=True, run=command.run, created=True)
 
     def transition_add_turn(self, command: AddTurn) -> ApplyResult:
@@ -158,8 +158,8 @@
             return _checked(command.run, rules.check_same_turn(run, command))
         if run.status is not RunStatus.IDLE:
             return _rejected(command.run, conflict(run.run, f"the run is {run.status.value}"))
-        if self.doubt.covers_turn(run, command.wall):
-            return _rejected(command.run, turn_lost_with_majority())
+        if self.doubt_window.covers_turn(run, command.wall):
+            return _rejected(command.run, turn_possibly_run())
         run.history.append(ChatMessage(role=Role.USER, content=command.input))
         run.turn += 1
         run.turn_keys.append(command.turn_key)
@@ -272,15 +272,15 @@
         return ApplyResult(accepted=True, run=None)
 
     def transition_recover_shard(self, command: RecoverShard) -> ApplyResult:
-        """End what may have gone further than the copy knows, and note what is in doubt."""
-        self.doubt = self.doubt.after(command)
+        """End runs that may have advanced beyond the copy and extend the doubt window."""
+        self.doubt_window = self.doubt_window.extended_by(command)
         for root in [run for run in self.runs.values() if run.parent is None]:
             tree = descendants(self.runs, root)
-            if goes_on(tree):
+            if is_resumable(tree):
                 continue
             for member in reversed(tree):
-                if is_under_way(member):
-                    self._end_in_doubt(member, command.wall)
+                if may_have_advanced(member):
+                    self._end_as_unknown(member, command.wall)
         return ApplyResult(accepted=True, run=None)
 
     # ------------------------------------------------------------ parts of transitions
@@ -297,23 +297,23 @@
     def _cancel(self, run: Run, command: CancelRun) -> None:
         call = rules.in_flight_call(run)
         status = RunStatus.CANCELLED
-        if call is not None and self._leaves_doubt(call):
+        if call is not None and self._may_have_effect(call):
             status = RunStatus.OUTCOME_UNKNOWN
         set_answer(run, "", rules.truthful(run, command.error))
         if call is not None:
             self._abandon_call(run, call, command.wall)
         end_run(run, status, command.wall)
 
-    def _end_in_doubt(self, run: Run, wall: float) -> None:
-        """End a run of which nobody knows how far it went."""
-        set_answer(run, "", lost_with_majority())
+    def _end_as_unknown(self, run: Run, wall: float) -> None:
+        """End a run that may have advanced beyond its known state."""
+        set_answer(run, "", request_possibly_run())
         call = rules.in_flight_call(run)
         if call is not None:
             self._abandon_call(run, call, wall)
         end_run(run, RunStatus.OUTCOME_UNKNOWN, wall)
 
-    def _leaves_doubt(self, call: CallRecord) -> bool:
-        """Return whether a call under way may have an effect that will not be undone."""
+    def _may_have_effect(self, call: CallRecord) -> bool:
+        """Return whether an in-flight call may have an effect that cannot be undone."""
         if call.kind is not CallKind.CHILD:
             return not call.repeatable
         child = self.runs.get(RunId(call.backend))
