--- a/src/yokeline/runs/budget.py
+++ b/src/yokeline/runs/budget.py
@@ -144,9 +144,9 @@
     run.spent = run.spent.plus(usage)
 
 
-def charged_usage(usage: Usage, *, surely_not_run: bool) -> Usage:
-    """Return the usage to charge for an attempt; one call unless it surely did not run."""
-    return msgspec.structs.replace(usage, calls=0 if surely_not_run else 1)
+def charged_usage(usage: Usage, *, definitely_not_run: bool) -> Usage:
+    """Return the usage to charge for an attempt: one call unless it definitely did not run."""
+    return msgspec.structs.replace(usage, calls=0 if definitely_not_run else 1)
 
 
 def smaller_budget(left: Budget, right: Budget) -> Budget:
--- a/src/yokeline/runs/changes.py
+++ b/src/yokeline/runs/changes.py
@@ -18,7 +18,7 @@
     Run,
     RunStatus,
 )
-from yokeline.runs.rules import not_run
+from yokeline.runs.rules import as_not_run
 
 
 def created_run(command: CreateRun) -> Run:
@@ -43,7 +43,7 @@
         created_wall=command.wall,
         turn_started_wall=command.wall,
         finished_wall=command.wall,
-        error=not_run(command.error),
+        error=as_not_run(command.error),
     )
 
 
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -198,7 +198,7 @@
             self._core.end_and_drive(activity)
         elif activity.stage is Stage.SENDING:
             activity.cancel()
-            outcome = CallOutcome(status=CallStatus.FAILED, error=rules.not_run(error))
+            outcome = CallOutcome(status=CallStatus.FAILED, error=rules.as_not_run(error))
             self._core.finish_call(activity, outcome)
         elif activity.stage is Stage.CALLING and activity.repeatable:
             self._give_up(activity, run.calls[-1], error)
--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -83,7 +83,7 @@
     in_flight = rules.in_flight_call(run)
     if in_flight is not None:
         return RecoverCall(call=in_flight)
-    unknown = rules.unknown_call_of_turn(run)
+    unknown = rules.unknown_outcome_call(run)
     if unknown is not None and unknown.error is not None:
         return ended_with(run, unknown.error)
     answer = turn_answer(run)
--- a/src/yokeline/runs/rules.py
+++ b/src/yokeline/runs/rules.py
@@ -1,4 +1,7 @@
-"""Which commands a run's state allows. Pure checks; ``state_machine`` applies what passes."""
+"""Validation of commands against a run's state.
+
+The functions are pure; ``runs.state_machine`` applies the commands that pass.
+"""
 
 from __future__ import annotations
 
@@ -28,30 +31,30 @@
 
 Check = Result[None, YokelineError]
 FINISH_STATUSES = FINAL_STATUSES - {RunStatus.CANCELLED, RunStatus.REFUSED} | {RunStatus.IDLE}
-"""Statuses that a run can be finished with; the others have commands of their own."""
+"""Statuses that ``FinishRun`` can set; the other final statuses have their own commands."""
 CALLS_PER_RESERVATION = 1
 
 
 def is_final(run: Run) -> bool:
-    """Return whether nothing more will ever happen in a run."""
+    """Return whether a run can no longer change."""
     return run.status in FINAL_STATUSES
 
 
 def last_call(run: Run) -> CallRecord | None:
-    """Return the run's newest call."""
+    """Return a run's latest call, if any."""
     return run.calls[-1] if run.calls else None
 
 
 def in_flight_call(run: Run) -> CallRecord | None:
-    """Return the call that has started and not finished, if there is one."""
+    """Return the call that has started and not finished, if any."""
     call = last_call(run)
     if call is None or call.status is not CallStatus.STARTED:
         return None
     return call
 
 
-def unknown_call_of_turn(run: Run) -> CallRecord | None:
-    """Return the current turn's call whose outcome is unknown, if there is one."""
+def unknown_outcome_call(run: Run) -> CallRecord | None:
+    """Return the current turn's last call if its outcome is unknown."""
     call = last_call(run)
     if call is None or call.status is not CallStatus.UNKNOWN:
         return None
@@ -59,9 +62,10 @@
 
 
 def execution_of(run: Run) -> Execution:
-    """Return what may be said of a run that ends without an answer.
+    """Return what is known about the effects of a run's calls.
 
-    ``NOT_RUN`` only if no call has started or each was surely refused by its back end.
+    The result is ``NOT_RUN`` if no call has started, or if every call was definitely refused
+    by its back end; otherwise ``UNKNOWN``.
     """
     if all(not may_have_run(call) for call in run.calls):
         return Execution.NOT_RUN
@@ -69,19 +73,19 @@
 
 
 def may_have_run(call: CallRecord) -> bool:
-    """Return whether some attempt of a call may have had an effect."""
+    """Return whether any attempt of a call may have had an effect."""
     return call.may_have_run or call.status is CallStatus.STARTED
 
 
-def surely_not_run(status: CallStatus, error: YokelineError | None) -> bool:
-    """Return whether an attempt's outcome says that the back end did nothing."""
+def definitely_not_run(status: CallStatus, error: YokelineError | None) -> bool:
+    """Return whether an attempt's outcome proves that the back end did nothing."""
     if status is not CallStatus.FAILED or error is None:
         return False
     return error.execution is Execution.NOT_RUN
 
 
 def check_same_request(run: Run, spec: RunSpec) -> Check:
-    """Check that a repeated request is the one that made the run."""
+    """Check that a repeated request matches the one that created the run."""
     same_owner = run.spec.tenant == spec.tenant and run.spec.program == spec.program
     if not same_owner or run.spec.request_digest != spec.request_digest:
         return Failure(key_reused())
@@ -89,14 +93,14 @@
 
 
 def check_same_turn(run: Run, command: AddTurn) -> Check:
-    """Check that a repeated turn carries the input that it had the first time."""
+    """Check that a repeated turn has the same input as the first time."""
     inputs = [message.content for message in run.history if message.role is Role.USER]
     first_input = inputs[run.turn_keys.index(command.turn_key) + 1]
     return Success(None) if first_input == command.input else Failure(key_reused())
 
 
 def check_refuse(run: Run, spec: RunSpec) -> Check:
-    """Check that a known run may be refused: it is the same request and nothing started."""
+    """Check that an existing run may be refused: same request, and no call has started."""
     same = check_same_request(run, spec)
     if isinstance(same, Failure):
         return same
@@ -107,13 +111,17 @@
     return Success(None)
 
 
-def not_run(error: YokelineError) -> YokelineError:
-    """Return the error with the statement that nothing was run."""
+def as_not_run(error: YokelineError) -> YokelineError:
+    """Return the error with ``execution`` set to ``NOT_RUN``."""
     return msgspec.structs.replace(error, execution=Execution.NOT_RUN)
 
 
-def truthful(run: Run, error: YokelineError | None) -> YokelineError | None:
-    """Return the error without a claim of ``NOT_RUN`` that the run's calls do not support."""
+def with_known_execution(run: Run, error: YokelineError | None) -> YokelineError | None:
+    """Return the error with its ``execution`` corrected by what the run's calls show.
+
+    An error is ``NOT_RUN`` if and only if the calls prove it; other values are kept where the
+    calls leave the effect unknown.
+    """
     if error is None:
         return None
     known = execution_of(run)
@@ -123,26 +131,26 @@
 
 
 def check_child(parent: Run | None, child: RunId, tenant: str) -> Check:
-    """Check that a parent has a started child call that waits for this child."""
+    """Check that the parent's in-flight call is a child call for this child."""
     if parent is None or is_final(parent):
-        return Failure(conflict(child, "no parent waits for this child"))
+        return Failure(conflict(child, "the parent run does not exist or has ended"))
     call = in_flight_call(parent)
     if call is None or call.kind is not CallKind.CHILD or call.backend != child:
-        return Failure(conflict(parent.run, f"no started call waits for child {child}"))
+        return Failure(conflict(parent.run, f"no call is in flight for child {child}"))
     if parent.spec.tenant != tenant:
-        return Failure(conflict(parent.run, "a child belongs to its parent's tenant"))
+        return Failure(conflict(parent.run, "the child has a different tenant than its parent"))
     return Success(None)
 
 
 def check_call_started(run: Run, command: CallStarted) -> Check:
-    """Check that a call (or a further attempt of the last one) may start now."""
+    """Check that a new call, or another attempt of the last call, may start."""
     if run.status is not RunStatus.ACTIVE:
         return Failure(conflict(run.run, f"no call may start in a run that is {run.status.value}"))
     if not _valid_reservation(command.reserved):
-        return Failure(conflict(run.run, "a reservation is one call and nothing negative"))
+        return Failure(conflict(run.run, "a reservation needs calls=1 and no negative amounts"))
     last = last_call(run)
     if last is not None and command.fence < last.fence:
-        return Failure(conflict(run.run, "the fence is lower than that of the last call"))
+        return Failure(conflict(run.run, "the fence is lower than the last call's fence"))
     if last is not None and command.number == last.number:
         return _check_attempt(run, last, command)
     return _check_new_call(run, command)
@@ -150,71 +158,71 @@
 
 def _check_new_call(run: Run, command: CallStarted) -> Check:
     if command.number != len(run.calls) + 1:
-        return Failure(conflict(run.run, f"call {command.number} is not the next one"))
+        return Failure(conflict(run.run, f"{command.number} is not the next call number"))
     if command.attempt != 1:
-        return Failure(conflict(run.run, "the first attempt of a call has number 1"))
+        return Failure(conflict(run.run, "the first attempt of a call must have number 1"))
     if in_flight_call(run) is not None:
-        return Failure(conflict(run.run, "the call before has not finished"))
-    if unknown_call_of_turn(run) is not None:
-        return Failure(conflict(run.run, "the outcome of the call before is unknown"))
+        return Failure(conflict(run.run, "the previous call has not finished"))
+    if unknown_outcome_call(run) is not None:
+        return Failure(conflict(run.run, "the outcome of the previous call is unknown"))
     return Success(None)
 
 
 def _check_attempt(run: Run, last: CallRecord, command: CallStarted) -> Check:
     if not (last.repeatable and command.repeatable):
-        return Failure(conflict(run.run, f"call {last.number} may not be repeated"))
+        return Failure(conflict(run.run, f"call {last.number} is not repeatable"))
     if command.attempt != last.attempt + 1:
-        return Failure(conflict(run.run, f"attempt {command.attempt} is not the next one"))
+        return Failure(conflict(run.run, f"{command.attempt} is not the next attempt number"))
     if last.answered or last.status not in {CallStatus.STARTED, CallStatus.FAILED}:
-        return Failure(conflict(run.run, f"call {last.number} has its outcome"))
+        return Failure(conflict(run.run, f"call {last.number} already has a final outcome"))
     if command.kind is not last.kind or command.tool_request != last.tool_request:
-        return Failure(conflict(run.run, "an attempt repeats its call, it does not change it"))
+        return Failure(conflict(run.run, "an attempt cannot change the kind or the tool request"))
     return Success(None)
 
 
 def check_call_finished(run: Run, command: CallFinished, child: Run | None) -> Check:
-    """Check that an outcome belongs to the attempt that is under way.
+    """Check that an outcome is valid for the in-flight attempt.
 
     Args:
         run: The run.
         command: The outcome.
-        child: For a child call: the child run, if it exists.
+        child: For a child call, the child run if it exists.
     """
     call = in_flight_call(run)
     if is_final(run) or call is None:
-        return Failure(conflict(run.run, "no call is under way"))
+        return Failure(conflict(run.run, "no call is in flight"))
     if (command.number, command.attempt) != (call.number, call.attempt):
-        return Failure(conflict(run.run, "the outcome is not of the attempt under way"))
+        return Failure(conflict(run.run, "the outcome is for another attempt"))
     if command.status is CallStatus.STARTED:
-        return Failure(conflict(run.run, "an outcome is succeeded, failed or unknown"))
+        return Failure(conflict(run.run, "an outcome must be succeeded, failed or unknown"))
     if command.status is CallStatus.SUCCEEDED and command.message is None:
-        return Failure(conflict(run.run, "a call that succeeded has a message"))
+        return Failure(conflict(run.run, "a successful call must have a message"))
     if command.status is CallStatus.UNKNOWN and command.message is not None:
-        return Failure(conflict(run.run, "a call with unknown outcome has no message"))
+        return Failure(conflict(run.run, "a call with unknown outcome cannot have a message"))
     if not _valid_usage(command.usage):
-        return Failure(conflict(run.run, "usage is never negative"))
+        return Failure(conflict(run.run, "usage amounts cannot be negative"))
     if child is not None and not is_final(child):
         return Failure(conflict(run.run, f"child {child.run} has not ended"))
     return Success(None)
 
 
 def check_finish(run: Run, command: FinishRun) -> Check:
-    """Check that a run may get this final (or idle) status now."""
+    """Check that a run may change to the final or idle status of a command."""
     if run.status is not RunStatus.ACTIVE:
         return Failure(conflict(run.run, f"the run is {run.status.value}"))
     if command.status not in FINISH_STATUSES:
-        return Failure(conflict(run.run, f"a run is not finished as {command.status.value}"))
+        return Failure(conflict(run.run, f"a run cannot be finished as {command.status.value}"))
     if in_flight_call(run) is not None:
-        return Failure(conflict(run.run, "a call is under way"))
+        return Failure(conflict(run.run, "a call is in flight"))
     if command.status is RunStatus.IDLE and not run.spec.conversation:
-        return Failure(conflict(run.run, "only a conversation becomes idle"))
+        return Failure(conflict(run.run, "only a conversation can become idle"))
     if command.error is None and command.status not in {RunStatus.SUCCEEDED, RunStatus.IDLE}:
-        return Failure(conflict(run.run, "a run that did not succeed has an error"))
-    honest = {RunStatus.OUTCOME_UNKNOWN, RunStatus.IDLE}
-    if unknown_call_of_turn(run) is not None and command.status not in honest:
+        return Failure(conflict(run.run, "an unsuccessful run must have an error"))
+    allowed = {RunStatus.OUTCOME_UNKNOWN, RunStatus.IDLE}
+    if unknown_outcome_call(run) is not None and command.status not in allowed:
         return Failure(conflict(run.run, "the outcome of its last call is unknown"))
-    if unknown_call_of_turn(run) is not None and command.error is None:
-        return Failure(conflict(run.run, "an unknown outcome is an error of the turn"))
+    if unknown_outcome_call(run) is not None and command.error is None:
+        return Failure(conflict(run.run, "a turn with an unknown outcome must have an error"))
     return Success(None)
 
 
@@ -229,7 +237,7 @@
 
 
 def pending_requests(run: Run) -> tuple[ToolRequest, ...]:
-    """Return the model's tool requests of this turn that have no answer yet, in order."""
+    """Return the model's tool requests without an answer in the current turn, in order."""
     answered: set[str] = set()
     for message in reversed(run.history):
         if message.tool_request:
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -134,7 +134,7 @@
         """Create a run, or find the one that the same request created before."""
         existing = self.runs.get(command.run)
         if existing is not None:
-            return _checked(command.run, rules.check_same_request(existing, command.spec))
+            return _result_of(command.run, rules.check_same_request(existing, command.spec))
         if command.parent is not None:
             parent = self.runs.get(command.parent)
             check = rules.check_child(parent, command.run, command.spec.tenant)
@@ -155,7 +155,7 @@
         if run is None:
             return _rejected(command.run, run_not_found())
         if command.turn_key and command.turn_key in run.turn_keys:
-            return _checked(command.run, rules.check_same_turn(run, command))
+            return _result_of(command.run, rules.check_same_turn(run, command))
         if run.status is not RunStatus.IDLE:
             return _rejected(command.run, conflict(run.run, f"the run is {run.status.value}"))
         if self.doubt_window.covers_turn(run, command.wall):
@@ -182,7 +182,7 @@
             return _rejected(command.run, check.failure())
         if run.status is RunStatus.REFUSED:
             return ApplyResult(accepted=True, run=command.run)
-        run.error = rules.not_run(command.error)
+        run.error = rules.as_not_run(command.error)
         end_run(run, RunStatus.REFUSED, command.wall)
         return ApplyResult(accepted=True, run=command.run)
 
@@ -194,15 +194,17 @@
         check = rules.check_call_started(run, command)
         if isinstance(check, Failure):
             return _rejected(command.run, check.failure())
-        covered = budget.check_call(self.runs[root_run_id(run.run)], run, command)
-        if isinstance(covered, Failure):
-            return _rejected(command.run, covered.failure())
+        budget_check = budget.check_call(self.runs[root_run_id(run.run)], run, command)
+        if isinstance(budget_check, Failure):
+            return _rejected(command.run, budget_check.failure())
         previous = rules.last_call(run)
-        repeats = previous is not None and previous.number == command.number
-        if repeats and previous is not None:
+        is_retry = previous is not None and previous.number == command.number
+        if is_retry and previous is not None:
             self._supersede(run, previous)
-        record = record_of(command, rules.may_have_run(previous) if repeats and previous else False)
-        if repeats:
+        record = record_of(
+            command, rules.may_have_run(previous) if is_retry and previous else False
+        )
+        if is_retry:
             run.calls[-1] = record
         else:
             run.calls.append(record)
@@ -220,8 +222,8 @@
         check = rules.check_call_finished(run, command, child)
         if isinstance(check, Failure) or call is None:
             return _rejected(command.run, check.failure())
-        harmless = rules.surely_not_run(command.status, command.error)
-        usage = budget.charged_usage(command.usage, surely_not_run=harmless)
+        not_run = rules.definitely_not_run(command.status, command.error)
+        usage = budget.charged_usage(command.usage, definitely_not_run=not_run)
         run.calls[-1] = msgspec.structs.replace(
             call,
             status=command.status,
@@ -229,7 +231,7 @@
             usage=usage,
             error=command.error,
             answered=command.message is not None,
-            may_have_run=call.may_have_run or not harmless,
+            may_have_run=call.may_have_run or not not_run,
         )
         if command.message is not None:
             run.history.append(command.message)
@@ -244,7 +246,7 @@
         check = rules.check_finish(run, command)
         if isinstance(check, Failure):
             return _rejected(command.run, check.failure())
-        set_answer(run, command.answer, rules.truthful(run, command.error))
+        set_answer(run, command.answer, rules.with_known_execution(run, command.error))
         end_run(run, command.status, command.wall)
         return ApplyResult(accepted=True, run=command.run)
 
@@ -299,7 +301,7 @@
         status = RunStatus.CANCELLED
         if call is not None and self._may_have_effect(call):
             status = RunStatus.OUTCOME_UNKNOWN
-        set_answer(run, "", rules.truthful(run, command.error))
+        set_answer(run, "", rules.with_known_execution(run, command.error))
         if call is not None:
             self._abandon_call(run, call, command.wall)
         end_run(run, status, command.wall)
@@ -325,7 +327,7 @@
         self._settle(run, call.reserved, abandoned.usage)
 
 
-def _checked(run: RunId, check: Result[None, YokelineError]) -> ApplyResult:
+def _result_of(run: RunId, check: Result[None, YokelineError]) -> ApplyResult:
     """Return an accepted repetition, or the rejection of a different request."""
     if isinstance(check, Failure):
         return _rejected(run, check.failure())
