--- a/src/yokeline/runs/changes.py
+++ b/src/yokeline/runs/records.py
@@ -1,4 +1,4 @@
-"""Parts of state transitions: new records of calls, answers and ends of runs."""
+"""Creates and updates run and call records for the state machine."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 from yokeline.runs.rules import as_not_run
 
 
-def created_run(command: CreateRun) -> Run:
-    """Return the run that a command creates."""
+def new_run(command: CreateRun) -> Run:
+    """Return the active run that a command creates."""
     return Run(
         run=command.run,
         spec=command.spec,
@@ -34,8 +34,8 @@
     )
 
 
-def refused_run(command: RefuseRun) -> Run:
-    """Return the record of a request that was refused before it became a run."""
+def new_refused_run(command: RefuseRun) -> Run:
+    """Return the run that records a request refused before its run was created."""
     return Run(
         run=command.run,
         spec=command.spec,
@@ -47,12 +47,12 @@
     )
 
 
-def record_of(command: CallStarted, may_have_run: bool) -> CallRecord:
-    """Return the record of an attempt that starts.
+def new_call_record(command: CallStarted, may_have_run: bool) -> CallRecord:
+    """Return the record of a started attempt.
 
     Args:
-        command: The start.
-        may_have_run: An attempt before may have had an effect.
+        command: Describes the attempt.
+        may_have_run: Whether an earlier attempt of the call may have had an effect.
     """
     return CallRecord(
         number=command.number,
@@ -70,8 +70,8 @@
     )
 
 
-def abandoned_record(call: CallRecord, wall: float, error: YokelineError | None) -> CallRecord:
-    """Return the record of a started call that was given up: charged with all it reserved."""
+def abandoned_call_record(call: CallRecord, wall: float, error: YokelineError | None) -> CallRecord:
+    """Return the record of an abandoned call, which is charged its whole reservation."""
     return msgspec.structs.replace(
         call,
         status=CallStatus.UNKNOWN,
@@ -83,18 +83,18 @@
 
 
 def set_answer(run: Run, answer: str, error: YokelineError | None) -> None:
-    """Give a run its answer and error."""
+    """Set a run's answer, the answer's digest and the error."""
     run.answer = answer
     run.answer_digest = answer_digest(answer)
     run.error = error
 
 
 def end_run(run: Run, status: RunStatus, wall: float) -> None:
-    """Give a run a final (or idle) status."""
+    """Set a final or idle status and the time of its change."""
     run.status = status
     run.finished_wall = wall
 
 
 def answer_digest(answer: str) -> str:
-    """Return the digest of an answer: xxh3 64 hex of its UTF-8; empty for no answer."""
+    """Return the hex XXH3-64 digest of an answer's UTF-8 bytes; empty for an empty answer."""
     return xxhash.xxh3_64_hexdigest(answer.encode()) if answer else ""
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -15,14 +15,6 @@
 from yokeline.errors import YokelineError
 from yokeline.identifiers import RunId, root_run_id
 from yokeline.runs import budget, rules
-from yokeline.runs.changes import (
-    abandoned_record,
-    created_run,
-    end_run,
-    record_of,
-    refused_run,
-    set_answer,
-)
 from yokeline.runs.errors import conflict, run_not_found
 from yokeline.runs.model import (
     AddTurn,
@@ -45,6 +37,14 @@
     RunStatus,
     Usage,
 )
+from yokeline.runs.records import (
+    abandoned_call_record,
+    end_run,
+    new_call_record,
+    new_refused_run,
+    new_run,
+    set_answer,
+)
 from yokeline.runs.recovery import (
     DoubtWindow,
     is_resumable,
@@ -143,7 +143,7 @@
             parent.children += 1
         elif root_run_id(command.run) != command.run:
             return _rejected(command.run, conflict(command.run, "a child names its parent"))
-        run = created_run(command)
+        run = new_run(command)
         self.runs[command.run] = run
         if command.parent is None and self.doubt_window.covers_request(command.spec, command.wall):
             self._end_as_unknown(run, command.wall)
@@ -175,7 +175,7 @@
         """Record that a request was not run and never will be."""
         run = self.runs.get(command.run)
         if run is None:
-            self.runs[command.run] = refused_run(command)
+            self.runs[command.run] = new_refused_run(command)
             return ApplyResult(accepted=True, run=command.run, created=True)
         check = rules.check_refuse(run, command.spec)
         if isinstance(check, Failure):
@@ -201,7 +201,7 @@
         is_retry = previous is not None and previous.number == command.number
         if is_retry and previous is not None:
             self._supersede(run, previous)
-        record = record_of(
+        record = new_call_record(
             command, rules.may_have_run(previous) if is_retry and previous else False
         )
         if is_retry:
@@ -322,7 +322,7 @@
         return child is not None and child.status is RunStatus.OUTCOME_UNKNOWN
 
     def _abandon_call(self, run: Run, call: CallRecord, wall: float) -> None:
-        abandoned = abandoned_record(call, wall, run.error)
+        abandoned = abandoned_call_record(call, wall, run.error)
         run.calls[-1] = abandoned
         self._settle(run, call.reserved, abandoned.usage)
 
--- a/tests/unit/runs/test_executor.py
+++ b/tests/unit/runs/test_executor.py
@@ -20,7 +20,6 @@
 )
 from yokeline.errors import ErrorKind, Execution
 from yokeline.identifiers import child_run_id
-from yokeline.runs.changes import answer_digest
 from yokeline.runs.events import (
     CallFinishedEvent,
     CallStartedEvent,
@@ -28,6 +27,7 @@
     TextEvent,
 )
 from yokeline.runs.model import CallKind, CallStatus, RunStatus
+from yokeline.runs.records import answer_digest
 from yokeline.shards.operations import (
     AwaitRun,
     ContinueRun,
