--- a/src/yokeline/runs/core.py
+++ b/src/yokeline/runs/core.py
@@ -10,7 +10,6 @@
 from yokeline.errors import ErrorKind, YokelineError
 from yokeline.identifiers import RunId, ShardId, root_run_id
 from yokeline.runs.activity import Activity, CallOutcome, CallStart, Stage
-from yokeline.runs.live_text import LiveTexts
 from yokeline.runs.model import (
     CallFinished,
     CallKind,
@@ -19,6 +18,7 @@
     Run,
 )
 from yokeline.runs.next_step import StartCall, StepLimits
+from yokeline.runs.partial_text import PartialTexts
 from yokeline.runs.ports import Host
 from yokeline.runs.state_machine import ApplyResult
 from yokeline.server.context import NodeContext
@@ -38,7 +38,7 @@
         self.settings = settings
         self.host = host
         self.timers = TimerQueue()
-        self.live = LiveTexts()
+        self.partial_texts = PartialTexts()
         self.limits = StepLimits(call_attempts=settings.runs.call_attempts)
         self.activities: dict[RunId, Activity] = {}
         self.stepper: Callable[[Activity, Run], None] = _no_stepper
@@ -217,7 +217,7 @@
         self.propose(activity, command, lambda _run: self._call_finished(activity))
 
     def _call_finished(self, activity: Activity) -> None:
-        self.live.forget(activity.run)
+        self.partial_texts.forget(activity.run)
         self.end_and_drive(activity)
 
     def count_call(self, what: str, kind: CallKind) -> None:
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -163,7 +163,7 @@
         if activity is not None and rules.is_final(run):
             activity.cancel()
             self._core.end(activity)
-        self._core.live.forget(run.run)
+        self._core.partial_texts.forget(run.run)
         self._models.forget(run.run)
         self._children.child_ended(run)
 
@@ -235,7 +235,7 @@
         for activity in [a for a in self._core.activities.values() if a.shard == shard]:
             activity.detach()
             self._core.end(activity)
-            self._core.live.forget(activity.run)
+            self._core.partial_texts.forget(activity.run)
             self._models.forget(activity.run)
             expiry = self._expiries.pop(activity.run, None)
             if expiry is not None:
--- a/src/yokeline/runs/generation.py
+++ b/src/yokeline/runs/generation.py
@@ -9,8 +9,8 @@
 from yokeline.effects import Address
 from yokeline.identifiers import RequestId
 from yokeline.runs.activity import Activity
-from yokeline.runs.live_text import LiveText
 from yokeline.runs.model import CallRecord, ToolRequest, Usage
+from yokeline.runs.partial_text import PartialText
 
 
 class Generation:
@@ -49,7 +49,7 @@
         record: CallRecord,
         address: Address,
         prompt_tokens: int,
-        text: LiveText,
+        text: PartialText,
     ) -> None:
         """Create the generation of an attempt that is not sent yet."""
         self.activity = activity
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -130,7 +130,7 @@
         self, activity: Activity, run: Run, address: Address, demand: CallDemand
     ) -> Generation:
         record = run.calls[-1]
-        text = self._core.live.begin(activity.run, record.number, record.attempt)
+        text = self._core.partial_texts.begin(activity.run, record.number, record.attempt)
         generation = Generation(activity, record, address, demand.prompt_tokens, text)
 
         def handle(event: StreamEvent) -> None:
--- a/src/yokeline/runs/records.py
+++ b/src/yokeline/runs/records.py
@@ -90,7 +90,7 @@
 
 
 def end_run(run: Run, status: RunStatus, wall: float) -> None:
-    """Set a final or idle status and the time of its change."""
+    """Set a final or idle status and the time at which the run got it."""
     run.status = status
     run.finished_wall = wall
 
--- a/src/yokeline/runs/watchers.py
+++ b/src/yokeline/runs/watchers.py
@@ -1,4 +1,4 @@
-"""Callers who wait for a run to be answered, or watch its events."""
+"""Callers that wait for a run's answer or watch its events."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 
 class Watcher:
-    """One waiting caller.
+    """One caller that waits for a run or watches it.
 
     Attributes:
-        turn: For one who waits: the turn that must be answered.
-        cursor: For one who watches: what it has seen.
+        turn: Turn whose answer the caller waits for; 0 for the current turn.
+        cursor: Position in the event stream; None if the caller only waits for the answer.
     """
 
     __slots__ = ("cursor", "done", "on_events", "run", "shard", "ticket", "timer", "turn")
 
     def __init__(self, *, ticket: str, shard: ShardId, run: RunId, done: OperationDone) -> None:
-        """Create a caller who waits for the current turn."""
+        """Create a watcher that waits for the answer of the current turn."""
         self.ticket = ticket
         self.shard = shard
         self.run = run
@@ -39,27 +39,32 @@
         self.timer: Timer | None = None
 
     def waits_for_text(self) -> bool:
-        """Return whether it watches and has no text of the current call yet."""
+        """Return whether the watcher has received no text of the current call yet."""
         return self.cursor is not None and self.cursor.offset == 0
 
 
 class Watchers:
-    """All waiting callers of the shards that this node leads."""
+    """The watchers of all shards that this node leads."""
 
     def __init__(self, core: ExecutorCore) -> None:
-        """Create it without callers."""
         self._core = core
         self._by_ticket: dict[str, Watcher] = {}
         self._by_run: dict[RunId, dict[str, Watcher]] = {}
         self._flush_timer: Timer | None = None
-        self._grown: dict[RunId, None] = {}
+        self._runs_with_new_text: dict[RunId, None] = {}
 
     def __len__(self) -> int:
-        """Return how many callers wait."""
+        """Return the number of watchers."""
         return len(self._by_ticket)
 
     def add(self, watcher: Watcher, run: Run, deadline_seconds: float) -> None:
-        """Add a caller, unless what it waits for is there already."""
+        """Register a watcher and send it what is already available.
+
+        Args:
+            watcher: The watcher.
+            run: The current state of its run.
+            deadline_seconds: Seconds after which the watcher gets the run in its current state.
+        """
         self._by_ticket[watcher.ticket] = watcher
         self._by_run.setdefault(watcher.run, {})[watcher.ticket] = watcher
         due = self._core.context.now + deadline_seconds
@@ -67,7 +72,7 @@
         self._update(watcher, run)
 
     def remove(self, ticket: str) -> Watcher | None:
-        """Take a caller out, if it is there."""
+        """Remove and return a watcher, or return None if the ticket has none."""
         watcher = self._by_ticket.pop(ticket, None)
         if watcher is None:
             return None
@@ -79,38 +84,38 @@
             watcher.timer.cancel()
         return watcher
 
-    # ------------------------------------------------------------ news
+    # ------------------------------------------------------------ notification
 
     def run_changed(self, run: Run) -> None:
-        """Tell the callers of a run what is new at once."""
-        self._grown.pop(run.run, None)
+        """Notify a run's watchers of a committed change immediately."""
+        self._runs_with_new_text.pop(run.run, None)
         for watcher in list(self._by_run.get(run.run, {}).values()):
             self._update(watcher, run)
 
     def text_arrived(self, run: RunId) -> None:
-        """Tell the callers of a run about new text soon, together with what follows.
+        """Notify a run's watchers of new text, batched for ``runs.stream_flush_seconds``.
 
-        The first text of a call is not held back: callers wait for it.
+        The first text of a call is sent immediately to keep the time to first token low.
         """
         waiting = self._by_run.get(run)
         if waiting is None:
             return
         if any(watcher.waits_for_text() for watcher in waiting.values()):
-            self._tell(run)
+            self._notify(run)
             return
-        self._grown[run] = None
+        self._runs_with_new_text[run] = None
         if self._flush_timer is None:
             due = self._core.context.now + self._core.settings.runs.stream_flush_seconds
             self._flush_timer = self._core.timers.schedule(due, self._flush)
 
     def _flush(self) -> None:
         self._flush_timer = None
-        grown = list(self._grown)
-        self._grown.clear()
-        for run_id in grown:
-            self._tell(run_id)
+        run_ids = list(self._runs_with_new_text)
+        self._runs_with_new_text.clear()
+        for run_id in run_ids:
+            self._notify(run_id)
 
-    def _tell(self, run_id: RunId) -> None:
+    def _notify(self, run_id: RunId) -> None:
         for watcher in list(self._by_run.get(run_id, {}).values()):
             run = self._core.find(watcher.shard, run_id)
             if run is not None:
@@ -121,7 +126,7 @@
             if answered(run, watcher.turn):
                 self._finish(watcher, run)
             return
-        events = watcher.cursor.advance(run, self._core.live.get(run.run))
+        events = watcher.cursor.advance(run, self._core.partial_texts.get(run.run))
         if events and watcher.on_events is not None:
             watcher.on_events(tuple(events))
         if watcher.cursor.ended:
@@ -143,29 +148,29 @@
             watcher.done(Failure(error))
 
     def leadership_lost(self, shard: ShardId) -> None:
-        """Send the callers of a shard to its next leader."""
+        """Fail the watchers of a shard, so that their callers retry at the new leader."""
         for watcher in [w for w in self._by_ticket.values() if w.shard == shard]:
             self._fail(watcher, leadership_lost())
 
     def runs_forgotten(self, runs: tuple[RunId, ...]) -> None:
-        """Answer the callers of runs that were removed."""
+        """Fail the watchers of removed runs with a not-found error."""
         for run in runs:
             for watcher in list(self._by_run.get(run, {}).values()):
                 self._fail(watcher, run_not_found())
 
 
 def answered(run: Run, turn: int) -> bool:
-    """Return whether a turn of a run is answered (0: the current one)."""
+    """Return whether a turn of a run is answered; turn 0 is the current one."""
     if rules.is_final(run) or (turn and run.turn > turn):
         return True
     return run.status is not RunStatus.ACTIVE and run.turn >= turn
 
 
 def copy_of(run: Run) -> Run:
-    """Return a run that later commands do not change."""
+    """Return a copy of a run that later commands do not modify."""
     return msgspec.structs.replace(run, history=list(run.history), calls=list(run.calls))
 
 
 def summary_of(run: Run) -> Run:
-    """Return a run without its history, as lists show it."""
+    """Return a copy of a run without its history."""
     return msgspec.structs.replace(run, history=[], calls=list(run.calls))
--- a/tests/property/test_watch_position.py
+++ b/tests/property/test_watch_position.py
@@ -13,7 +13,6 @@
 from yokeline.identifiers import RunId
 from yokeline.runs.cursor import RunCursor
 from yokeline.runs.events import CallStartedEvent, EventId, RestartEvent, RunEvent, TextEvent
-from yokeline.runs.live_text import LiveText
 from yokeline.runs.model import (
     CallKind,
     CallRecord,
@@ -23,6 +22,7 @@
     RunSpec,
     RunStatus,
 )
+from yokeline.runs.partial_text import PartialText
 
 GROW = st.tuples(st.just("grow"), st.text(alphabet="abc", min_size=1, max_size=4))
 STEPS = st.lists(
@@ -66,12 +66,12 @@
             # An earlier call needs no text here: its watcher has it or gets the answer.
             self.run.calls[-1].status = CallStatus.FAILED
         self.run.calls.append(_record(number, 1))
-        self.live = LiveText(number, 1)
+        self.live = PartialText(number, 1)
 
     def restart(self) -> None:
         last = self.run.calls[-1]
         self.run.calls[-1] = _record(last.number, last.attempt + 1)
-        self.live = LiveText(last.number, last.attempt + 1)
+        self.live = PartialText(last.number, last.attempt + 1)
 
 
 def _record(number: int, attempt: int) -> CallRecord:
