--- a/src/yokeline/runs/activity.py
+++ b/src/yokeline/runs/activity.py
@@ -1,8 +1,8 @@
-"""Activities of runs, and what starts and ends an attempt of a call.
+"""Activities of runs, and the start and outcome of a call attempt.
 
-An **activity** is the one thing that the executor does for a run at a time: a proposal under
-way, a call under way, or a wait. Its callbacks do nothing once it is over, so late answers
-and lost leadership need no further care.
+An **activity** is the executor's work on one step of a run: a proposal, a call or a wait. A
+run has at most one activity at a time. Callbacks of an activity that has ended are ignored,
+which covers late answers and lost leadership.
 """
 
 from __future__ import annotations
@@ -18,57 +18,58 @@
 from yokeline.timers import Timer
 
 
-def _nothing() -> None:
+def _no_op() -> None:
     return None
 
 
 class Stage(enum.Enum):
-    """What an activity is doing."""
+    """Stage of an activity; not stored and not sent."""
 
     PROPOSING = "proposing"
-    WAITING = "waiting"
-    """For an engine with room."""
-    PAUSED = "paused"
-    """Until the next attempt."""
-    SENDING = "sending"
-    """Its start is committed; the lease does not allow to send yet."""
+    QUEUED = "queued"
+    """Waiting for an engine with free capacity."""
+    BACKING_OFF = "backing_off"
+    """Waiting before the next attempt."""
+    AWAITING_LEASE = "awaiting_lease"
+    """The start of the call is committed; the leader lease does not allow sending yet."""
     CALLING = "calling"
-    CHILD = "child"
-    """For a child run to end."""
-    HELD = "held"
-    """For a while, since leadership is about to be handed over and the next leader goes on."""
+    AWAITING_CHILD = "awaiting_child"
+    """Waiting for a child run to end."""
+    AWAITING_HAND_OVER = "awaiting_hand_over"
+    """Waiting for the shard's leadership to move, because this node is draining."""
 
 
 class Activity:
-    """What the executor does for one run now.
+    """The executor's work on the current step of one run.
 
     Attributes:
-        cancel: Stops what is under way outside this node, as far as that is harmless.
-        detach: Forgets what is under way and leaves it to the next leader.
-        repeatable: The call under way may be given up and repeated.
+        term: Leadership term in which the activity was created.
+        timer: Timer of :meth:`ExecutorCore.call_later`, if one is set.
+        cancel: Cancels the external work of the activity, such as a call.
+        detach: Stops following the external work and leaves it to the next leader.
+        repeatable: Whether the in-flight call may be abandoned and repeated.
     """
 
     __slots__ = ("cancel", "detach", "repeatable", "run", "shard", "stage", "term", "timer")
 
     def __init__(self, shard: ShardId, run: RunId, term: int) -> None:
-        """Create the activity of ``run`` under leadership term ``term``."""
         self.shard = shard
         self.run = run
         self.term = term
         self.stage = Stage.PROPOSING
         self.timer: Timer | None = None
-        self.cancel: Callable[[], None] = _nothing
-        self.detach: Callable[[], None] = _nothing
+        self.cancel: Callable[[], None] = _no_op
+        self.detach: Callable[[], None] = _no_op
         self.repeatable = True
 
-    def clear(self) -> None:
-        """Note that nothing is under way outside this node."""
-        self.cancel = _nothing
-        self.detach = _nothing
+    def clear_callbacks(self) -> None:
+        """Reset ``cancel`` and ``detach``: the activity has no external work."""
+        self.cancel = _no_op
+        self.detach = _no_op
 
 
 class CallOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How an attempt ended, to be committed as :class:`CallFinished`."""
+    """Outcome of an attempt, to be committed as :class:`CallFinished`."""
 
     status: CallStatus
     usage: Usage = Usage()
@@ -76,8 +77,8 @@
     error: YokelineError | None = None
 
 
-class CallStart(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields of :class:`CallStarted` that depend on the back end."""
+class AttemptSpec(msgspec.Struct, frozen=True, kw_only=True):
+    """The fields of :class:`CallStarted` that depend on the selected back end."""
 
     backend: str
     reason: str
--- a/src/yokeline/runs/child_calls.py
+++ b/src/yokeline/runs/child_calls.py
@@ -9,7 +9,7 @@
 
 from yokeline.errors import Execution, YokelineError
 from yokeline.identifiers import RunId, child_run_id
-from yokeline.runs.activity import Activity, CallOutcome, CallStart, Stage
+from yokeline.runs.activity import Activity, AttemptSpec, CallOutcome, Stage
 from yokeline.runs.core import ExecutorCore
 from yokeline.runs.errors import (
     cancelled,
@@ -63,7 +63,7 @@
         if isinstance(child, Failure):
             self._keyed_calls.answer_without_call(activity, step, child.failure())
             return
-        start = CallStart(
+        attempt_spec = AttemptSpec(
             backend=child_run_id(run.run, run.children + 1),
             reason=f"child program {name}",
             repeatable=False,
@@ -71,7 +71,7 @@
         self._core.start_call(
             activity,
             step,
-            start,
+            attempt_spec,
             lambda started: self.recover(activity, started, started.calls[-1]),
         )
 
@@ -91,7 +91,7 @@
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
         """Create the child if it does not exist, and wait for it to end."""
-        activity.stage = Stage.CHILD
+        activity.stage = Stage.AWAITING_CHILD
         activity.repeatable = True
         child = self._core.find(activity.shard, RunId(record.backend))
         if child is None:
@@ -118,7 +118,7 @@
         )
 
         def created(_run: Run) -> None:
-            activity.stage = Stage.CHILD
+            activity.stage = Stage.AWAITING_CHILD
             self._core.drive(activity.shard, child)
 
         self._core.propose(activity, command, created)
@@ -126,7 +126,7 @@
     def child_ended(self, child: Run) -> None:
         """Hand the answer of a child that has ended to its parent."""
         activity = self._core.activities.get(child.parent) if child.parent is not None else None
-        if activity is None or activity.stage is not Stage.CHILD:
+        if activity is None or activity.stage is not Stage.AWAITING_CHILD:
             return
         parent = self._core.find(activity.shard, activity.run)
         if parent is None or is_final(parent):
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -34,10 +34,10 @@
 from yokeline.scheduling.interface import EngineDirectoryInterface
 from yokeline.timers import Timer
 
-GIVE_UP_STAGES = frozenset({Stage.WAITING, Stage.PAUSED, Stage.HELD})
+NO_CALL_STAGES = frozenset({Stage.QUEUED, Stage.BACKING_OFF, Stage.AWAITING_HAND_OVER})
 """Stages in which nothing has been sent, so that a run whose time is over ends at once."""
-RECHECK_SECONDS = 0.1
-HELD_SECONDS = 5.0
+EXPIRY_RECHECK_SECONDS = 0.1
+HAND_OVER_WAIT_SECONDS = 5.0
 """Longest wait of a call for the next leader; without one (a last node) it starts here."""
 
 
@@ -62,14 +62,14 @@
         self._children = ChildCalls(core, configuration, self._keyed)
         self._expiries: dict[RunId, Timer] = {}
         self._draining = False
-        core.stepper = self._step
-        core.rejected = self.end_with
+        core.on_step = self._step
+        core.on_budget_exhausted = self.end_with
 
     # ------------------------------------------------------------ steps
 
     def _step(self, activity: Activity, run: Run) -> None:
         root = self._core.root_of(activity.shard, run)
-        step = next_step(run, root, self._core.limits, self._core.context.wall())
+        step = next_step(run, root, self._core.step_limits, self._core.context.wall())
         if step is None:
             self._core.end(activity)
             return
@@ -79,7 +79,7 @@
     def _take(self, activity: Activity, run: Run, step: NextStep) -> None:
         match step:
             case StartCall():
-                self._start_or_pause(activity, run, step)
+                self._start_or_back_off(activity, run, step)
             case RecoverCall():
                 self._recover(activity, run, step.call)
             case EndRun():
@@ -87,30 +87,32 @@
             case RefuseAtOnce():
                 self._refuse(activity, run, step.error)
 
-    def _start_or_pause(self, activity: Activity, run: Run, step: StartCall) -> None:
+    def _start_or_back_off(self, activity: Activity, run: Run, step: StartCall) -> None:
         retried = step.retried
         if retried is None:
-            self._start(activity, run, step)
+            self._start_or_hold(activity, run, step)
             return
         # An engine that asked for a pause is passed over by the queue; others need not wait.
-        asked = retried.error if retried.kind is not CallKind.MODEL else None
-        pause = self._core.backoff(retried.attempt, asked)
+        retry_error = retried.error if retried.kind is not CallKind.MODEL else None
+        delay = self._core.backoff(retried.attempt, retry_error)
         root = self._core.root_of(activity.shard, run)
-        if self._core.context.wall() + pause >= expiry_wall(run, root):
+        if self._core.context.wall() + delay >= expiry_wall(run, root):
             self.end_with(activity, run, retried.error or deadline_exceeded(None))
             return
         self._core.context.counters["yokeline_call_retries_total"] += 1
-        activity.stage = Stage.PAUSED
-        self._core.after(activity, pause, lambda: self._start(activity, run, step))
+        activity.stage = Stage.BACKING_OFF
+        self._core.call_later(activity, delay, lambda: self._start_or_hold(activity, run, step))
 
-    def _start(self, activity: Activity, run: Run, step: StartCall) -> None:
+    def _start_or_hold(self, activity: Activity, run: Run, step: StartCall) -> None:
         if self._draining and step.kind is not CallKind.MODEL:
-            activity.stage = Stage.HELD
-            self._core.after(activity, HELD_SECONDS, lambda: self._begin(activity, run, step))
+            activity.stage = Stage.AWAITING_HAND_OVER
+            self._core.call_later(
+                activity, HAND_OVER_WAIT_SECONDS, lambda: self._start_call(activity, run, step)
+            )
             return
-        self._begin(activity, run, step)
+        self._start_call(activity, run, step)
 
-    def _begin(self, activity: Activity, run: Run, step: StartCall) -> None:
+    def _start_call(self, activity: Activity, run: Run, step: StartCall) -> None:
         pause = started_pause(run) if step.kind is not CallKind.MODEL else None
         if pause is not None:
             self._cache.pause_started(activity.shard, run, pause)
@@ -193,10 +195,10 @@
         error = expiry_error(run, self._core.root_of(shard, run), self._core.context.wall())
         if error is None:
             self._watch_expiry(shard, run, self._core.root_of(shard, run))
-        elif activity.stage in GIVE_UP_STAGES:
+        elif activity.stage in NO_CALL_STAGES:
             activity.cancel()
             self._core.end_and_drive(activity)
-        elif activity.stage is Stage.SENDING:
+        elif activity.stage is Stage.AWAITING_LEASE:
             activity.cancel()
             outcome = CallOutcome(status=CallStatus.FAILED, error=rules.as_not_run(error))
             self._core.finish_call(activity, outcome)
@@ -207,7 +209,7 @@
 
     def _expire_again(self, shard: ShardId, run_id: RunId) -> None:
         """Look again soon: what is being committed now decides what is to be ended."""
-        due = self._core.context.now + RECHECK_SECONDS
+        due = self._core.context.now + EXPIRY_RECHECK_SECONDS
         self._expiries[run_id] = self._core.timers.schedule(
             due, lambda: self._expire(shard, run_id)
         )
--- a/src/yokeline/runs/engine_queue.py
+++ b/src/yokeline/runs/engine_queue.py
@@ -73,7 +73,7 @@
             self._pump_after(choice.failure())
 
     def _enqueue(self, call: WaitingCall) -> None:
-        call.activity.stage = Stage.WAITING
+        call.activity.stage = Stage.QUEUED
         call.activity.cancel = lambda: self._waiting.remove(call.activity)
         call.activity.detach = call.activity.cancel
         self._waiting.add(call)
--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -12,7 +12,7 @@
 from yokeline.errors import ErrorKind, Execution, YokelineError
 from yokeline.labels.objects import Lookup
 from yokeline.runs import budget
-from yokeline.runs.activity import Activity, CallOutcome, CallStart
+from yokeline.runs.activity import Activity, AttemptSpec, CallOutcome
 from yokeline.runs.core import ExecutorCore
 from yokeline.runs.errors import outcome_unknown, overloaded, request_refused
 from yokeline.runs.keyed_requests import Content, KeyedCall, KeyedSender
@@ -98,21 +98,21 @@
         self, activity: Activity, step: StartCall, error: YokelineError
     ) -> None:
         """Tell the model that its request is not carried out; nothing is sent."""
-        start = CallStart(backend=NO_BACKEND, reason=error.message, repeatable=True)
+        attempt_spec = AttemptSpec(backend=NO_BACKEND, reason=error.message, repeatable=True)
 
         def answer(run: Run) -> None:
             message = error_message(run.calls[-1], error)
             outcome = CallOutcome(status=CallStatus.FAILED, message=message, error=error)
             self._core.finish_call(activity, outcome)
 
-        self._core.start_call(activity, step, start, answer)
+        self._core.start_call(activity, step, attempt_spec, answer)
 
     def _commit_start(
         self, activity: Activity, run: Run, step: StartCall, target: Target, address: Address
     ) -> None:
         left = budget.remaining(self._core.root_of(activity.shard, run)).tool_seconds
         timeout = min(target.timeout, left) if left > 0 else target.timeout
-        start = CallStart(
+        attempt_spec = AttemptSpec(
             backend=backend_name(target.name, address),
             reason=f"{target.kind.value} {target.name} at one of {len(target.addresses)} addresses",
             repeatable=target.repeatable,
@@ -123,7 +123,7 @@
             request = KeyedCall(activity, started, started.calls[-1], target, address)
             self._send(request, timeout)
 
-        self._core.start_call(activity, step, start, send)
+        self._core.start_call(activity, step, attempt_spec, send)
 
     # ------------------------------------------------------------ sending
 
@@ -131,10 +131,12 @@
         activity = request.activity
         activity.detach = lambda: self._detach(request)
         activity.cancel = lambda: self._close_connection(request)
-        self._core.after(activity, timeout + ANSWER_GRACE_SECONDS, lambda: self._no_answer(request))
+        self._core.call_later(
+            activity, timeout + ANSWER_GRACE_SECONDS, lambda: self._no_answer(request)
+        )
 
         def done(content: Content) -> None:
-            if self._core.current(activity):
+            if self._core.is_current(activity):
                 request.connection = None
                 self._answered(request, content)
 
@@ -180,7 +182,7 @@
     def _failed(self, request: KeyedCall, error: YokelineError) -> None:
         """End a failed attempt; the model is told once no further attempt will follow."""
         record = request.record
-        again = may_retry(record.attempt, record.repeatable, error, self._core.limits)
+        again = may_retry(record.attempt, record.repeatable, error, self._core.step_limits)
         told = record.tool_request is not None and not again
         message = error_message(record, error) if told else None
         self._finish(request, CallOutcome(status=CallStatus.FAILED, message=message, error=error))
@@ -208,7 +210,7 @@
         """Find out what became of a call that a leader before may have sent."""
         if record.repeatable:
             error = _leader_lost(record.backend)
-            again = may_retry(record.attempt, True, error, self._core.limits)
+            again = may_retry(record.attempt, True, error, self._core.step_limits)
             told = record.tool_request is not None and not again
             message = error_message(record, error) if told else None
             usage = budget.usage_of_reservation(record.reserved)
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -23,7 +23,7 @@
 from yokeline.errors import Execution, YokelineError
 from yokeline.identifiers import RunId, root_run_id
 from yokeline.runs import budget
-from yokeline.runs.activity import Activity, CallOutcome, CallStart, Stage
+from yokeline.runs.activity import Activity, AttemptSpec, CallOutcome, Stage
 from yokeline.runs.cache_actions import CacheActions
 from yokeline.runs.context_window import context_messages, model_reservation
 from yokeline.runs.core import ExecutorCore
@@ -93,7 +93,7 @@
         """Commit the start of a call at the chosen engine, then send it."""
         call = call_id(activity.run, step.number, step.attempt)
         self._engines.call_sent(choice.engine, demand, call)
-        start = CallStart(
+        attempt_spec = AttemptSpec(
             backend=choice.engine,
             reason=choice.reason,
             repeatable=True,
@@ -105,7 +105,7 @@
         def send(run: Run) -> None:
             self._send(activity, run, demand, choice.address)
 
-        self._core.start_call(activity, step, start, send)
+        self._core.start_call(activity, step, attempt_spec, send)
 
     def _not_sent(self, call: str) -> None:
         self._engines.call_ended(call, prompt_tokens=0, cached_tokens=0, ok=False)
@@ -134,7 +134,7 @@
         generation = Generation(activity, record, address, demand.prompt_tokens, text)
 
         def handle(event: StreamEvent) -> None:
-            if self._core.current(activity):
+            if self._core.is_current(activity):
                 self._handle(generation, event)
 
         limit = run.spec.max_completion_tokens
@@ -224,7 +224,7 @@
             self._lost(generation, event.error)
             return
         pause = RESUME_PAUSE_SECONDS * generation.fruitless
-        self._core.after(generation.activity, pause, lambda: self._resume(generation))
+        self._core.call_later(generation.activity, pause, lambda: self._resume(generation))
 
     def _resume(self, generation: Generation) -> None:
         self._core.context.counters["yokeline_stream_resumes_total"] += 1
--- a/src/yokeline/runs/outcome_lookups.py
+++ b/src/yokeline/runs/outcome_lookups.py
@@ -43,7 +43,7 @@
         self._core.context.counters["yokeline_lookups_total"] += 1
 
         def done(result: Result[LookupAnswer, YokelineError]) -> None:
-            if self._core.current(request.activity):
+            if self._core.is_current(request.activity):
                 request.connection = None
                 self._answered(request, result)
 
@@ -65,7 +65,7 @@
         if self._core.context.now >= request.lookups_until:
             self._looked_up(request, cause)
             return
-        self._core.after(request.activity, LOOKUP_PAUSE_SECONDS, lambda: self._ask(request))
+        self._core.call_later(request.activity, LOOKUP_PAUSE_SECONDS, lambda: self._ask(request))
 
 
 def not_applied(backend: str) -> YokelineError:
