--- a/src/yokeline/runs/budget.py
+++ b/src/yokeline/runs/budget.py
@@ -1,8 +1,8 @@
-"""Budget of a run tree: reserved when a call starts, settled when it finishes. Pure.
+"""Budget accounting of a run tree: a call reserves budget at its start and settles at its end.
 
-``spent`` and ``reserved`` of a run include its descendants, so the root run's figures are
-those of the whole tree and every check reads one place. A call is allowed if what is spent,
-what is reserved and its own reservation together stay within the root's budget.
+``spent`` and ``reserved`` of a run include its descendants, so the root run holds the totals
+of the tree. A call may start if the root's spent and reserved amounts plus the call's own
+reservation stay within the root's budget. The functions do no I/O.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def token_cost(usage: Usage) -> int:
-    """Return the tokens that count against a budget: prompt not in cache plus completion."""
+    """Return the tokens charged to a budget: uncached prompt tokens plus completion tokens."""
     return max(0, usage.prompt_tokens - usage.cached_tokens) + usage.completion_tokens
 
 
@@ -39,7 +39,7 @@
 
 
 def subtract_reservation(left: Reservation, right: Reservation) -> Reservation:
-    """Return ``left`` without ``right``; never below nothing (sums of floats round)."""
+    """Return ``left`` minus ``right``, clamped at zero against floating-point rounding."""
     return Reservation(
         tokens=max(0, left.tokens - right.tokens),
         tool_seconds=max(0.0, left.tool_seconds - right.tool_seconds),
@@ -48,7 +48,7 @@
 
 
 def usage_of_reservation(reservation: Reservation) -> Usage:
-    """Return the usage charged for an attempt whose real usage will never be known."""
+    """Return the usage charged for an attempt whose actual usage is unknown."""
     return Usage(
         prompt_tokens=reservation.tokens,
         tool_seconds=reservation.tool_seconds,
@@ -57,7 +57,7 @@
 
 
 def remaining(root: Run) -> Reservation:
-    """Return what a tree has left of its budget (never below nothing)."""
+    """Return the unreserved, unspent budget of a tree, clamped at zero."""
     budget = root.spec.budget
     tool_seconds = budget.tool_seconds - root.spent.tool_seconds - root.reserved.tool_seconds
     return Reservation(
@@ -68,14 +68,14 @@
 
 
 def check_reservation(root: Run, reservation: Reservation) -> Result[None, YokelineError]:
-    """Check a reservation against what the tree has left.
+    """Check a reservation against the remaining budget of a tree.
 
     Args:
         root: The root run of the tree.
-        reservation: What the next call sets aside.
+        reservation: Amounts to reserve for the next call.
 
     Returns:
-        Success, or a ``BUDGET_EXHAUSTED`` failure that names the first limit passed.
+        Success, or a ``BUDGET_EXHAUSTED`` failure that names the first exceeded limit.
     """
     budget = root.spec.budget
     left = remaining(root)
@@ -89,23 +89,22 @@
 
 
 def check_call(root: Run, run: Run, command: CallStarted) -> Result[None, YokelineError]:
-    """Check all limits for a call that is about to start.
+    """Check all limits for the start of an attempt.
 
-    A further attempt of the last call is no new step of the program, so the limits against
-    loops do not apply to it.
+    Loop limits apply to the first attempt only: a retry is not a new step of the program.
     """
-    in_time = check_wall(root, command.wall)
-    if isinstance(in_time, Failure):
-        return in_time
+    wall_check = check_wall(root, command.wall)
+    if isinstance(wall_check, Failure):
+        return wall_check
     if command.attempt == 1:
-        looping = check_loops(run, command.kind, command.tool_request)
-        if isinstance(looping, Failure):
-            return looping
+        loop_check = check_loops(run, command.kind, command.tool_request)
+        if isinstance(loop_check, Failure):
+            return loop_check
     return check_reservation(root, command.reserved)
 
 
 def check_wall(root: Run, wall: float) -> Result[None, YokelineError]:
-    """Check the wall time that the root's current turn has taken."""
+    """Check the wall time of the root's current turn against the budget."""
     limit = root.spec.budget.wall_seconds
     if wall - root.turn_started_wall >= limit:
         return Failure(budget_exhausted("wall seconds", limit))
@@ -115,12 +114,12 @@
 def check_loops(
     run: Run, kind: CallKind, request: ToolRequest | None
 ) -> Result[None, YokelineError]:
-    """Check the limits that end a program which loops: turns and identical calls.
+    """Check the limits that stop a looping program: model calls and identical tool calls.
 
     Args:
-        run: The run that the new call belongs to.
-        kind: Kind of the new call.
-        request: The tool request it carries out, if any.
+        run: The run that starts the call.
+        kind: Kind of the call.
+        request: The tool request that the call carries out, if any.
 
     Returns:
         Success, or a ``BUDGET_EXHAUSTED`` failure.
@@ -134,12 +133,12 @@
 
 
 def reserve(run: Run, reservation: Reservation) -> None:
-    """Set a reservation aside in one run of the chain up to the root."""
+    """Add a reservation to one run; callers do this for the run and all its ancestors."""
     run.reserved = add_reservation(run.reserved, reservation)
 
 
 def settle(run: Run, reservation: Reservation, usage: Usage) -> None:
-    """Replace a reservation by what was used, in one run of the chain up to the root."""
+    """Replace a reservation with the actual usage in one run; see :func:`reserve`."""
     run.reserved = subtract_reservation(run.reserved, reservation)
     run.spent = run.spent.plus(usage)
 
@@ -150,7 +149,7 @@
 
 
 def smaller_budget(left: Budget, right: Budget) -> Budget:
-    """Return the limits that satisfy both budgets (a child within its parent)."""
+    """Return the lower of two budgets' limits, field by field."""
     return Budget(
         tokens=min(left.tokens, right.tokens),
         calls=min(left.calls, right.calls),
@@ -166,7 +165,7 @@
 
 
 def _identical_calls(run: Run, request: ToolRequest) -> int:
-    """Return how many calls in a row, up to the turn's last one, carried out the request."""
+    """Return the number of consecutive latest tool calls of the turn that match a request."""
     count = 0
     for call in reversed(run.calls):
         if call.number < run.turn_first_call:
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -1,4 +1,4 @@
-"""Drives runs: takes each next step, watches over their time, ends what is given up."""
+"""Drives runs: executes their next steps and ends runs that expire or fail."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     EndRun,
     NextStep,
     RecoverCall,
-    RefuseAtOnce,
+    RefuseRequest,
     StartCall,
-    ended_with,
     expiry_error,
     expiry_wall,
+    failure_step,
     next_step,
 )
 from yokeline.runs.pauses import started_pause
@@ -35,14 +35,14 @@
 from yokeline.timers import Timer
 
 NO_CALL_STAGES = frozenset({Stage.QUEUED, Stage.BACKING_OFF, Stage.AWAITING_HAND_OVER})
-"""Stages in which nothing has been sent, so that a run whose time is over ends at once."""
+"""Stages without a started call; a run that expires in one of them ends immediately."""
 EXPIRY_RECHECK_SECONDS = 0.1
 HAND_OVER_WAIT_SECONDS = 5.0
-"""Longest wait of a call for the next leader; without one (a last node) it starts here."""
+"""Maximum wait for a new leader while draining; the call then starts on this node."""
 
 
 class RunDriver:
-    """Takes the steps of the runs that this node leads."""
+    """Executes the steps of the runs that this node leads."""
 
     def __init__(
         self,
@@ -53,17 +53,17 @@
         leaving: LeavingPredicate,
         text_arrived: Callable[[RunId], None],
     ) -> None:
-        """Create it and install it as the stepper of ``core``."""
+        """Create the driver and register its handlers with ``core``."""
         self._core = core
-        self.queue = EngineQueue(core, engines, self.end_with)
+        self.queue = EngineQueue(core, engines, self.end_with_error)
         self._cache = cache
         self._models = ModelCalls(core, engines, self.queue, cache, text_arrived)
-        self._keyed = KeyedCalls(core, configuration, leaving, self.end_with)
+        self._keyed = KeyedCalls(core, configuration, leaving, self.end_with_error)
         self._children = ChildCalls(core, configuration, self._keyed)
         self._expiries: dict[RunId, Timer] = {}
         self._draining = False
         core.on_step = self._step
-        core.on_budget_exhausted = self.end_with
+        core.on_budget_exhausted = self.end_with_error
 
     # ------------------------------------------------------------ steps
 
@@ -73,10 +73,10 @@
         if step is None:
             self._core.end(activity)
             return
-        self._watch_expiry(activity.shard, run, root)
-        self._take(activity, run, step)
+        self._schedule_expiry(activity.shard, run, root)
+        self._execute(activity, run, step)
 
-    def _take(self, activity: Activity, run: Run, step: NextStep) -> None:
+    def _execute(self, activity: Activity, run: Run, step: NextStep) -> None:
         match step:
             case StartCall():
                 self._start_or_back_off(activity, run, step)
@@ -84,20 +84,20 @@
                 self._recover(activity, run, step.call)
             case EndRun():
                 self._end(activity, step)
-            case RefuseAtOnce():
+            case RefuseRequest():
                 self._refuse(activity, run, step.error)
 
     def _start_or_back_off(self, activity: Activity, run: Run, step: StartCall) -> None:
-        retried = step.retried
-        if retried is None:
+        failed_attempt = step.failed_attempt
+        if failed_attempt is None:
             self._start_or_hold(activity, run, step)
             return
-        # An engine that asked for a pause is passed over by the queue; others need not wait.
-        retry_error = retried.error if retried.kind is not CallKind.MODEL else None
-        delay = self._core.backoff(retried.attempt, retry_error)
+        # The queue skips an engine that sent Retry-After; a model call may use another engine.
+        retry_error = failed_attempt.error if failed_attempt.kind is not CallKind.MODEL else None
+        delay = self._core.backoff(failed_attempt.attempt, retry_error)
         root = self._core.root_of(activity.shard, run)
         if self._core.context.wall() + delay >= expiry_wall(run, root):
-            self.end_with(activity, run, retried.error or deadline_exceeded(None))
+            self.end_with_error(activity, run, failed_attempt.error or deadline_exceeded(None))
             return
         self._core.context.counters["yokeline_call_retries_total"] += 1
         activity.stage = Stage.BACKING_OFF
@@ -134,11 +134,11 @@
             case CallKind.TOOL | CallKind.APP:
                 self._keyed.recover(activity, run, call)
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ end of a run
 
-    def end_with(self, activity: Activity, run: Run, error: YokelineError) -> None:
-        """End a run (or its turn) with an error; it is refused if nothing has started."""
-        self._take(activity, run, ended_with(run, error))
+    def end_with_error(self, activity: Activity, run: Run, error: YokelineError) -> None:
+        """End a run or its turn with an error; a run without calls is refused."""
+        self._execute(activity, run, failure_step(run, error))
 
     def _end(self, activity: Activity, step: EndRun) -> None:
         command = FinishRun(
@@ -157,7 +157,7 @@
         self._core.propose(activity, command, lambda _run: self._core.end_and_drive(activity))
 
     def run_ended(self, run: Run) -> None:
-        """Drop what is kept about a run that is idle or final; stop what is under way."""
+        """Release the state kept for an idle or final run and cancel a final run's activity."""
         expiry = self._expiries.pop(run.run, None)
         if expiry is not None:
             expiry.cancel()
@@ -166,26 +166,26 @@
             activity.cancel()
             self._core.end(activity)
         self._core.partial_texts.forget(run.run)
-        self._models.forget(run.run)
+        self._models.forget_run(run.run)
         self._children.child_ended(run)
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ expiry
 
-    def _watch_expiry(self, shard: ShardId, run: Run, root: Run) -> None:
+    def _schedule_expiry(self, shard: ShardId, run: Run, root: Run) -> None:
         context = self._core.context
         due = context.now + expiry_wall(run, root) - context.wall()
-        known = self._expiries.get(run.run)
-        if known is not None:
-            if not known.cancelled and known.due <= due:
+        scheduled = self._expiries.get(run.run)
+        if scheduled is not None:
+            if not scheduled.cancelled and scheduled.due <= due:
                 return
-            known.cancel()
+            scheduled.cancel()
         run_id = run.run
         self._expiries[run_id] = self._core.timers.schedule(
             due, lambda: self._expire(shard, run_id)
         )
 
     def _expire(self, shard: ShardId, run_id: RunId) -> None:
-        """End what is done for a run whose time is over, as far as that is harmless."""
+        """End the activity of an expired run; child and non-repeatable calls run to their end."""
         self._expiries.pop(run_id, None)
         run = self._core.find(shard, run_id)
         activity = self._core.activities.get(run_id)
@@ -194,7 +194,7 @@
             return
         error = expiry_error(run, self._core.root_of(shard, run), self._core.context.wall())
         if error is None:
-            self._watch_expiry(shard, run, self._core.root_of(shard, run))
+            self._schedule_expiry(shard, run, self._core.root_of(shard, run))
         elif activity.stage in NO_CALL_STAGES:
             activity.cancel()
             self._core.end_and_drive(activity)
@@ -203,29 +203,29 @@
             outcome = CallOutcome(status=CallStatus.FAILED, error=rules.as_not_run(error))
             self._core.finish_call(activity, outcome)
         elif activity.stage is Stage.CALLING and activity.repeatable:
-            self._give_up(activity, run.calls[-1], error)
+            self._expire_call(activity, run.calls[-1], error)
         elif activity.stage is Stage.PROPOSING:
-            self._expire_again(shard, run_id)
+            self._recheck_expiry(shard, run_id)
 
-    def _expire_again(self, shard: ShardId, run_id: RunId) -> None:
-        """Look again soon: what is being committed now decides what is to be ended."""
+    def _recheck_expiry(self, shard: ShardId, run_id: RunId) -> None:
+        """Check the run again soon: the pending proposal decides what has to be ended."""
         due = self._core.context.now + EXPIRY_RECHECK_SECONDS
         self._expiries[run_id] = self._core.timers.schedule(
             due, lambda: self._expire(shard, run_id)
         )
 
-    def _give_up(self, activity: Activity, call: CallRecord, error: YokelineError) -> None:
-        """End a call that was sent and has no answer: it may have run, or may still run."""
+    def _expire_call(self, activity: Activity, call: CallRecord, error: YokelineError) -> None:
+        """End a sent call without an answer; its execution is unknown."""
         error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
         if call.kind is CallKind.MODEL:
-            self._models.give_up(activity, call, error)
+            self._models.expire_call(activity, call, error)
         else:
-            self._keyed.give_up(activity, call, error)
+            self._keyed.expire_call(activity, call, error)
 
     # ------------------------------------------------------------ leadership
 
     def leadership_gained(self, shard: ShardId) -> None:
-        """Go on with every active run of a shard."""
+        """Resume every active run of a shard."""
         machine = self._core.host.machine(shard)
         if machine is None:
             return
@@ -233,22 +233,22 @@
             self._core.drive(shard, run)
 
     def leadership_lost(self, shard: ShardId) -> None:
-        """Leave every run of a shard to the next leader."""
+        """Leave the runs of a shard to the next leader."""
         for activity in [a for a in self._core.activities.values() if a.shard == shard]:
             activity.detach()
             self._core.end(activity)
             self._core.partial_texts.forget(activity.run)
-            self._models.forget(activity.run)
+            self._models.forget_run(activity.run)
             expiry = self._expiries.pop(activity.run, None)
             if expiry is not None:
                 expiry.cancel()
 
     def begin_drain(self) -> None:
-        """Start no further tool, app or child call here; the next leaders go on."""
+        """Hold new tool, app and child calls for the next leader."""
         self._draining = True
 
     def blocks_hand_over(self, shard: ShardId) -> bool:
-        """Return whether a call that may not be repeated is under way in a shard."""
+        """Return whether a call that is not repeatable is in flight in a shard."""
         return any(
             activity.shard == shard and not activity.repeatable
             for activity in self._core.activities.values()
--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -68,7 +68,7 @@
             self._not_callable(activity, run, step, checked.failure())
             return
         target = checked.unwrap()
-        failed = step.retried.backend if step.retried is not None else ""
+        failed = step.failed_attempt.backend if step.failed_attempt is not None else ""
         address = choose_address(target, failed, self._leaving, self._core.context.random)
         if address is None:
             error = overloaded(f"{target.kind.value} {target.name}", LEAVING_RETRY_AFTER_SECONDS)
@@ -182,9 +182,9 @@
     def _failed(self, request: KeyedCall, error: YokelineError) -> None:
         """End a failed attempt; the model is told once no further attempt will follow."""
         record = request.record
-        again = may_retry(record.attempt, record.repeatable, error, self._core.step_limits)
-        told = record.tool_request is not None and not again
-        message = error_message(record, error) if told else None
+        will_retry = may_retry(record.attempt, record.repeatable, error, self._core.step_limits)
+        tell_model = record.tool_request is not None and not will_retry
+        message = error_message(record, error) if tell_model else None
         self._finish(request, CallOutcome(status=CallStatus.FAILED, message=message, error=error))
 
     def _unknown(self, request: KeyedCall, cause: str) -> None:
@@ -210,9 +210,9 @@
         """Find out what became of a call that a leader before may have sent."""
         if record.repeatable:
             error = _leader_lost(record.backend)
-            again = may_retry(record.attempt, True, error, self._core.step_limits)
-            told = record.tool_request is not None and not again
-            message = error_message(record, error) if told else None
+            will_retry = may_retry(record.attempt, True, error, self._core.step_limits)
+            tell_model = record.tool_request is not None and not will_retry
+            message = error_message(record, error) if tell_model else None
             usage = budget.usage_of_reservation(record.reserved)
             outcome = CallOutcome(
                 status=CallStatus.FAILED, usage=usage, message=message, error=error
@@ -243,7 +243,7 @@
         outcome = CallOutcome(status=CallStatus.UNKNOWN, usage=usage, error=error)
         self._core.finish_call(activity, outcome)
 
-    def give_up(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
+    def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
         """End a repeatable call whose run's time is over."""
         activity.cancel()
         usage = budget.usage_of_reservation(record.reserved)
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -77,8 +77,8 @@
             self._avoid.pop(run.run, None)
             self._cache.pause_ended(run)
         demand = self._demand(run, root)
-        if step.retried is not None:
-            avoid = dict.fromkeys((*demand.avoid, step.retried.backend))
+        if step.failed_attempt is not None:
+            avoid = dict.fromkeys((*demand.avoid, step.failed_attempt.backend))
             demand = msgspec.structs.replace(demand, avoid=tuple(avoid))
         self._queue.submit(activity, run, step, demand)
 
@@ -267,12 +267,12 @@
 
     # ------------------------------------------------------------ giving up
 
-    def give_up(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
+    def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
         """End a call whose run's time is over: cancel it at the engine and say why."""
         activity.cancel()
         self._finish_failed(activity, error, budget.usage_of_reservation(record.reserved))
 
-    def forget(self, run: RunId) -> None:
+    def forget_run(self, run: RunId) -> None:
         """Drop what is kept about a run that has ended."""
         self._avoid.pop(run, None)
 
--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -1,4 +1,4 @@
-"""What a run needs next: a pure function of its replicated state and the wall time."""
+"""Determines a run's next step: a pure function of its replicated state and the wall time."""
 
 from __future__ import annotations
 
@@ -19,51 +19,55 @@
 
 DEADLINE_RETRY_AFTER_SECONDS = 1.0
 REFUSED_ATTEMPTS_FACTOR = 4
-"""Attempts that a back end surely refused cost little, so that many more are allowed."""
+"""Attempts refused before execution are cheap, so the attempt limit is multiplied for them."""
 
 
 class StepLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits that are settings of the node."""
+    """Limits from the node's settings.
+
+    Attributes:
+        call_attempts: Maximum number of attempts of a repeatable call.
+    """
 
     call_attempts: int
 
 
 class StartCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Start a call, or a further attempt of it.
+    """Start a call, or another attempt of a call.
 
     Attributes:
-        request: The model's tool request that it carries out, if any.
-        retried: For a further attempt: the call as it stands.
+        request: The model's tool request that the call carries out, if any.
+        failed_attempt: For a retry, the record of the previous attempt.
     """
 
     kind: CallKind
     number: int
     attempt: int
     request: ToolRequest | None = None
-    retried: CallRecord | None = None
+    failed_attempt: CallRecord | None = None
 
 
 class RecoverCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Find out what became of a started call (a leader before may have sent it)."""
+    """Determine the outcome of a started call, which a previous leader may have sent."""
 
     call: CallRecord
 
 
 class EndRun(msgspec.Struct, frozen=True, kw_only=True):
-    """End the run, or its turn."""
+    """End the run, or the current turn of a conversation."""
 
     status: RunStatus
     answer: str = ""
     error: YokelineError | None = None
 
 
-class RefuseAtOnce(msgspec.Struct, frozen=True, kw_only=True):
-    """Refuse the run: nothing was started and nothing will be."""
+class RefuseRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """Refuse the request: no call has started and none will."""
 
     error: YokelineError
 
 
-NextStep = StartCall | RecoverCall | EndRun | RefuseAtOnce
+NextStep = StartCall | RecoverCall | EndRun | RefuseRequest
 
 
 def next_step(run: Run, root: Run, limits: StepLimits, wall: float) -> NextStep | None:
@@ -72,11 +76,11 @@
     Args:
         run: The run.
         root: The root of its tree, whose budget it shares.
-        limits: Limits of the node.
-        wall: Wall seconds now.
+        limits: Limits from the node's settings.
+        wall: Current Unix time in seconds.
 
     Returns:
-        The step; None if the run waits for nothing but its caller.
+        The step, or None if the run is idle or final.
     """
     if run.status is not RunStatus.ACTIVE:
         return None
@@ -85,14 +89,14 @@
         return RecoverCall(call=in_flight)
     unknown = rules.unknown_outcome_call(run)
     if unknown is not None and unknown.error is not None:
-        return ended_with(run, unknown.error)
+        return failure_step(run, unknown.error)
     answer = turn_answer(run)
     if answer is not None:
         status = RunStatus.IDLE if run.spec.conversation else RunStatus.SUCCEEDED
         return EndRun(status=status, answer=answer)
     expired = expiry_error(run, root, wall)
     if expired is not None:
-        return ended_with(run, expired)
+        return failure_step(run, expired)
     return _next_call(run, limits)
 
 
@@ -112,31 +116,31 @@
 
 
 def _awaits_retry(run: Run, last: CallRecord) -> bool:
-    unanswered = last.status is CallStatus.FAILED and not last.answered
-    return unanswered and last.number >= run.turn_first_call
+    needs_retry = last.status is CallStatus.FAILED and not last.answered
+    return needs_retry and last.number >= run.turn_first_call
 
 
 def _retry(run: Run, last: CallRecord, limits: StepLimits) -> NextStep:
     error = last.error
     if error is None or not may_retry(last.attempt, last.repeatable, error, limits):
-        return ended_with(run, error or deadline_exceeded(None))
+        return failure_step(run, error or deadline_exceeded(None))
     return StartCall(
         kind=last.kind,
         number=last.number,
         attempt=last.attempt + 1,
         request=last.tool_request,
-        retried=last,
+        failed_attempt=last,
     )
 
 
 def may_retry(attempt: int, repeatable: bool, error: YokelineError, limits: StepLimits) -> bool:
-    """Return whether a failed attempt may be followed by another one.
+    """Return whether a failed attempt may be followed by another attempt.
 
     Args:
-        attempt: Number of the attempt that failed.
-        repeatable: Whether the call may be repeated at all.
-        error: How it failed.
-        limits: Limits of the node.
+        attempt: Number of the failed attempt.
+        repeatable: Whether the call is repeatable.
+        error: Error of the failed attempt.
+        limits: Limits from the node's settings.
     """
     if not repeatable or error.execution is Execution.DONE:
         return False
@@ -150,7 +154,7 @@
 
 
 def turn_answer(run: Run) -> str | None:
-    """Return the answer of the current turn once it is whole, else None."""
+    """Return the answer of the current turn, or None if the turn is not complete."""
     last = rules.last_call(run)
     if last is None or last.number < run.turn_first_call:
         return None
@@ -161,7 +165,7 @@
 
 
 def expiry_wall(run: Run, root: Run) -> float:
-    """Return the wall seconds at which a run's time is over."""
+    """Return the Unix time at which a run exceeds its deadline or wall time budget."""
     budget_end = root.turn_started_wall + root.spec.budget.wall_seconds
     if run.spec.deadline_wall is None:
         return budget_end
@@ -169,22 +173,22 @@
 
 
 def expiry_error(run: Run, root: Run, wall: float) -> YokelineError | None:
-    """Return why a run's time is over, None while it is not."""
+    """Return the error of an expired run, or None if the run has not expired."""
     deadline = run.spec.deadline_wall
     if deadline is not None and wall >= deadline:
         return deadline_exceeded(DEADLINE_RETRY_AFTER_SECONDS)
-    in_time = budget.check_wall(root, wall)
-    return None if wall < expiry_wall(run, root) else in_time.failure()
+    wall_check = budget.check_wall(root, wall)
+    return None if wall < expiry_wall(run, root) else wall_check.failure()
 
 
-def ended_with(run: Run, error: YokelineError) -> EndRun | RefuseAtOnce:
-    """Return how a run (or its turn) ends with an error.
+def failure_step(run: Run, error: YokelineError) -> EndRun | RefuseRequest:
+    """Return the step that ends a run or its current turn with an error.
 
-    A run in which no call started is refused. A conversation outlives the failure of a
-    later turn, since its history is worth keeping, unless its budget is used up.
+    A run without calls is refused. A conversation becomes idle again when a turn after the
+    first fails, unless the budget is exhausted.
     """
     if not run.calls:
-        return RefuseAtOnce(error=error)
+        return RefuseRequest(error=error)
     if run.spec.conversation and run.turn > 1 and error.kind is not ErrorKind.BUDGET_EXHAUSTED:
         return EndRun(status=RunStatus.IDLE, error=error)
     unknown = error.kind is ErrorKind.OUTCOME_UNKNOWN
