--- a/src/yokeline/runs/child_calls.py
+++ b/src/yokeline/runs/child_calls.py
@@ -1,4 +1,4 @@
-"""Child runs: a program that a model runs as if it were a tool."""
+"""Child runs: programs that a model calls like tools."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     cancelled,
     not_configured,
     outcome_unknown,
-    request_refused,
+    tool_request_refused,
 )
 from yokeline.runs.keyed_calls import KeyedCalls
 from yokeline.runs.model import CallRecord, CallStatus, CreateRun, Run, RunSpec, RunStatus
@@ -27,11 +27,11 @@
 from yokeline.runs.tree import depth
 
 MAX_DEPTH = 8
-"""Generations below a root run; a program that calls itself ends there at the latest."""
+"""Maximum nesting of child runs below a root run; bounds recursion of programs."""
 
 
 class ChildInput(msgspec.Struct, frozen=True, kw_only=True):
-    """Arguments of a model's request to run a child program."""
+    """JSON arguments of a model's request to run a child program."""
 
     input: str
 
@@ -42,7 +42,7 @@
 
 
 class ChildCalls:
-    """Creates child runs and hands their answers to their parents."""
+    """Creates child runs and returns their answers to their parents."""
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         configuration: Callable[[], Configuration],
         keyed_calls: KeyedCalls,
     ) -> None:
-        """Create it; ``keyed_calls`` answers requests that cannot be carried out."""
+        """Create the calls; ``keyed_calls`` rejects invalid requests."""
         self._core = core
         self._configuration = configuration
         self._keyed_calls = keyed_calls
@@ -61,7 +61,7 @@
         name = step.request.name if step.request is not None else ""
         child = self._new_child(run, name, arguments)
         if isinstance(child, Failure):
-            self._keyed_calls.answer_without_call(activity, step, child.failure())
+            self._keyed_calls.reject_tool_request(activity, step, child.failure())
             return
         attempt_spec = AttemptSpec(
             backend=child_run_id(run.run, run.children + 1),
@@ -77,7 +77,7 @@
 
     def _new_child(self, run: Run, name: str, arguments: str) -> Result[_NewChild, YokelineError]:
         if depth(run.run) >= MAX_DEPTH:
-            return Failure(request_refused(f"child runs are nested deeper than {MAX_DEPTH}"))
+            return Failure(tool_request_refused(f"child runs are nested deeper than {MAX_DEPTH}"))
         configuration = self._configuration()
         program = configuration.program(run.spec.tenant, name)
         if program is None:
@@ -85,12 +85,12 @@
         try:
             content = msgspec.json.decode(arguments, type=ChildInput).input
         except (msgspec.MsgspecError, RecursionError):
-            return Failure(request_refused('a child program takes {"input": text}'))
+            return Failure(tool_request_refused('a child program takes {"input": text}'))
         spec = child_spec(run, program, configuration.resolve(program), content)
         return Success(_NewChild(spec=spec, input=content))
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Create the child if it does not exist, and wait for it to end."""
+        """Create the child run if it does not exist, and wait for it to end."""
         activity.stage = Stage.AWAITING_CHILD
         activity.repeatable = True
         child = self._core.find(activity.shard, RunId(record.backend))
@@ -124,7 +124,7 @@
         self._core.propose(activity, command, created)
 
     def child_ended(self, child: Run) -> None:
-        """Hand the answer of a child that has ended to its parent."""
+        """Finish the parent's call with the outcome of a child run that has ended."""
         activity = self._core.activities.get(child.parent) if child.parent is not None else None
         if activity is None or activity.stage is not Stage.AWAITING_CHILD:
             return
--- a/src/yokeline/runs/errors.py
+++ b/src/yokeline/runs/errors.py
@@ -1,4 +1,4 @@
-"""Errors of runs: one function per case, each naming the remedy."""
+"""Errors of runs, one function per case."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def run_not_found() -> YokelineError:
-    """Return the one answer for an unknown run and for a run of another tenant."""
+    """Return the error for an unknown run; a run of another tenant looks the same."""
     return YokelineError(
         kind=ErrorKind.NOT_FOUND,
         message="no such run",
@@ -16,11 +16,11 @@
 
 
 def key_reused() -> YokelineError:
-    """Return the error for an idempotency key that came with another request before."""
+    """Return the error for an idempotency key that belongs to a different request."""
     return YokelineError(
         kind=ErrorKind.IDEMPOTENCY_KEY_REUSED,
         message="the idempotency key was used for a different request",
-        remedy="send each request under a key of its own",
+        remedy="use a separate key for each request",
     )
 
 
@@ -43,7 +43,7 @@
 
 
 def deadline_exceeded(retry_after: float | None) -> YokelineError:
-    """Return the error for a run that its caller no longer waits for."""
+    """Return the error for a run that has passed its deadline."""
     return YokelineError(
         kind=ErrorKind.DEADLINE_EXCEEDED,
         message="the deadline of the request has passed",
@@ -53,7 +53,7 @@
 
 
 def cancelled() -> YokelineError:
-    """Return the error of a run that its caller cancelled."""
+    """Return the error for a run that its caller cancelled."""
     return YokelineError(
         kind=ErrorKind.CONFLICT,
         message="the run was cancelled by its caller",
@@ -62,17 +62,17 @@
 
 
 def overloaded(what: str, retry_after: float) -> YokelineError:
-    """Return the error for work that is shed."""
+    """Return the error for a request that is shed."""
     return YokelineError(
         kind=ErrorKind.OVERLOADED,
-        message=f"{what} has no room for more work",
-        remedy="send it again after the pause named in retry_after, under a new idempotency key",
+        message=f"{what} is at capacity",
+        remedy="send it again after retry_after seconds under a new idempotency key",
         retry_after=retry_after,
     )
 
 
 def leadership_lost() -> YokelineError:
-    """Return the error for an operation whose shard is led elsewhere now."""
+    """Return the error for an operation on a shard that this node no longer leads."""
     return YokelineError(
         kind=ErrorKind.UNAVAILABLE,
         message="this node no longer leads the run's shard",
@@ -83,15 +83,15 @@
 
 
 def not_configured(kind: str, name: str) -> YokelineError:
-    """Return the error for a back end that the configuration does not have."""
+    """Return the error for a back end that is not configured."""
     return YokelineError(
         kind=ErrorKind.NOT_FOUND,
         message=f"the configuration has no {kind} {name!r} with an address",
-        remedy=f"add the {kind} or take it off the program",
+        remedy=f"add the {kind} or remove it from the program",
     )
 
 
-def request_refused(message: str) -> YokelineError:
+def tool_request_refused(message: str) -> YokelineError:
     """Return the error for a model's tool request that cannot be carried out."""
     return YokelineError(
         kind=ErrorKind.BAD_REQUEST,
@@ -101,17 +101,17 @@
 
 
 def outcome_unknown(backend: str, cause: str) -> YokelineError:
-    """Return the error for a call that may have had its effect and is not repeated."""
+    """Return the error for a call that may have had an effect and is not repeated."""
     return YokelineError(
         kind=ErrorKind.OUTCOME_UNKNOWN,
         message=f"{backend} may have carried out the request: {cause}",
-        remedy="check at the back end before asking again; it will not be sent again",
+        remedy="check the back end before sending it again; it is not repeated automatically",
         execution=Execution.UNKNOWN,
     )
 
 
-def engine_gone(engine: str) -> YokelineError:
-    """Return the error for a call whose engine is no longer in the directory."""
+def engine_unknown(engine: str) -> YokelineError:
+    """Return the error for a call to an engine that is no longer in the engine directory."""
     return YokelineError(
         kind=ErrorKind.BACKEND_FAILED,
         message=f"engine {engine} is no longer known",
--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -1,4 +1,4 @@
-"""Tool and app calls of runs: sending, time limits, retries, and lookups of their outcome."""
+"""Tool and app calls of runs: sending, timeouts, retries and outcome lookups."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from yokeline.runs import budget
 from yokeline.runs.activity import Activity, AttemptSpec, CallOutcome
 from yokeline.runs.core import ExecutorCore
-from yokeline.runs.errors import outcome_unknown, overloaded, request_refused
-from yokeline.runs.keyed_requests import Content, KeyedCall, KeyedSender
+from yokeline.runs.errors import outcome_unknown, overloaded, tool_request_refused
+from yokeline.runs.keyed_requests import ContentResult, KeyedCall, KeyedSender
 from yokeline.runs.model import (
     CallRecord,
     CallStatus,
@@ -24,7 +24,7 @@
     Usage,
 )
 from yokeline.runs.next_step import StartCall, may_retry
-from yokeline.runs.outcome_lookups import Outcome, OutcomeLookups
+from yokeline.runs.outcome_lookups import LookupOutcome, OutcomeLookups
 from yokeline.runs.ports import Configuration, LeavingPredicate
 from yokeline.runs.results import error_message, result_message
 from yokeline.runs.targets import (
@@ -37,12 +37,12 @@
 
 NO_BACKEND = "none"
 ANSWER_GRACE_SECONDS = 5.0
-"""Time beyond the transport's own limit after which a call is ended in any case."""
+"""Time beyond the transport's timeout after which a call is ended regardless."""
 LEAVING_RETRY_AFTER_SECONDS = 1.0
 
 
 class KeyedCalls:
-    """Starts, follows and ends the tool and app calls of runs."""
+    """Starts, follows and ends tool and app calls."""
 
     def __init__(
         self,
@@ -51,13 +51,13 @@
         leaving: LeavingPredicate,
         end_run: Callable[[Activity, Run, YokelineError], None],
     ) -> None:
-        """Create it; ``end_run`` ends a run whose back end cannot be called at all."""
+        """Create the calls; ``end_run`` ends a run whose back end cannot be called."""
         self._core = core
         self._configuration = configuration
         self._leaving = leaving
         self._end_run = end_run
         self._sender = KeyedSender(core.context)
-        self._lookups = OutcomeLookups(core, self._sender, self._looked_up)
+        self._lookups = OutcomeLookups(core, self._sender, self._lookup_done)
 
     # ------------------------------------------------------------ start
 
@@ -68,8 +68,8 @@
             self._not_callable(activity, run, step, checked.failure())
             return
         target = checked.unwrap()
-        failed = step.failed_attempt.backend if step.failed_attempt is not None else ""
-        address = choose_address(target, failed, self._leaving, self._core.context.random)
+        failed_backend = step.failed_attempt.backend if step.failed_attempt is not None else ""
+        address = choose_address(target, failed_backend, self._leaving, self._core.context.random)
         if address is None:
             error = overloaded(f"{target.kind.value} {target.name}", LEAVING_RETRY_AFTER_SECONDS)
             self._not_callable(activity, run, step, error)
@@ -81,9 +81,9 @@
         if request is None:
             return target_of(self._configuration(), run, step.kind, run.spec.app)
         if request.name not in run.spec.tools:
-            return Failure(request_refused(f"the program has no tool {request.name!r}"))
+            return Failure(tool_request_refused(f"the program has no tool {request.name!r}"))
         if not arguments_valid(request.arguments):
-            return Failure(request_refused("the arguments are not a JSON object"))
+            return Failure(tool_request_refused("the arguments are not a JSON object"))
         return target_of(self._configuration(), run, step.kind, request.name)
 
     def _not_callable(
@@ -92,12 +92,12 @@
         if step.request is None:
             self._end_run(activity, run, error)
         else:
-            self.answer_without_call(activity, step, error)
+            self.reject_tool_request(activity, step, error)
 
-    def answer_without_call(
+    def reject_tool_request(
         self, activity: Activity, step: StartCall, error: YokelineError
     ) -> None:
-        """Tell the model that its request is not carried out; nothing is sent."""
+        """Record a failed call that tells the model why its request is rejected; send nothing."""
         attempt_spec = AttemptSpec(backend=NO_BACKEND, reason=error.message, repeatable=True)
 
         def answer(run: Run) -> None:
@@ -120,96 +120,96 @@
         )
 
         def send(started: Run) -> None:
-            request = KeyedCall(activity, started, started.calls[-1], target, address)
-            self._send(request, timeout)
+            call = KeyedCall(activity, started, started.calls[-1], target, address)
+            self._send(call, timeout)
 
         self._core.start_call(activity, step, attempt_spec, send)
 
     # ------------------------------------------------------------ sending
 
-    def _send(self, request: KeyedCall, timeout: float) -> None:
-        activity = request.activity
-        activity.detach = lambda: self._detach(request)
-        activity.cancel = lambda: self._close_connection(request)
+    def _send(self, call: KeyedCall, timeout: float) -> None:
+        activity = call.activity
+        activity.detach = lambda: self._detach(call)
+        activity.cancel = lambda: self._close_connection(call)
         self._core.call_later(
-            activity, timeout + ANSWER_GRACE_SECONDS, lambda: self._no_answer(request)
+            activity, timeout + ANSWER_GRACE_SECONDS, lambda: self._timed_out(call)
         )
 
-        def done(content: Content) -> None:
+        def done(content: ContentResult) -> None:
             if self._core.is_current(activity):
-                request.connection = None
-                self._answered(request, content)
+                call.connection = None
+                self._answered(call, content)
 
-        request.connection = self._sender.send(request, timeout, done)
+        call.connection = self._sender.send(call, timeout, done)
 
-    def _no_answer(self, request: KeyedCall) -> None:
-        """End a call that the transport itself did not end in time."""
-        self._close_connection(request)
-        self._answered(request, Failure(_no_answer_error(request.record.backend)))
+    def _timed_out(self, call: KeyedCall) -> None:
+        """End a call that the transport did not end in time."""
+        self._close_connection(call)
+        self._answered(call, Failure(_timeout_error(call.record.backend)))
 
-    def _detach(self, request: KeyedCall) -> None:
+    def _detach(self, call: KeyedCall) -> None:
         """Leave a call to the next leader.
 
-        A call that may not be repeated keeps its connection, since closing it could end the
-        work at the back end half way; its answer is dropped.
+        A non-repeatable call keeps its connection, because closing it could abort the work at
+        the back end half way. Its answer is ignored.
         """
-        if request.record.repeatable:
-            self._close_connection(request)
+        if call.record.repeatable:
+            self._close_connection(call)
 
-    def _close_connection(self, request: KeyedCall) -> None:
-        if request.connection is not None:
-            self._core.context.cancel_http(request.connection)
-            request.connection = None
+    def _close_connection(self, call: KeyedCall) -> None:
+        if call.connection is not None:
+            self._core.context.cancel_http(call.connection)
+            call.connection = None
 
     # ------------------------------------------------------------ outcome
 
-    def _answered(self, request: KeyedCall, content: Content) -> None:
+    def _answered(self, call: KeyedCall, content: ContentResult) -> None:
         if isinstance(content, Success):
-            self._succeeded(request, content.unwrap())
+            self._succeeded(call, content.unwrap())
             return
         error = content.failure()
-        if error.execution is not Execution.UNKNOWN or request.record.repeatable:
-            self._failed(request, error)
-        elif request.target.lookup is not Lookup.NONE:
-            self._lookups.begin(request)
+        if error.execution is not Execution.UNKNOWN or call.record.repeatable:
+            self._failed(call, error)
+        elif call.target.lookup is not Lookup.NONE:
+            self._lookups.begin(call)
         else:
-            self._unknown(request, error.message)
+            self._unknown(call, error.message)
 
-    def _succeeded(self, request: KeyedCall, content: str) -> None:
-        message = result_message(request.record, content)
-        self._finish(request, CallOutcome(status=CallStatus.SUCCEEDED, message=message))
+    def _succeeded(self, call: KeyedCall, content: str) -> None:
+        message = result_message(call.record, content)
+        self._finish(call, CallOutcome(status=CallStatus.SUCCEEDED, message=message))
 
-    def _failed(self, request: KeyedCall, error: YokelineError) -> None:
-        """End a failed attempt; the model is told once no further attempt will follow."""
-        record = request.record
+    def _failed(self, call: KeyedCall, error: YokelineError) -> None:
+        """End a failed attempt; the model gets the error if no further attempt follows."""
+        record = call.record
         will_retry = may_retry(record.attempt, record.repeatable, error, self._core.step_limits)
         tell_model = record.tool_request is not None and not will_retry
         message = error_message(record, error) if tell_model else None
-        self._finish(request, CallOutcome(status=CallStatus.FAILED, message=message, error=error))
+        self._finish(call, CallOutcome(status=CallStatus.FAILED, message=message, error=error))
 
-    def _unknown(self, request: KeyedCall, cause: str) -> None:
-        error = outcome_unknown(request.record.backend, cause)
-        self._finish(request, CallOutcome(status=CallStatus.UNKNOWN, error=error))
+    def _unknown(self, call: KeyedCall, cause: str) -> None:
+        error = outcome_unknown(call.record.backend, cause)
+        self._finish(call, CallOutcome(status=CallStatus.UNKNOWN, error=error))
 
-    def _finish(self, request: KeyedCall, outcome: CallOutcome) -> None:
-        seconds = max(0.0, self._core.context.wall() - request.record.started_wall)
+    def _finish(self, call: KeyedCall, outcome: CallOutcome) -> None:
+        seconds = max(0.0, self._core.context.wall() - call.record.started_wall)
         usage = Usage(tool_seconds=seconds, calls=1)
         outcome = msgspec.structs.replace(outcome, usage=usage)
-        self._core.finish_call(request.activity, outcome)
+        self._core.finish_call(call.activity, outcome)
 
-    def _looked_up(self, request: KeyedCall, outcome: Outcome) -> None:
-        """End a call whose outcome was looked up."""
+    def _lookup_done(self, call: KeyedCall, outcome: LookupOutcome) -> None:
+        """End a call with the result of its outcome lookup."""
         if isinstance(outcome, str):
-            self._unknown(request, outcome)
+            self._unknown(call, outcome)
         else:
-            self._answered(request, outcome)
+            self._answered(call, outcome)
 
-    # ------------------------------------------------------------ recovery and giving up
+    # ------------------------------------------------------------ recovery and expiry
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Find out what became of a call that a leader before may have sent."""
+        """Determine the outcome of a call that a previous leader may have sent."""
         if record.repeatable:
-            error = _leader_lost(record.backend)
+            error = _previous_leader_error(record.backend)
             will_retry = may_retry(record.attempt, True, error, self._core.step_limits)
             tell_model = record.tool_request is not None and not will_retry
             message = error_message(record, error) if tell_model else None
@@ -229,13 +229,13 @@
         if isinstance(found, Failure) or address is None:
             self._unknown_without_target(activity, record)
             return
-        request = KeyedCall(activity, run, record, found.unwrap(), address)
-        if request.target.lookup is Lookup.NONE:
-            self._unknown(request, "the node that sent it is gone")
+        call = KeyedCall(activity, run, record, found.unwrap(), address)
+        if call.target.lookup is Lookup.NONE:
+            self._unknown(call, "the node that sent it is gone")
             return
-        activity.detach = lambda: self._close_connection(request)
+        activity.detach = lambda: self._close_connection(call)
         activity.cancel = activity.detach
-        self._lookups.begin(request)
+        self._lookups.begin(call)
 
     def _unknown_without_target(self, activity: Activity, record: CallRecord) -> None:
         error = outcome_unknown(record.backend, "it is no longer configured")
@@ -244,26 +244,26 @@
         self._core.finish_call(activity, outcome)
 
     def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
-        """End a repeatable call whose run's time is over."""
+        """End a repeatable call of an expired run."""
         activity.cancel()
         usage = budget.usage_of_reservation(record.reserved)
         outcome = CallOutcome(status=CallStatus.FAILED, usage=usage, error=error)
         self._core.finish_call(activity, outcome)
 
 
-def _no_answer_error(backend: str) -> YokelineError:
+def _timeout_error(backend: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BACKEND_FAILED,
         message=f"{backend} did not answer in time",
-        remedy="look for what hangs there, or raise its timeout_seconds",
+        remedy="check why it does not respond, or raise its timeout_seconds",
         execution=Execution.UNKNOWN,
     )
 
 
-def _leader_lost(backend: str) -> YokelineError:
+def _previous_leader_error(backend: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BACKEND_FAILED,
-        message=f"the node that called {backend} is gone",
+        message=f"the leader that called {backend} was replaced before the outcome was recorded",
         remedy="none needed; the call is repeated while attempts are left",
         execution=Execution.UNKNOWN,
     )
--- a/src/yokeline/runs/keyed_requests.py
+++ b/src/yokeline/runs/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Sending tool and app calls, and asking what became of them, by the kind of back end."""
+"""Sends tool and app calls and outcome lookups through the client of their back end."""
 
 from __future__ import annotations
 
@@ -17,95 +17,94 @@
 from yokeline.runs.targets import Target
 from yokeline.server.context import NodeContext
 
-Content = Result[str, YokelineError]
-ContentDone = Callable[[Content], None]
+ContentResult = Result[str, YokelineError]
+ContentDone = Callable[[ContentResult], None]
 
 
 class KeyedCall:
-    """A tool or app call under way.
+    """A tool or app call in flight.
 
     Attributes:
-        run: The run it belongs to.
-        target: The back end as it is configured.
-        connection: The open connection, for closing it.
-        lookups_until: Monotonic seconds until which its outcome is asked for.
+        run: The run that made the call.
+        target: The configured back end.
+        address: The selected address of the back end.
+        connection: Id of the open HTTP request, if any.
+        lookup_deadline: Monotonic seconds at which outcome lookups end.
     """
 
-    __slots__ = ("activity", "address", "connection", "lookups_until", "record", "run", "target")
+    __slots__ = ("activity", "address", "connection", "lookup_deadline", "record", "run", "target")
 
     def __init__(
         self, activity: Activity, run: Run, record: CallRecord, target: Target, address: Address
     ) -> None:
-        """Create a call that is not sent yet."""
         self.activity = activity
         self.run = run
         self.record = record
         self.target = target
         self.address = address
         self.connection: RequestId | None = None
-        self.lookups_until = 0.0
+        self.lookup_deadline = 0.0
 
 
 class KeyedSender:
-    """Sends calls through the client of their kind."""
+    """Sends calls and lookups to tools and apps."""
 
     def __init__(self, context: NodeContext) -> None:
-        """Create a sender that sends through ``context``."""
         self._tools = ToolClient(context)
         self._apps = AppClient(context)
 
-    def send(self, request: KeyedCall, timeout: float, done: ContentDone) -> RequestId:
-        """Send a call; ``done`` gets the content of its answer."""
-        if request.target.kind is CallKind.APP:
-            call = self._app_call(request, timeout)
+    def send(self, call: KeyedCall, timeout: float, done: ContentDone) -> RequestId:
+        """Send a call; ``done`` receives the content of the answer."""
+        if call.target.kind is CallKind.APP:
+            app_call = self._app_call(call, timeout)
 
             def app_done(result: Result[AppAnswer, YokelineError]) -> None:
                 done(result.map(lambda answer: answer.content))
 
-            return self._apps.call(call, app_done)
+            return self._apps.call(app_call, app_done)
 
         def tool_done(result: Result[ToolAnswer, YokelineError]) -> None:
             done(result.map(lambda answer: answer.content))
 
-        return self._tools.call(self._tool_call(request, timeout), tool_done)
+        return self._tools.call(self._tool_call(call, timeout), tool_done)
 
-    def _app_call(self, request: KeyedCall, timeout: float) -> AppCall:
+    def _app_call(self, call: KeyedCall, timeout: float) -> AppCall:
         return AppCall(
-            app=request.target.name,
-            address=request.address,
-            path=request.target.path,
-            body=request.run.history[0].content,
-            run=request.run.run,
-            call=request.record.number,
-            fence=request.activity.term,
+            app=call.target.name,
+            address=call.address,
+            path=call.target.path,
+            body=call.run.history[0].content,
+            run=call.run.run,
+            call=call.record.number,
+            fence=call.activity.term,
             timeout=timeout,
-            repeatable=request.record.repeatable,
+            repeatable=call.record.repeatable,
         )
 
-    def _tool_call(self, request: KeyedCall, timeout: float) -> ToolCall:
-        tool_request = request.record.tool_request
+    def _tool_call(self, call: KeyedCall, timeout: float) -> ToolCall:
+        tool_request = call.record.tool_request
         return ToolCall(
-            tool=request.target.name,
-            address=request.address,
-            path=request.target.path,
+            tool=call.target.name,
+            address=call.address,
+            path=call.target.path,
             arguments=tool_request.arguments if tool_request is not None else "{}",
-            run=request.run.run,
-            call=request.record.number,
-            fence=request.activity.term,
+            run=call.run.run,
+            call=call.record.number,
+            fence=call.activity.term,
             timeout=timeout,
-            repeatable=request.record.repeatable,
+            repeatable=call.record.repeatable,
         )
 
-    def look_up(self, request: KeyedCall, done: LookupDone) -> RequestId:
-        """Ask the back end what became of a call."""
-        timeout = request.target.timeout
-        if request.target.kind is CallKind.APP:
-            return self._apps.lookup(self._app_call(request, timeout), done)
-        return self._tools.lookup(self._tool_call(request, timeout), done)
+    def look_up(self, call: KeyedCall, done: LookupDone) -> RequestId:
+        """Ask the back end for the outcome of a call."""
+        timeout = call.target.timeout
+        if call.target.kind is CallKind.APP:
+            return self._apps.lookup(self._app_call(call, timeout), done)
+        return self._tools.lookup(self._tool_call(call, timeout), done)
 
 
-def content_of(target: Target, body: bytes) -> Content:
-    """Return the content of a recorded response, which is of the form of a direct one."""
+def content_of(target: Target, body: bytes) -> ContentResult:
+    """Return the content of a recorded response, which has the format of a direct response."""
     if target.kind is CallKind.APP:
         return app_answer(target.name, body).map(lambda found: found.content)
     return tool_answer(target.name, body).map(lambda found: found.content)
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -29,7 +29,7 @@
 from yokeline.runs.core import ExecutorCore
 from yokeline.runs.demands import call_demand
 from yokeline.runs.engine_queue import EngineQueue
-from yokeline.runs.errors import budget_exhausted, engine_gone
+from yokeline.runs.errors import budget_exhausted, engine_unknown
 from yokeline.runs.generation import Generation, distinct_requests
 from yokeline.runs.model import (
     CallRecord,
@@ -152,7 +152,7 @@
         address = self._engines.address_of(record.backend)
         if address is None:
             usage = budget.usage_of_reservation(record.reserved)
-            self._finish_failed(activity, engine_gone(record.backend), usage)
+            self._finish_failed(activity, engine_unknown(record.backend), usage)
             return
         demand = self._demand(run, self._core.root_of(activity.shard, run))
         generation = self._generation(activity, run, address, demand)
--- a/src/yokeline/runs/outcome_lookups.py
+++ b/src/yokeline/runs/outcome_lookups.py
@@ -1,4 +1,4 @@
-"""Asks a back end, by idempotency key, what became of a call that may not be repeated."""
+"""Looks up the outcome of a non-repeatable call at its back end, by idempotency key."""
 
 from __future__ import annotations
 
@@ -9,67 +9,67 @@
 from yokeline.backends.keyed import LookupAnswer, LookupStatus
 from yokeline.errors import ErrorKind, Execution, YokelineError
 from yokeline.runs.core import ExecutorCore
-from yokeline.runs.keyed_requests import Content, KeyedCall, KeyedSender, content_of
+from yokeline.runs.keyed_requests import ContentResult, KeyedCall, KeyedSender, content_of
 
-LOOKUP_PAUSE_SECONDS = 0.25
-LOOKUP_PATIENCE_SECONDS = 10.0
-"""Time beyond a back end's own limit for which its outcome is asked for."""
+LOOKUP_INTERVAL_SECONDS = 0.25
+LOOKUP_GRACE_SECONDS = 10.0
+"""Time for lookups beyond the back end's own timeout."""
 
-Outcome = Content | str
-"""What the back end says, or why its outcome stays unknown."""
+LookupOutcome = ContentResult | str
+"""The recorded outcome, or the reason why it stays unknown."""
 
 
 class OutcomeLookups:
-    """Repeats the question until the outcome is known or the patience is over."""
+    """Repeats the lookup until the outcome is known or the lookup deadline passes."""
 
     def __init__(
         self,
         core: ExecutorCore,
         sender: KeyedSender,
-        looked_up: Callable[[KeyedCall, Outcome], None],
+        on_outcome: Callable[[KeyedCall, LookupOutcome], None],
     ) -> None:
-        """Create it; ``looked_up`` gets each call's outcome once."""
+        """Create the lookups; ``on_outcome`` is called once for each call."""
         self._core = core
         self._sender = sender
-        self._looked_up = looked_up
+        self._on_outcome = on_outcome
 
-    def begin(self, request: KeyedCall) -> None:
-        """Begin to ask."""
-        patience = request.target.timeout + LOOKUP_PATIENCE_SECONDS
-        request.lookups_until = self._core.context.now + patience
-        self._ask(request)
+    def begin(self, call: KeyedCall) -> None:
+        """Start looking up the outcome of a call."""
+        lookup_seconds = call.target.timeout + LOOKUP_GRACE_SECONDS
+        call.lookup_deadline = self._core.context.now + lookup_seconds
+        self._look_up(call)
 
-    def _ask(self, request: KeyedCall) -> None:
+    def _look_up(self, call: KeyedCall) -> None:
         self._core.context.counters["yokeline_lookups_total"] += 1
 
         def done(result: Result[LookupAnswer, YokelineError]) -> None:
-            if self._core.is_current(request.activity):
-                request.connection = None
-                self._answered(request, result)
+            if self._core.is_current(call.activity):
+                call.connection = None
+                self._answered(call, result)
 
-        request.connection = self._sender.look_up(request, done)
+        call.connection = self._sender.look_up(call, done)
 
-    def _answered(self, request: KeyedCall, result: Result[LookupAnswer, YokelineError]) -> None:
+    def _answered(self, call: KeyedCall, result: Result[LookupAnswer, YokelineError]) -> None:
         if isinstance(result, Failure):
-            self._ask_again(request, result.failure().message)
+            self._retry(call, result.failure().message)
             return
         answer = result.unwrap()
         if answer.status is LookupStatus.DONE:
-            self._looked_up(request, content_of(request.target, bytes(answer.response)))
+            self._on_outcome(call, content_of(call.target, bytes(answer.response)))
         elif answer.status is LookupStatus.NOT_SEEN and answer.fenced:
-            self._looked_up(request, Failure(not_applied(request.record.backend)))
+            self._on_outcome(call, Failure(not_executed(call.record.backend)))
         else:
-            self._ask_again(request, f"the back end says {answer.status.value}")
+            self._retry(call, f"the back end says {answer.status.value}")
 
-    def _ask_again(self, request: KeyedCall, cause: str) -> None:
-        if self._core.context.now >= request.lookups_until:
-            self._looked_up(request, cause)
+    def _retry(self, call: KeyedCall, cause: str) -> None:
+        if self._core.context.now >= call.lookup_deadline:
+            self._on_outcome(call, cause)
             return
-        self._core.call_later(request.activity, LOOKUP_PAUSE_SECONDS, lambda: self._ask(request))
+        self._core.call_later(call.activity, LOOKUP_INTERVAL_SECONDS, lambda: self._look_up(call))
 
 
-def not_applied(backend: str) -> YokelineError:
-    """Return the error for a call that a fenced back end surely did not carry out."""
+def not_executed(backend: str) -> YokelineError:
+    """Return the error for a call that a fenced back end has not executed and never will."""
     return YokelineError(
         kind=ErrorKind.BACKEND_FAILED,
         message=f"{backend} did not carry out the request and never will",
--- a/src/yokeline/runs/results.py
+++ b/src/yokeline/runs/results.py
@@ -1,4 +1,4 @@
-"""Messages of the history that answer a call."""
+"""History messages with the results of calls."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def result_message(record: CallRecord, content: str) -> ChatMessage:
-    """Return the message with a call's result: a tool message, or an app's answer."""
+    """Return the message for a call's result: a tool message, or an app's answer."""
     if record.tool_request is None:
         return ChatMessage(role=Role.ASSISTANT, content=content)
     return ChatMessage(role=Role.TOOL, content=content, tool_request=record.tool_request.identity)
 
 
 def error_message(record: CallRecord, error: YokelineError) -> ChatMessage:
-    """Return the tool message that tells the model how its request failed."""
+    """Return the message that reports a failed call to the model."""
     content = _ErrorContent(
         error=error.kind.value, message=error.message, executed=error.execution.value
     )
--- a/src/yokeline/runs/targets.py
+++ b/src/yokeline/runs/targets.py
@@ -1,4 +1,4 @@
-"""Where a tool or app call goes: the configured back end and one of its addresses."""
+"""Resolves the configured back end of a tool or app call and selects one of its addresses."""
 
 from __future__ import annotations
 
@@ -17,7 +17,13 @@
 
 
 class Target(msgspec.Struct, frozen=True, kw_only=True):
-    """A back end that takes requests under an idempotency key."""
+    """A configured tool or app, which accepts requests with an idempotency key.
+
+    Attributes:
+        timeout: Time limit of a request in seconds.
+        repeatable: Whether a request may be sent more than once.
+        lookup: How the back end reports the outcome of earlier requests.
+    """
 
     kind: CallKind
     name: str
@@ -31,7 +37,7 @@
 def target_of(
     configuration: Configuration, run: Run, kind: CallKind, name: str
 ) -> Result[Target, YokelineError]:
-    """Return the configured back end of a call, or a failure if there is none."""
+    """Return the back end of a call, or a ``NOT_FOUND`` failure if none is configured."""
     tenant = run.spec.tenant
     if kind is CallKind.APP:
         app = configuration.app(tenant, name)
@@ -62,31 +68,33 @@
 
 
 def choose_address(
-    target: Target, failed: str, leaving: LeavingPredicate, source: random.Random
+    target: Target, failed_backend: str, leaving: LeavingPredicate, source: random.Random
 ) -> Address | None:
-    """Choose an address: none that is leaving, and another than the one that failed.
+    """Choose a random address that is not leaving, avoiding the failed one if possible.
 
     Args:
         target: The back end.
-        failed: ``name/ip:port`` of the attempt before, empty for none.
-        leaving: Tells which addresses get no new work.
-        source: Source of randomness, which spreads the load.
+        failed_backend: ``name/ip:port`` of the previous attempt; empty if there is none.
+        leaving: Returns whether an address receives no new work.
+        source: Source of randomness.
 
     Returns:
-        The address, None if all are leaving.
+        The address, or None if all addresses are leaving.
     """
-    staying = [address for address in target.addresses if not leaving(address)]
-    if not staying:
+    available = [address for address in target.addresses if not leaving(address)]
+    if not available:
         return None
-    others = [address for address in staying if backend_name(target.name, address) != failed]
-    return source.choice(others or staying)
+    others = [
+        address for address in available if backend_name(target.name, address) != failed_backend
+    ]
+    return source.choice(others or available)
 
 
 def backend_name(name: str, address: Address) -> str:
-    """Return how a call's record names its back end: ``name/ip:port``."""
+    """Return the back end name stored in a call record: ``name/ip:port``."""
     return f"{name}/{address}"
 
 
 def address_of_backend(backend: str) -> Address | None:
-    """Return the address inside a record's back end name."""
+    """Return the address in a back end name, or None if it has no valid address."""
     return parse_address(backend.rpartition("/")[2]).value_or(None)
