--- a/src/yokeline/runs/engine_queue.py
+++ b/src/yokeline/runs/engine_queue.py
@@ -42,7 +42,7 @@
         self._starter: CallStarter | None = None
         self._pump_timer: Timer | None = None
 
-    def start_with(self, starter: CallStarter) -> None:
+    def set_starter(self, starter: CallStarter) -> None:
         """Install what starts a call once it has an engine (done once)."""
         self._starter = starter
 
--- a/src/yokeline/runs/generation.py
+++ b/src/yokeline/runs/generation.py
@@ -1,4 +1,4 @@
-"""A model call under way: one attempt's generation at an engine."""
+"""The generation of one attempt of a model call at an engine."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class Generation:
-    """A model call under way.
+    """An attempt of a model call in flight.
 
     Attributes:
-        call: Its id at the engine.
-        accepted: The engine may have taken the call.
-        answering: Some of its answer has arrived.
-        prompt_tokens: Estimated tokens of its context.
-        cut_by_budget: The answer may be no longer than what the budget has left.
-        stream: Reads its events, over any number of connections.
-        text: Its text for the watchers of the run.
-        fruitless: Connections since the last new text.
-        connection: The open connection, for closing it.
+        call_id: Id of the attempt at the engine.
+        maybe_accepted: Whether the engine may have accepted the call.
+        answer_started: Whether any part of the answer has arrived.
+        prompt_tokens: Estimated number of prompt tokens.
+        limited_by_budget: Whether the remaining budget, not the program, limits the answer.
+        stream: Reader of the engine's events, reused over reconnections.
+        text: Partial text for the run's watchers.
+        breaks_without_progress: Consecutive broken connections without new text.
+        connection: Id of the open HTTP request, if any.
     """
 
     __slots__ = (
-        "accepted",
         "activity",
         "address",
-        "answering",
-        "call",
+        "answer_started",
+        "breaks_without_progress",
+        "call_id",
         "connection",
-        "cut_by_budget",
         "engine",
-        "fruitless",
+        "limited_by_budget",
+        "maybe_accepted",
         "prompt_tokens",
         "stream",
         "text",
@@ -51,27 +51,26 @@
         prompt_tokens: int,
         text: PartialText,
     ) -> None:
-        """Create the generation of an attempt that is not sent yet."""
         self.activity = activity
         self.engine = record.backend
         self.address = address
         self.prompt_tokens = prompt_tokens
         self.text = text
-        self.call = call_id(activity.run, record.number, record.attempt)
-        self.stream = ModelStream(self.title, _no_events)
-        self.accepted = False
-        self.answering = False
-        self.cut_by_budget = False
+        self.call_id = call_id(activity.run, record.number, record.attempt)
+        self.stream = ModelStream(self.display_name, _no_events)
+        self.maybe_accepted = False
+        self.answer_started = False
+        self.limited_by_budget = False
         self.connection: RequestId | None = None
-        self.fruitless = 0
+        self.breaks_without_progress = 0
 
     @property
-    def title(self) -> str:
-        """Return the engine's name for errors."""
+    def display_name(self) -> str:
+        """Return the engine's name as used in error messages."""
         return f"engine {self.engine}"
 
-    def spent(self) -> Usage:
-        """Return what it is charged if it is lost: its prompt and the text that arrived."""
+    def usage_if_lost(self) -> Usage:
+        """Return the usage to charge if the generation is lost: its prompt and received text."""
         return Usage(
             prompt_tokens=self.prompt_tokens,
             completion_tokens=self.stream.chunks_received,
@@ -79,22 +78,24 @@
         )
 
 
-def distinct_requests(number: int, requests: tuple[ToolRequest, ...]) -> tuple[ToolRequest, ...]:
-    """Return a model's tool requests with identities that tell them apart.
+def with_unique_identities(
+    number: int, requests: tuple[ToolRequest, ...]
+) -> tuple[ToolRequest, ...]:
+    """Return a model's tool requests with unique identities.
 
     Args:
-        number: Number of the model call, for identities made here.
-        requests: Requests as the model made them; identities may be empty or equal.
+        number: Number of the model call, used in generated identities.
+        requests: The model's requests, whose identities may be empty or duplicate.
     """
     seen: set[str] = set()
-    distinct: list[ToolRequest] = []
+    unique: list[ToolRequest] = []
     for position, request in enumerate(requests):
         identity = request.identity
         if not identity or identity in seen:
             identity = f"call-{number}-{position}"
         seen.add(identity)
-        distinct.append(msgspec.structs.replace(request, identity=identity))
-    return tuple(distinct)
+        unique.append(msgspec.structs.replace(request, identity=identity))
+    return tuple(unique)
 
 
 def _no_events(_event: StreamEvent) -> None:
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -1,4 +1,4 @@
-"""Model calls of runs: choice of engine, streaming, resume, retries and cancellation."""
+"""Model calls of runs: engine selection, streaming, resumption, retries and cancellation."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 from yokeline.runs.demands import call_demand
 from yokeline.runs.engine_queue import EngineQueue
 from yokeline.runs.errors import budget_exhausted, engine_unknown
-from yokeline.runs.generation import Generation, distinct_requests
+from yokeline.runs.generation import Generation, with_unique_identities
 from yokeline.runs.model import (
     CallRecord,
     CallStatus,
@@ -42,13 +42,13 @@
 from yokeline.runs.next_step import StartCall
 from yokeline.scheduling.interface import CallDemand, EngineChoice, EngineDirectoryInterface
 
-RESUMES_WITHOUT_PROGRESS = 2
-"""Connections in a row without new text after which the generation counts as lost."""
-RESUME_PAUSE_SECONDS = 0.1
+MAX_RESUMES_WITHOUT_PROGRESS = 2
+"""Resumed connections in a row without new text before a generation is considered lost."""
+RESUME_DELAY_SECONDS = 0.1
 
 
 class ModelCalls:
-    """Starts, follows and ends the model calls of runs."""
+    """Starts, follows and ends model calls."""
 
     def __init__(
         self,
@@ -58,7 +58,7 @@
         cache: CacheActions,
         text_arrived: Callable[[RunId], None],
     ) -> None:
-        """Create it; ``text_arrived`` is told of each run whose live text grew."""
+        """Create the calls; ``text_arrived`` is called when a run's partial text grows."""
         self._core = core
         self._engines = engines
         self._queue = queue
@@ -66,12 +66,12 @@
         self._client = EngineClient(core.context)
         self._text_arrived = text_arrived
         self._avoid: dict[RunId, tuple[str, ...]] = {}
-        queue.start_with(self._start_at)
+        queue.set_starter(self._start_on_engine)
 
     # ------------------------------------------------------------ start
 
     def start(self, activity: Activity, run: Run, step: StartCall) -> None:
-        """Start a call, or put it into the queue until an engine has room."""
+        """Start a call, or queue it until an engine has capacity."""
         root = self._core.root_of(activity.shard, run)
         if step.attempt == 1:
             self._avoid.pop(run.run, None)
@@ -87,10 +87,10 @@
         avoid = self._avoid.get(run.run, ())
         return call_demand(run, root, now=context.now, wall=context.wall(), avoid=avoid)
 
-    def _start_at(
+    def _start_on_engine(
         self, activity: Activity, step: StartCall, demand: CallDemand, choice: EngineChoice
     ) -> None:
-        """Commit the start of a call at the chosen engine, then send it."""
+        """Commit the start of a call at the selected engine, then send it."""
         call = call_id(activity.run, step.number, step.attempt)
         self._engines.call_sent(choice.engine, demand, call)
         attempt_spec = AttemptSpec(
@@ -99,7 +99,7 @@
             repeatable=True,
             reserved=model_reservation(demand.prompt_tokens, demand.completion_tokens),
         )
-        activity.cancel = lambda: self._not_sent(call)
+        activity.cancel = lambda: self._record_not_sent(call)
         activity.detach = activity.cancel
 
         def send(run: Run) -> None:
@@ -107,14 +107,14 @@
 
         self._core.start_call(activity, step, attempt_spec, send)
 
-    def _not_sent(self, call: str) -> None:
+    def _record_not_sent(self, call: str) -> None:
         self._engines.call_ended(call, prompt_tokens=0, cached_tokens=0, ok=False)
 
     def _send(self, activity: Activity, run: Run, demand: CallDemand, address: Address) -> None:
         record = run.calls[-1]
         generation = self._generation(activity, run, address, demand)
         call = ChatCall(
-            call_id=generation.call,
+            call_id=generation.call_id,
             model=run.spec.model,
             messages=context_messages(run),
             max_tokens=demand.completion_tokens,
@@ -138,8 +138,8 @@
                 self._handle(generation, event)
 
         limit = run.spec.max_completion_tokens
-        generation.cut_by_budget = demand.completion_tokens < limit
-        generation.stream = ModelStream(generation.title, handle)
+        generation.limited_by_budget = demand.completion_tokens < limit
+        generation.stream = ModelStream(generation.display_name, handle)
         activity.stage = Stage.CALLING
         activity.cancel = lambda: self._cancel(generation)
         activity.detach = lambda: self._detach(generation)
@@ -148,7 +148,7 @@
     # ------------------------------------------------------------ recovery
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Follow a call that a leader before started, from its first character on."""
+        """Follow a call that a previous leader started, reading its text from offset 0."""
         address = self._engines.address_of(record.backend)
         if address is None:
             usage = budget.usage_of_reservation(record.reserved)
@@ -156,18 +156,18 @@
             return
         demand = self._demand(run, self._core.root_of(activity.shard, run))
         generation = self._generation(activity, run, address, demand)
-        generation.accepted = True
-        self._engines.call_sent(record.backend, demand, generation.call)
-        generation.connection = self._client.resume(address, generation.call, generation.stream)
+        generation.maybe_accepted = True
+        self._engines.call_sent(record.backend, demand, generation.call_id)
+        generation.connection = self._client.resume(address, generation.call_id, generation.stream)
 
     # ------------------------------------------------------------ progress
 
     def _handle(self, generation: Generation, event: StreamEvent) -> None:
         match event:
             case TextReceived():
-                self._note_text(generation)
-                generation.accepted = True
-                generation.fruitless = 0
+                self._record_text(generation)
+                generation.maybe_accepted = True
+                generation.breaks_without_progress = 0
                 generation.text.append(event.text)
                 self._text_arrived(generation.activity.run)
             case AnswerComplete():
@@ -175,23 +175,23 @@
             case StreamBroken():
                 self._broken(generation, event)
 
-    def _note_text(self, generation: Generation) -> None:
-        """Note the first text: the prefill is over."""
-        if not generation.answering:
-            self._engines.text_received(generation.call)
-        self._note_use(generation)
+    def _record_text(self, generation: Generation) -> None:
+        """Report the first text of an answer, which marks the end of the prefill."""
+        if not generation.answer_started:
+            self._engines.text_received(generation.call_id)
+        self._record_context_use(generation)
 
-    def _note_use(self, generation: Generation) -> None:
-        """Note the first sign that the engine uses the run's context again."""
-        if not generation.answering:
-            generation.answering = True
+    def _record_context_use(self, generation: Generation) -> None:
+        """Release the cache hold of the run's context when its answer starts."""
+        if not generation.answer_started:
+            generation.answer_started = True
             self._cache.context_used(generation.engine, root_run_id(generation.activity.run))
 
     def _complete(self, generation: Generation, answer: ModelAnswer) -> None:
-        # Tool requests come as one event at the end, which says nothing about the prefill.
-        self._note_use(generation)
-        self._note_ended(generation, answer.usage, ok=True)
-        if generation.cut_by_budget and answer.finish_reason == LENGTH_REASON:
+        # Tool requests arrive as a single event at the end and do not mark the prefill's end.
+        self._record_context_use(generation)
+        self._record_end(generation, answer.usage, ok=True)
+        if generation.limited_by_budget and answer.finish_reason == LENGTH_REASON:
             error = budget_exhausted("tokens", self._token_budget(generation.activity))
             error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
             self._finish_failed(generation.activity, error, answer.usage)
@@ -200,7 +200,7 @@
         message = ChatMessage(
             role=Role.ASSISTANT,
             content=answer.text,
-            tool_requests=distinct_requests(number, answer.tool_requests),
+            tool_requests=with_unique_identities(number, answer.tool_requests),
             tokens=answer.usage.completion_tokens,
         )
         outcome = CallOutcome(status=CallStatus.SUCCEEDED, usage=answer.usage, message=message)
@@ -212,41 +212,43 @@
         return self._core.root_of(activity.shard, run).spec.budget.tokens if run is not None else 0
 
     def _broken(self, generation: Generation, event: StreamBroken) -> None:
-        """Go on in the generation over a new connection, unless it is surely not there."""
+        """Resume a generation over a new connection unless it was refused or is lost."""
         generation.connection = None
         not_run = event.refused or event.error.execution is Execution.NOT_RUN
-        if not_run and not generation.accepted:
+        if not_run and not generation.maybe_accepted:
             self._refused(generation, event.error)
             return
-        generation.accepted = True
-        generation.fruitless += 1
-        if event.lost or generation.fruitless > RESUMES_WITHOUT_PROGRESS:
+        generation.maybe_accepted = True
+        generation.breaks_without_progress += 1
+        if event.lost or generation.breaks_without_progress > MAX_RESUMES_WITHOUT_PROGRESS:
             self._lost(generation, event.error)
             return
-        pause = RESUME_PAUSE_SECONDS * generation.fruitless
-        self._core.call_later(generation.activity, pause, lambda: self._resume(generation))
+        delay = RESUME_DELAY_SECONDS * generation.breaks_without_progress
+        self._core.call_later(generation.activity, delay, lambda: self._resume(generation))
 
     def _resume(self, generation: Generation) -> None:
         self._core.context.counters["yokeline_stream_resumes_total"] += 1
         generation.connection = self._client.resume(
-            generation.address, generation.call, generation.stream
+            generation.address, generation.call_id, generation.stream
         )
 
     def _refused(self, generation: Generation, error: YokelineError) -> None:
-        """End an attempt that the engine did not take."""
+        """End an attempt that the engine did not accept."""
         self._queue.engine_refused(generation.engine, error.retry_after or 0.0)
-        self._note_ended(generation, Usage(), ok=False)
-        self._failed_at(generation, error, Usage())
+        self._record_end(generation, Usage(), ok=False)
+        self._finish_failed_at_engine(generation, error, Usage())
 
     def _lost(self, generation: Generation, error: YokelineError) -> None:
-        """End an attempt whose generation cannot be read any more."""
-        usage = generation.spent()
-        self._note_ended(generation, usage, ok=False)
+        """End an attempt whose generation can no longer be read."""
+        usage = generation.usage_if_lost()
+        self._record_end(generation, usage, ok=False)
         self._cancel_at_engine(generation)
         error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
-        self._failed_at(generation, error, usage)
+        self._finish_failed_at_engine(generation, error, usage)
 
-    def _failed_at(self, generation: Generation, error: YokelineError, usage: Usage) -> None:
+    def _finish_failed_at_engine(
+        self, generation: Generation, error: YokelineError, usage: Usage
+    ) -> None:
         run = generation.activity.run
         self._avoid[run] = (*self._avoid.get(run, ()), generation.engine)
         self._finish_failed(generation.activity, error, usage)
@@ -255,9 +257,9 @@
         outcome = CallOutcome(status=CallStatus.FAILED, usage=usage, error=error)
         self._core.finish_call(activity, outcome)
 
-    def _note_ended(self, generation: Generation, usage: Usage, *, ok: bool) -> None:
+    def _record_end(self, generation: Generation, usage: Usage, *, ok: bool) -> None:
         self._engines.call_ended(
-            generation.call,
+            generation.call_id,
             prompt_tokens=usage.prompt_tokens,
             cached_tokens=usage.cached_tokens,
             completion_tokens=usage.completion_tokens,
@@ -265,28 +267,28 @@
         )
         self._queue.pump_soon()
 
-    # ------------------------------------------------------------ giving up
+    # ------------------------------------------------------------ cancellation
 
     def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
-        """End a call whose run's time is over: cancel it at the engine and say why."""
+        """Cancel the call of an expired run at its engine and end it with ``error``."""
         activity.cancel()
         self._finish_failed(activity, error, budget.usage_of_reservation(record.reserved))
 
     def forget_run(self, run: RunId) -> None:
-        """Drop what is kept about a run that has ended."""
+        """Release the state kept for a run."""
         self._avoid.pop(run, None)
 
     def _cancel(self, generation: Generation) -> None:
-        self._note_ended(generation, Usage(), ok=False)
+        self._record_end(generation, Usage(), ok=False)
         self._cancel_at_engine(generation)
 
     def _cancel_at_engine(self, generation: Generation) -> None:
         self._close_connection(generation)
-        self._client.cancel(generation.address, generation.call, _ignore)
+        self._client.cancel(generation.address, generation.call_id, _ignore)
 
     def _detach(self, generation: Generation) -> None:
-        """Stop reading a generation; it goes on at the engine for the next leader."""
-        self._note_ended(generation, Usage(), ok=False)
+        """Stop reading a generation, which continues at the engine for the next leader."""
+        self._record_end(generation, Usage(), ok=False)
         self._close_connection(generation)
 
     def _close_connection(self, generation: Generation) -> None:
@@ -297,4 +299,4 @@
 
 
 def _ignore(_result: Result[Accepted, YokelineError]) -> None:
-    """Nothing depends on the answer: an engine that is gone has no generation either."""
+    """Ignore the result: if the engine is unreachable, the generation is lost as well."""
