--- a/src/yokeline/runs/cache_actions.py
+++ b/src/yokeline/runs/cache_actions.py
@@ -1,4 +1,4 @@
-"""Carries out cache decisions: holds at pauses, releases, drops at the ends of programs."""
+"""Carries out cache decisions at engines: hold, release and drop a program's context."""
 
 from __future__ import annotations
 
@@ -23,14 +23,13 @@
 
 
 class CacheActions:
-    """Tells the engine directory of pauses and carries out what the policy decides.
+    """Reports pauses to the engine directory and carries out the policy's cache decisions.
 
-    All of it is best effort: a hold is a lease that ends by itself, and what a lost release
-    leaves at an engine is dropped by the engine's steward.
+    Requests to engines are best effort: a hold is a lease that expires, and entries left by a
+    lost release are dropped by the engine's steward (``scheduling.steward``).
     """
 
     def __init__(self, core: ExecutorCore, engines: EngineDirectoryInterface) -> None:
-        """Create it."""
         self._core = core
         self._engines = engines
         self._client = EngineClient(core.context)
@@ -38,7 +37,7 @@
     # ------------------------------------------------------------ pauses
 
     def pause_started(self, shard: ShardId, run: Run, cause: PauseCause) -> None:
-        """Decide and carry out what becomes of the context of a run that pauses."""
+        """Apply the policy's cache decision for a run that pauses."""
         root = self._core.root_of(shard, run)
         pause = program_pause(run, root, cause)
         planned = self._engines.pause_started(pause) if pause is not None else None
@@ -46,30 +45,30 @@
             self._carry_out(shard, root, planned)
 
     def run_ended(self, shard: ShardId, run: Run) -> None:
-        """Note that a child run needs its context no more."""
+        """Apply the cache decision for a child run that has ended."""
         self.pause_started(shard, run, PauseCause(kind=PauseKind.END, name=program_name(run)))
 
     def turn_ended(self, shard: ShardId, run: Run) -> None:
-        """Decide what becomes of the context of a conversation that is idle."""
+        """Apply the cache decision for a conversation that has become idle."""
         self.pause_started(shard, run, PauseCause(kind=PauseKind.TURN, name=program_name(run)))
 
     def pause_ended(self, run: Run) -> None:
-        """Learn from the pause that ends with a run's next model call."""
+        """Report the length of the pause that a run's next model call ends."""
         pause = ended_pause(run, self._core.context.wall())
         if pause is not None:
             self._engines.pause_ended(pause.cause.kind, pause.cause.name, pause.seconds)
 
-    def context_used(self, engine: str, cache_key: RunId) -> None:
-        """End the hold of a context that a call uses again."""
+    def end_hold(self, engine: str, cache_key: RunId) -> None:
+        """Release the hold of a context that a call uses again."""
         address = self._engines.hold_ended(engine, cache_key)
         if address is not None:
-            self._client.release_hold(address, cache_key, self._accepted("release"))
+            self._client.release_hold(address, cache_key, self._count_result("release"))
 
     def drop(self, address: Address, cache_key: RunId) -> None:
-        """Free the context of a program at an engine."""
-        self._client.drop_entries(address, cache_key, self._accepted("drop"))
+        """Drop the cached context of a program at an engine."""
+        self._client.drop_entries(address, cache_key, self._count_result("drop"))
 
-    # ------------------------------------------------------------ carrying out
+    # ------------------------------------------------------------ requests to engines
 
     def _carry_out(self, shard: ShardId, root: Run, planned: PlannedCacheAction) -> None:
         decision = planned.decision
@@ -82,12 +81,12 @@
                 seconds=decision.hold_seconds,
                 fence=self._core.host.term(shard),
             )
-            self._client.hold(planned.address, hold, self._held)
+            self._client.hold(planned.address, hold, self._count_hold)
 
-    def _held(self, result: Result[TokenCount, YokelineError]) -> None:
+    def _count_hold(self, result: Result[TokenCount, YokelineError]) -> None:
         self._count("hold", failed=isinstance(result, Failure) or not result.unwrap().tokens)
 
-    def _accepted(self, action: str) -> Callable[[Result[Accepted, YokelineError]], None]:
+    def _count_result(self, action: str) -> Callable[[Result[Accepted, YokelineError]], None]:
         return lambda result: self._count(action, failed=isinstance(result, Failure))
 
     def _count(self, action: str, *, failed: bool) -> None:
--- a/src/yokeline/runs/context_window.py
+++ b/src/yokeline/runs/context_window.py
@@ -1,4 +1,4 @@
-"""The context of a model call: its messages, an estimate of its tokens, its reservation."""
+"""Context of a model call: messages, token estimate and budget reservation."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 )
 
 BYTES_PER_TOKEN = 3
-"""Below the usual four or so, so that the estimate is seldom too low."""
+"""Lower than the typical ratio of about four, so that estimates err on the high side."""
 TOKENS_PER_MESSAGE = 8
 MISSING_RESULT = "no result: the call was given up"
 
@@ -22,21 +22,20 @@
 def context_messages(run: Run) -> tuple[ChatMessage, ...]:
     """Return the messages of the run's next model call.
 
-    A tool request that was given up with an earlier turn gets a stand-in answer, since
-    engines refuse requests without one. It stays the same in all later calls, and so does
-    the cached prefix.
+    Engines reject a tool request without an answer, so a request left unanswered by an earlier
+    turn gets a placeholder. The placeholder is constant, which keeps the cached prefix valid.
     """
     messages: list[ChatMessage] = []
     if run.spec.system_prompt:
         messages.append(ChatMessage(role=Role.SYSTEM, content=run.spec.system_prompt))
-    open_requests: list[str] = []
+    unanswered: list[str] = []
     for message in run.history:
         if message.role is Role.USER:
-            messages.extend(_missing_result(identity) for identity in open_requests)
-            open_requests = []
-        if message.tool_request in open_requests:
-            open_requests.remove(message.tool_request)
-        open_requests.extend(request.identity for request in message.tool_requests)
+            messages.extend(_missing_result(identity) for identity in unanswered)
+            unanswered = []
+        if message.tool_request in unanswered:
+            unanswered.remove(message.tool_request)
+        unanswered.extend(request.identity for request in message.tool_requests)
         messages.append(message)
     return tuple(messages)
 
@@ -46,7 +45,7 @@
 
 
 def estimated_tokens(message: ChatMessage) -> int:
-    """Return an estimate of a message's tokens, rather too high than too low."""
+    """Return an estimate of a message's tokens that errs on the high side."""
     if message.tokens:
         return message.tokens + TOKENS_PER_MESSAGE
     size = len(message.content.encode())
@@ -56,25 +55,25 @@
 
 
 def last_model_call(run: Run) -> CallRecord | None:
-    """Return the newest model call that succeeded; its context is a prefix of the next one."""
+    """Return the last successful model call, whose context is a prefix of the next context."""
     for call in reversed(run.calls):
         if call.kind is CallKind.MODEL and call.status is CallStatus.SUCCEEDED:
             return call
     return None
 
 
-def estimated_context(run: Run) -> int:
-    """Return an estimate of the tokens of the run's next model call.
+def estimated_prompt_tokens(run: Run) -> int:
+    """Return an estimate of the prompt tokens of the run's next model call.
 
-    What the engine counted for the last call and its answer is taken as it is; only what
-    came after is estimated.
+    Uses the engine's token counts for the last call and its answer, and estimates only the
+    messages after that answer.
     """
     messages = context_messages(run)
     last = last_model_call(run)
     if last is None:
         return sum(estimated_tokens(message) for message in messages)
-    known = last.usage.prompt_tokens + last.usage.completion_tokens + TOKENS_PER_MESSAGE
-    return known + sum(estimated_tokens(message) for message in _after_last_answer(messages))
+    counted = last.usage.prompt_tokens + last.usage.completion_tokens + TOKENS_PER_MESSAGE
+    return counted + sum(estimated_tokens(message) for message in _after_last_answer(messages))
 
 
 def _after_last_answer(messages: tuple[ChatMessage, ...]) -> tuple[ChatMessage, ...]:
@@ -85,15 +84,15 @@
 
 
 def completion_limit(run: Run, root: Run, prompt_tokens: int) -> int:
-    """Return how long the next answer may be: the program's limit, or what the budget allows.
+    """Return the token limit of the next answer: the program's limit or the remaining budget.
 
-    At least one token, so that an exhausted budget is refused by the state machine's check
-    and by nothing else.
+    The limit is at least one token, so that only the state machine rejects a call for an
+    exhausted budget.
     """
     left = budget.remaining(root).tokens - prompt_tokens
     return max(1, min(run.spec.max_completion_tokens, left))
 
 
 def model_reservation(prompt_tokens: int, completion_tokens: int) -> Reservation:
-    """Return what a model call sets aside: its whole prompt, as if none of it were cached."""
+    """Return the reservation of a model call, assuming that no prompt token is cached."""
     return Reservation(tokens=prompt_tokens + completion_tokens)
--- a/src/yokeline/runs/demands.py
+++ b/src/yokeline/runs/demands.py
@@ -1,9 +1,9 @@
-"""What the model call of a run asks of an engine, read off the run's log."""
+"""Scheduling demand of a run's next model call, derived from the run's state."""
 
 from __future__ import annotations
 
 from yokeline.runs import budget
-from yokeline.runs.context_window import completion_limit, estimated_context, last_model_call
+from yokeline.runs.context_window import completion_limit, estimated_prompt_tokens, last_model_call
 from yokeline.runs.model import Run
 from yokeline.runs.pauses import program_name
 from yokeline.scheduling.interface import CallDemand
@@ -17,14 +17,14 @@
     Args:
         run: The run.
         root: The root of its tree.
-        now: Monotonic seconds.
-        wall: Wall seconds at the same moment.
-        avoid: Engines that failed the call before.
+        now: Current monotonic time in seconds.
+        wall: Current Unix time in seconds.
+        avoid: Engines that failed earlier attempts of the call.
     """
-    prompt_tokens = estimated_context(run)
+    prompt_tokens = estimated_prompt_tokens(run)
     last = last_model_call(run)
     known = last.usage.prompt_tokens + last.usage.completion_tokens if last else 0
-    # Brings wall times of the log onto the clock that the queue compares them with.
+    # Converts the log's Unix times to the monotonic clock of the queue.
     offset = now - wall
     deadline = run.spec.deadline_wall
     return CallDemand(
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -29,7 +29,7 @@
     failure_step,
     next_step,
 )
-from yokeline.runs.pauses import started_pause
+from yokeline.runs.pauses import pause_cause
 from yokeline.runs.ports import Configuration, LeavingPredicate
 from yokeline.scheduling.interface import EngineDirectoryInterface
 from yokeline.timers import Timer
@@ -113,9 +113,9 @@
         self._start_call(activity, run, step)
 
     def _start_call(self, activity: Activity, run: Run, step: StartCall) -> None:
-        pause = started_pause(run) if step.kind is not CallKind.MODEL else None
-        if pause is not None:
-            self._cache.pause_started(activity.shard, run, pause)
+        cause = pause_cause(run) if step.kind is not CallKind.MODEL else None
+        if cause is not None:
+            self._cache.pause_started(activity.shard, run, cause)
         match step.kind:
             case CallKind.MODEL:
                 self._models.start(activity, run, step)
--- a/src/yokeline/runs/engine_queue.py
+++ b/src/yokeline/runs/engine_queue.py
@@ -1,4 +1,4 @@
-"""Gives waiting model calls to engines, in the queue's order, as engines have room."""
+"""Assigns waiting model calls to engines with capacity, in the order of the policy."""
 
 from __future__ import annotations
 
@@ -19,47 +19,47 @@
 from yokeline.timers import Timer
 
 MAX_FAILED_CHOICES = 32
-"""Calls in a row (per kind of demand) that may find no room before the rest waits unasked."""
+"""Calls of one queue key that may fail to get an engine before a pass skips the others."""
 SHED_RETRY_AFTER_SECONDS = 2.0
-MIN_PAUSE_SECONDS = 0.02
+MIN_RETRY_DELAY_SECONDS = 0.02
 
 CallStarter = Callable[[Activity, StartCall, CallDemand, EngineChoice], None]
 RunEnder = Callable[[Activity, Run, YokelineError], None]
 
 
 class EngineQueue:
-    """Chooses engines for model calls and keeps the calls that must wait."""
+    """Chooses engines for model calls and queues the calls that have to wait."""
 
     def __init__(
         self, core: ExecutorCore, engines: EngineDirectoryInterface, end_run: RunEnder
     ) -> None:
-        """Create it; ``end_run`` ends a run whose call is shed or cannot be served."""
+        """Create the queue; ``end_run`` ends a run whose call is shed or cannot be served."""
         self._core = core
         self._engines = engines
         self._end_run = end_run
         self._waiting = WaitingCalls(core.settings.scheduling.queue_limit, engines.order)
-        self._resting: dict[str, float] = {}
+        self._unavailable_until: dict[str, float] = {}
         self._starter: CallStarter | None = None
         self._pump_timer: Timer | None = None
 
     def set_starter(self, starter: CallStarter) -> None:
-        """Install what starts a call once it has an engine (done once)."""
+        """Set the function that starts a call on its engine; called once at construction."""
         self._starter = starter
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._waiting)
 
-    # ------------------------------------------------------------ calls come and go
+    # ------------------------------------------------------------ submission and shedding
 
     def submit(self, activity: Activity, run: Run, step: StartCall, demand: CallDemand) -> None:
-        """Start a call now if an engine has room and nobody else waits for it, else queue it.
+        """Start a call now if an engine has capacity and no call waits for it, else queue it.
 
-        Where others wait the policy's order decides, since a call of a program that is active
-        at an engine may go where a new program may not.
+        If other calls wait for the same engines, the policy decides the order: an engine may
+        accept a call of a program that is already active there but not one of a new program.
         """
-        call = WaitingCall(activity=activity, step=step, demand=demand, shedable=not run.calls)
-        if self._waiting.anyone_waits(queue_key(demand)):
+        call = WaitingCall(activity=activity, step=step, demand=demand, sheddable=not run.calls)
+        if self._waiting.has_waiting(queue_key(demand)):
             self._enqueue(call)
             self.pump_soon()
             return
@@ -88,18 +88,18 @@
             self._end_run(call.activity, run, error)
 
     def engine_refused(self, engine: str, seconds: float) -> None:
-        """Note that an engine asked for a pause of some seconds."""
-        self._resting[engine] = self._core.context.now + seconds
+        """Avoid an engine for the seconds that its refusal asked for."""
+        self._unavailable_until[engine] = self._core.context.now + seconds
 
-    # ------------------------------------------------------------ giving out engines
+    # ------------------------------------------------------------ engine assignment
 
     def pump_soon(self) -> None:
-        """Look for room for the waiting calls: something may have become free."""
+        """Try to start waiting calls, because engine capacity may have become free."""
         if len(self._waiting):
             self._schedule_pump(0.0)
 
     def _pump_after(self, error: YokelineError) -> None:
-        self._schedule_pump(max(MIN_PAUSE_SECONDS, error.retry_after or 0.0))
+        self._schedule_pump(max(MIN_RETRY_DELAY_SECONDS, error.retry_after or 0.0))
 
     def _schedule_pump(self, seconds: float) -> None:
         due = self._core.context.now + seconds
@@ -131,14 +131,16 @@
             self._starter(call.activity, call.step, call.demand, choice)
 
     def _choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
-        """Choose an engine that did not ask for a pause."""
+        """Choose an engine, skipping those that recently refused a call."""
         now = self._core.context.now
-        self._resting = {name: until for name, until in self._resting.items() if until > now}
-        avoided = dict.fromkeys((*demand.avoid, *self._resting))
+        self._unavailable_until = {
+            name: until for name, until in self._unavailable_until.items() if until > now
+        }
+        avoided = dict.fromkeys((*demand.avoid, *self._unavailable_until))
         choice = self._engines.choose(msgspec.structs.replace(demand, avoid=tuple(avoided)))
         if isinstance(choice, Failure):
             return choice
-        until = self._resting.get(choice.unwrap().engine)
+        until = self._unavailable_until.get(choice.unwrap().engine)
         if until is not None:
             return Failure(overloaded("every allowed engine", until - now))
         return choice
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -185,7 +185,7 @@
         """Release the cache hold of the run's context when its answer starts."""
         if not generation.answer_started:
             generation.answer_started = True
-            self._cache.context_used(generation.engine, root_run_id(generation.activity.run))
+            self._cache.end_hold(generation.engine, root_run_id(generation.activity.run))
 
     def _complete(self, generation: Generation, answer: ModelAnswer) -> None:
         # Tool requests arrive as a single event at the end and do not mark the prefill's end.
--- a/src/yokeline/runs/pauses.py
+++ b/src/yokeline/runs/pauses.py
@@ -1,4 +1,4 @@
-"""Pauses between the model calls of a run, read off its log, for the scheduling policies."""
+"""Pauses between the model calls of a run, derived from its state for scheduling policies."""
 
 from __future__ import annotations
 
@@ -8,43 +8,43 @@
 from yokeline.runs.model import CallKind, ChatMessage, Role, Run
 from yokeline.scheduling.interface import PauseKind, ProgramPause
 
-MAX_NAMES = 3
-"""Tool requests of one answer that make up the name of a pause; more are alike."""
+MAX_TOOL_NAMES = 3
+"""Number of an answer's tool requests that are part of the name of a pause."""
 
 
 class PauseCause(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run waits for; pauses of equal cause are predicted from each other."""
+    """Reason for a pause; forecasts group pauses by cause."""
 
     kind: PauseKind
     name: str
 
 
 class EndedPause(msgspec.Struct, frozen=True, kw_only=True):
-    """A pause that is over, with its length."""
+    """A finished pause and its length in seconds."""
 
     cause: PauseCause
     seconds: float
 
 
 def cause_after(run: Run, answer: ChatMessage) -> PauseCause:
-    """Return why a run pauses after an answer of its model."""
+    """Return the cause of the pause that follows a model's answer."""
     if not answer.tool_requests:
         return PauseCause(kind=PauseKind.TURN, name=program_name(run))
-    names = [request.name for request in answer.tool_requests[:MAX_NAMES]]
+    names = [request.name for request in answer.tool_requests[:MAX_TOOL_NAMES]]
     is_child = any(name in run.spec.children for name in names)
     kind = PauseKind.CHILD if is_child else PauseKind.TOOL
     return PauseCause(kind=kind, name=f"{run.spec.tenant}/{'+'.join(names)}")
 
 
 def program_name(run: Run) -> str:
-    """Return the name of a run's program, qualified by its tenant."""
+    """Return a run's program name, qualified by its tenant: ``tenant/program``."""
     return f"{run.spec.tenant}/{run.spec.program}"
 
 
-def started_pause(run: Run) -> PauseCause | None:
-    """Return why a run that is about to do something else than a model call pauses.
+def pause_cause(run: Run) -> PauseCause | None:
+    """Return the cause of the pause that begins with a run's next call, a non-model call.
 
-    None if its last call was not to the model: the pause has begun before.
+    Returns None if the last call was not a model call, because the pause has already begun.
     """
     if not run.calls or run.calls[-1].kind is not CallKind.MODEL:
         return None
@@ -53,7 +53,7 @@
 
 
 def ended_pause(run: Run, wall: float) -> EndedPause | None:
-    """Return the pause that ends with a run's next model call, None if there was none."""
+    """Return the pause that a run's next model call ends, or None if there was none."""
     last = last_model_call(run)
     if last is None or last.finished_wall is None:
         return None
@@ -72,7 +72,7 @@
 
 
 def program_pause(run: Run, root: Run, cause: PauseCause) -> ProgramPause | None:
-    """Return the pause of a run that begins now; None if it has no context anywhere."""
+    """Return the pause of a run that begins now, or None if no engine has its context."""
     last = last_model_call(run)
     if last is None:
         return None
