--- a/src/yokeline/runs/executor.py
+++ b/src/yokeline/runs/executor.py
@@ -1,4 +1,4 @@
-"""The run executor: drives the runs of the shards that this node leads and serves callers."""
+"""The run executor drives the runs of the shards that this node leads and serves callers."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Executor:
-    """Listens to the host of the shards, drives runs and answers operations."""
+    """Drives runs and serves operations; implements the shard host's listener."""
 
     def __init__(
         self,
@@ -53,9 +53,9 @@
             context: The node's context.
             settings: The node's settings.
             host: The replicated shards.
-            configuration: Returns the configuration in force.
+            configuration: Returns the current configuration.
             engines: Chooses engines for model calls.
-            leaving: Tells which tool and app addresses get no new work.
+            leaving: Returns whether a tool or app address receives no new work.
         """
         self._core = ExecutorCore(context, settings, host)
         self._watchers = Watchers(self._core)
@@ -83,34 +83,34 @@
         )
 
     def abandon(self, ticket: str) -> None:
-        """Drop an operation's answer and events."""
+        """Discard an operation's answer and events."""
         self._server.abandon(ticket)
 
     # ------------------------------------------------------------ ShardListener
 
     def leadership_gained(self, shard: ShardId, term: int) -> None:
-        """Go on with the shard's runs: all that was committed before is applied."""
+        """Resume the shard's runs; all earlier commands of its log are applied."""
         self._core.context.log("runs_taken_over", shard=shard, term=term)
-        # What an earlier term of this node left must not go on with an old fence.
+        # Activities of an earlier term of this node must not continue with an old fence.
         self._driver.leadership_lost(shard)
         self._retention.leadership_gained(shard)
         self._driver.leadership_gained(shard)
 
     def leadership_lost(self, shard: ShardId) -> None:
-        """Leave the shard's runs and callers to the next leader."""
+        """Stop driving the shard's runs and send its callers to the next leader."""
         self._driver.leadership_lost(shard)
         self._retention.leadership_lost(shard)
         self._watchers.leadership_lost(shard)
 
     def command_applied(self, shard: ShardId, command: Command, result: ApplyResult) -> None:
-        """Tell callers what changed, and end what is done for runs that have ended."""
+        """Notify callers of changed runs and end the activities of ended runs."""
         if not result.accepted or not self._core.host.leads(shard):
             return
         if isinstance(command, ForgetRuns):
             self._watchers.runs_forgotten(command.runs)
             return
         if isinstance(command, RecoverShard):
-            return  # Comes before anybody leads the recovered group.
+            return  # Applied before the recovered group has a leader.
         run = self._core.find(shard, command.run)
         if run is None:
             return
@@ -124,40 +124,40 @@
         self._watchers.run_changed(run)
         if run.status is RunStatus.ACTIVE:
             return
-        self._count_end(run)
+        self._count_ended_run(run)
         self._driver.run_ended(run)
         self._retention.run_ended(shard, run)
 
-    def _count_end(self, run: Run) -> None:
+    def _count_ended_run(self, run: Run) -> None:
         name = f'yokeline_runs_ended_total{{status="{run.status.value}"}}'
         self._core.context.counters[name] += 1
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ timers
 
     def tick(self) -> None:
-        """Do what is due at the context's time."""
+        """Run the timers that are due."""
         self._core.timers.run_due(self._core.context.now)
 
     def next_deadline(self) -> float | None:
-        """Return when the next :meth:`tick` is due."""
+        """Return the monotonic time at which the next :meth:`tick` is due."""
         return self._core.timers.next_due()
 
-    # ------------------------------------------------------------ planned stop
+    # ------------------------------------------------------------ draining
 
     def begin_drain(self) -> None:
-        """Start no further tool, app or child call here: leadership is about to move."""
+        """Hold new tool, app and child calls, because leadership is about to move."""
         self._driver.begin_drain()
 
     def blocks_hand_over(self, shard: ShardId) -> bool:
-        """Return whether handing the shard over now would leave an outcome in doubt."""
+        """Return whether handing the shard over now could leave a call's outcome unknown."""
         return self._driver.blocks_hand_over(shard)
 
     # ------------------------------------------------------------ status
 
     def active_runs(self) -> int:
-        """Return how many runs are being driven here."""
+        """Return the number of runs with an activity on this node."""
         return len(self._core.activities)
 
     def waiting_calls(self) -> int:
-        """Return how many model calls wait for an engine."""
+        """Return the number of model calls that wait for an engine."""
         return len(self._driver.queue)
--- a/src/yokeline/runs/ports.py
+++ b/src/yokeline/runs/ports.py
@@ -1,4 +1,4 @@
-"""What the executor needs of the other components of its node."""
+"""Interfaces of the node components that the executor depends on."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
         command: Command,
         done: Callable[[Result[ApplyResult, YokelineError]], None],
     ) -> None:
-        """Replicate a command; ``done`` gets what applying it did."""
+        """Replicate a command; ``done`` gets the result of applying it."""
         ...
 
     def read(
         self, shard: ShardId, done: Callable[[Result[RunStateMachine, YokelineError]], None]
     ) -> None:
-        """Hand over a state that is as new as the call (linearizable)."""
+        """Read the state linearizably: it includes all commands committed before the call."""
         ...
 
     def machine(self, shard: ShardId) -> RunStateMachine | None:
-        """Return the state as far as it is applied here."""
+        """Return the locally applied state, or None if this node has no replica."""
         ...
 
     def leads(self, shard: ShardId) -> bool:
@@ -53,30 +53,30 @@
         ...
 
     def may_send(self, shard: ShardId) -> bool:
-        """Return whether leadership is certain enough to send to a back end now."""
+        """Return whether the leader lease is valid, so that calls may be sent."""
         ...
 
 
 class Configuration(Protocol):
-    """The part of ``labels.view.ConfigurationView`` that driving runs needs."""
+    """The part of ``labels.view.ConfigurationView`` that the executor uses."""
 
     def program(self, tenant: str, name: str) -> Program | None:
         """Return a tenant's program."""
         ...
 
     def tool(self, tenant: str, name: str) -> Tool | None:
-        """Return a tool that a tenant may use."""
+        """Return a tool available to a tenant."""
         ...
 
     def app(self, tenant: str, name: str) -> App | None:
-        """Return an app that a tenant may use."""
+        """Return an app available to a tenant."""
         ...
 
     def resolve(self, program: Program) -> ResolvedPolicy:
-        """Return what all matching policies together say about a program."""
+        """Return the combination of all policies that match a program."""
         ...
 
 
 def nothing_leaves(_address: Address) -> bool:
-    """Return that no back end is leaving (for a node without a machine list)."""
+    """Report no back end as leaving; for nodes without a machine list."""
     return False
--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -1,4 +1,4 @@
-"""Removal of runs whose retention is over, and release of engines' caches at their end."""
+"""Removal of runs after their retention time, and release of their engine caches."""
 
 from __future__ import annotations
 
@@ -17,31 +17,31 @@
 from yokeline.runs.tree import descendants
 from yokeline.scheduling.interface import EngineDirectoryInterface
 
-FORGET_BATCH = 100
+FORGET_BATCH_SIZE = 100
 FORGET_PERIOD_SECONDS = 5.0
-RECENT_SECONDS = 60.0
-"""A leader before may have ended without releasing the caches of runs this young."""
+RECENTLY_ENDED_SECONDS = 60.0
+"""A new leader releases the caches of runs that ended within this time once more, because the
+previous leader may have stopped before it released them."""
 
-_Expiry = tuple[float, RunId]
+_ExpiryEntry = tuple[float, RunId]
 
 
 class Retention:
-    """Keeps track of ended runs of the shards that this node leads."""
+    """Tracks the ended runs of the shards that this node leads."""
 
     def __init__(
         self, core: ExecutorCore, engines: EngineDirectoryInterface, cache: CacheActions
     ) -> None:
-        """Create it; it looks for runs to forget every few seconds."""
         self._core = core
         self._engines = engines
         self._cache = cache
-        self._expiries: dict[ShardId, list[_Expiry]] = {}
+        self._expiries: dict[ShardId, list[_ExpiryEntry]] = {}
         self._scheduled = False
 
     # ------------------------------------------------------------ ended runs
 
     def run_ended(self, shard: ShardId, run: Run) -> None:
-        """Note a run that is idle or final; only root runs are kept track of."""
+        """Release the caches of an idle or final run and schedule the removal of a root run."""
         if run.parent is not None:
             self._cache.run_ended(shard, run)
             return
@@ -55,15 +55,15 @@
 
     def _expiry_wall(self, run: Run) -> float:
         runs = self._core.settings.runs
-        kept = runs.retention_seconds if rules.is_final(run) else runs.idle_seconds
-        return (run.finished_wall or run.created_wall) + kept
+        retention = runs.retention_seconds if rules.is_final(run) else runs.idle_seconds
+        return (run.finished_wall or run.created_wall) + retention
 
     def leadership_gained(self, shard: ShardId) -> None:
-        """Take over the ended runs of a shard."""
+        """Start tracking the ended runs of a shard."""
         machine = self._core.host.machine(shard)
         if machine is None:
             return
-        recent = self._core.context.wall() - RECENT_SECONDS
+        recently_ended_after = self._core.context.wall() - RECENTLY_ENDED_SECONDS
         ended = [
             run
             for run in machine.runs.values()
@@ -73,20 +73,20 @@
         heapq.heapify(heap)
         self._expiries[shard] = heap
         for run in sorted(ended, key=lambda run: run.run):
-            if rules.is_final(run) and (run.finished_wall or 0.0) > recent:
+            if rules.is_final(run) and (run.finished_wall or 0.0) > recently_ended_after:
                 self.release_caches(shard, run)
         self._schedule()
 
     def leadership_lost(self, shard: ShardId) -> None:
-        """Drop what is kept about a shard."""
+        """Stop tracking the runs of a shard."""
         self._expiries.pop(shard, None)
 
     # ------------------------------------------------------------ caches
 
     def release_caches(self, shard: ShardId, root: Run) -> None:
-        """Free the context of an ended tree at every engine that may still hold it.
+        """Drop the context of an ended run tree at every engine that may still hold it.
 
-        This is done under every policy: no memory stays taken for programs that are gone.
+        This does not depend on the scheduling policy: ended programs must not occupy memory.
         """
         machine = self._core.host.machine(shard)
         tree = descendants(machine.runs, root) if machine is not None else [root]
@@ -97,7 +97,7 @@
             if address is not None:
                 self._cache.drop(address, root.run)
 
-    # ------------------------------------------------------------ forgetting
+    # ------------------------------------------------------------ removal
 
     def _schedule(self) -> None:
         if self._scheduled or not any(self._expiries.values()):
@@ -116,7 +116,7 @@
         wall = self._core.context.wall()
         heap = self._expiries[shard]
         expired: list[Run] = []
-        while heap and heap[0][0] <= wall and len(expired) < FORGET_BATCH:
+        while heap and heap[0][0] <= wall and len(expired) < FORGET_BATCH_SIZE:
             run = self._core.find(shard, heapq.heappop(heap)[1])
             if run is not None and self._still_expired(run, wall):
                 expired.append(run)
@@ -131,12 +131,12 @@
             if not rules.is_final(run):
                 self.release_caches(shard, run)
         command = ForgetRuns(runs=tuple(run.run for run in expired), wall=wall)
-        self._core.host.propose(shard, command, self._put_back(shard, expired))
+        self._core.host.propose(shard, command, self._reschedule_on_failure(shard, expired))
 
-    def _put_back(
+    def _reschedule_on_failure(
         self, shard: ShardId, expired: list[Run]
     ) -> Callable[[Result[ApplyResult, YokelineError]], None]:
-        """Return the handler that tries again later if the runs were not removed."""
+        """Return a handler that reschedules the runs if they were not removed."""
 
         def done(result: Result[ApplyResult, YokelineError]) -> None:
             if not isinstance(result, Failure) and result.unwrap().accepted:
--- a/src/yokeline/runs/serving.py
+++ b/src/yokeline/runs/serving.py
@@ -34,14 +34,14 @@
 
 
 class OperationServer:
-    """Answers operations; each answer is given once, unless its ticket is abandoned."""
+    """Serves operations; each gets exactly one answer unless its ticket is abandoned."""
 
     def __init__(self, core: ExecutorCore, watchers: Watchers) -> None:
-        """Create it; ``watchers`` keeps the callers who wait."""
+        """Create the server; ``watchers`` holds the callers that wait."""
         self._core = core
         self._watchers = watchers
-        self._open: dict[str, None] = {}
-        self._tickets = 0
+        self._open_tickets: dict[str, None] = {}
+        self._ticket_count = 0
 
     def serve(
         self,
@@ -55,18 +55,18 @@
         """Serve an operation; ``done`` may be called before this returns.
 
         Args:
-            operation: What is asked.
-            shard: The shard, which this node should lead.
-            deadline_seconds: Seconds after which one who waits gets the run as it stands.
-            done: Gets the answer.
-            on_events: Gets the events of a watched run.
+            operation: The operation.
+            shard: The shard; the operation fails if this node does not lead it.
+            deadline_seconds: Seconds after which a waiting caller gets the run's current state.
+            done: Called once with the answer.
+            on_events: Called with the events of a watched run.
 
         Returns:
-            The ticket to abandon the operation with.
+            The ticket for :meth:`abandon`.
         """
-        self._tickets += 1
-        ticket = f"ticket-{self._tickets}"
-        self._open[ticket] = None
+        self._ticket_count += 1
+        ticket = f"ticket-{self._ticket_count}"
+        self._open_tickets[ticket] = None
         request = _Request(ticket, shard, deadline_seconds, self._once(ticket, done), on_events)
         if self._core.host.leads(shard):
             self._dispatch(operation, request)
@@ -75,14 +75,14 @@
         return ticket
 
     def abandon(self, ticket: str) -> None:
-        """Drop an operation's answer and events; what it changed stays."""
-        self._open.pop(ticket, None)
+        """Discard an operation's answer and events; its changes are kept."""
+        self._open_tickets.pop(ticket, None)
         self._watchers.remove(ticket)
 
     def _once(self, ticket: str, done: OperationDone) -> OperationDone:
         def answer(result: Result[RunResult | RunList, YokelineError]) -> None:
-            if ticket in self._open:
-                del self._open[ticket]
+            if ticket in self._open_tickets:
+                del self._open_tickets[ticket]
                 done(result)
 
         return answer
@@ -94,7 +94,9 @@
             case ContinueRun():
                 self._continue(operation, request)
             case ReadRun():
-                answer = request.answer_with if operation.with_history else request.answer_briefly
+                answer = (
+                    request.answer_with if operation.with_history else request.answer_with_summary
+                )
                 self._with_run(operation.run, operation.tenant, request, answer)
             case AwaitRun():
                 self._await(operation, request)
@@ -107,7 +109,7 @@
             case _:
                 assert_never(operation)
 
-    # ------------------------------------------------------------ changes
+    # ------------------------------------------------------------ writes
 
     def _start(self, operation: StartRun, request: _Request) -> None:
         command = CreateRun(
@@ -170,7 +172,7 @@
     def _with_run(
         self, run: RunId, tenant: str, request: _Request, use: Callable[[Run], None]
     ) -> None:
-        """Read a run (linearizable) and use it if it belongs to the tenant."""
+        """Read a run (linearizable) and pass it to ``use`` if it belongs to the tenant."""
 
         def read(result: Result[RunStateMachine, YokelineError]) -> None:
             if isinstance(result, Failure):
@@ -202,7 +204,7 @@
         self._with_run(operation.run, operation.tenant, request, watch)
 
     def _add(self, watcher: Watcher, run: Run, request: _Request) -> None:
-        if request.ticket in self._open:
+        if request.ticket in self._open_tickets:
             self._watchers.add(watcher, run, request.deadline_seconds)
 
     def _list(self, operation: ListRuns, request: _Request) -> None:
@@ -232,20 +234,20 @@
         self.on_events = on_events
 
     def answer_with(self, run: Run) -> None:
-        """Answer with the run as it stands."""
+        """Answer with the run's current state."""
         self.done(Success(RunResult(run=copy_of(run))))
 
-    def answer_briefly(self, run: Run) -> None:
-        """Answer with the run as it stands, without its history."""
+    def answer_with_summary(self, run: Run) -> None:
+        """Answer with the run's current state without its history."""
         self.done(Success(RunResult(run=summary_of(run))))
 
     def watcher(self, run: RunId) -> Watcher:
-        """Return the caller as one who waits for news of a run."""
+        """Return a watcher of a run for the operation's caller."""
         return Watcher(ticket=self.ticket, shard=self.shard, run=run, done=self.done)
 
 
 def listed(machine: RunStateMachine, operation: ListRuns) -> RunList:
-    """Return a page of a tenant's runs, in the order of their ids."""
+    """Return a page of a tenant's runs, ordered by id."""
     limit = max(0, min(operation.limit, MAX_LISTED))
     own = [
         run
--- a/src/yokeline/runs/spec.py
+++ b/src/yokeline/runs/spec.py
@@ -1,4 +1,4 @@
-"""What a run is created with: a program and the policies that apply to it, resolved."""
+"""Creates run specs from programs and their resolved policies."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def request_digest(program: str, content: str) -> str:
-    """Return the digest that tells requests under one idempotency key apart."""
+    """Return the digest that distinguishes requests with the same idempotency key."""
     return xxhash.xxh3_128_hexdigest(f"{program}\x00{content}".encode())
 
 
 def spec_of_program(program: Program, policy: ResolvedPolicy) -> RunSpec:
-    """Return the spec of a run of a program, without what a single request adds."""
+    """Return the spec of a program's runs, without the fields set per request."""
     return RunSpec(
         tenant=program.tenant,
         program=program.name,
@@ -40,8 +40,8 @@
 def child_spec(parent: Run, program: Program, policy: ResolvedPolicy, content: str) -> RunSpec:
     """Return the spec of a child run.
 
-    A child works for its parent's caller: it has the parent's priority, worth and deadline,
-    and it shares the root's budget (its own limits count where they are smaller).
+    A child inherits its parent's priority, worth and deadline. It shares the root's budget; its
+    own limits apply where they are lower.
     """
     spec = spec_of_program(program, policy)
     return msgspec.structs.replace(
--- a/src/yokeline/runs/tree.py
+++ b/src/yokeline/runs/tree.py
@@ -1,4 +1,4 @@
-"""Walking a tree of runs: up to the root for budgets, down for cancellation and removal."""
+"""Traversal of run trees."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def ancestors(runs: Mapping[RunId, Run], run: Run) -> list[Run]:
-    """Return the run, its parent and so on up to the root."""
+    """Return a run followed by its ancestors up to the root."""
     chain = [run]
     while chain[-1].parent is not None:
         chain.append(runs[chain[-1].parent])
@@ -17,7 +17,7 @@
 
 
 def descendants(runs: Mapping[RunId, Run], run: Run) -> list[Run]:
-    """Return the run and all runs below it, parents before their children."""
+    """Return a run followed by its descendants, parents before their children."""
     found = [run]
     for member in found:
         for number in range(1, member.children + 1):
@@ -28,5 +28,5 @@
 
 
 def depth(run: RunId) -> int:
-    """Return how many generations below its root a run is; 0 for the root."""
+    """Return a run's depth in its tree; 0 for the root."""
     return run.count(".")
