--- a/src/yokeline/runs/events.py
+++ b/src/yokeline/runs/events.py
@@ -1,4 +1,4 @@
-"""Events of a run as its watchers see them, in order, each with an id to resume from."""
+"""Events that a run's watchers receive, each with an id from which to resume."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class EventId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Position in a run: call number, then offset in that call; written ``call.offset``.
+    """Position in a run: a call number and an offset within the call's answer in characters.
 
-    A call's ``call_started`` has offset 0; text ending at character ``n`` of the call's
-    answer has offset ``n``; its ``call_finished`` has the offset of its whole length plus 1.
+    ``call_started`` has offset 0, a text event the offset of its end, and ``call_finished`` the
+    length of the whole answer plus 1.
     """
 
     call: int
     offset: int
 
     def __str__(self) -> str:
-        """Return the form used in ``Last-Event-ID``."""
+        """Return ``call.offset``, the form used in ``Last-Event-ID``."""
         return f"{self.call}.{self.offset}"
 
 
 class CallStartedEvent(msgspec.Struct, frozen=True, kw_only=True, tag="call_started"):
-    """A call is about to be sent; ``reason`` says why this back end."""
+    """A call has started; ``reason`` says why its back end was selected."""
 
     id: EventId
     attempt: int
@@ -34,21 +34,21 @@
 
 
 class TextEvent(msgspec.Struct, frozen=True, kw_only=True, tag="text"):
-    """Text of a model's answer; ``id.offset`` is the offset after it."""
+    """A part of a model's answer; ``id.offset`` is the offset of its end."""
 
     id: EventId
     text: str
 
 
 class RestartEvent(msgspec.Struct, frozen=True, kw_only=True, tag="restart"):
-    """The call's text so far is void: it is being generated anew from offset 0."""
+    """The call's earlier text is invalid; a new attempt generates it again from offset 0."""
 
     id: EventId
     attempt: int
 
 
 class CallFinishedEvent(msgspec.Struct, frozen=True, kw_only=True, tag="call_finished"):
-    """A call ended."""
+    """A call has ended."""
 
     id: EventId
     status: CallStatus
@@ -57,12 +57,12 @@
 
 
 class FinishedEvent(msgspec.Struct, frozen=True, kw_only=True, tag="finished"):
-    """The run (or, for a conversation, its turn) is answered; always the last event.
+    """The last event of a stream: the run, or the current turn of a conversation, has ended.
 
     Attributes:
-        answer: The whole answer.
-        length: Characters of the whole answer.
-        digest: xxh3 64 hex of the answer's UTF-8.
+        answer: The complete answer.
+        length: Length of the answer in characters.
+        digest: Hex XXH3-64 digest of the answer's UTF-8 bytes.
     """
 
     id: EventId
--- a/src/yokeline/runs/model.py
+++ b/src/yokeline/runs/model.py
@@ -1,8 +1,9 @@
 """Types of the replicated state of runs, and the commands in a shard's log.
 
-A **run** is one request to a program: numbered **calls** (model, tool, app, child run) and a
-**history** of messages. All state changes by applying :data:`Command` values in log order;
-applying is deterministic and reads no clock (times are inside the commands, wall seconds).
+A **run** is the execution of one request to a program. It consists of numbered **calls**
+(model, tool, app or child run) and a **history** of messages. The state changes only by
+applying :data:`Command` values in log order, which is deterministic and reads no clock: the
+commands contain their times. Fields named ``*_wall`` are Unix times in seconds.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 
 
 class RunStatus(enum.Enum):
-    """Where a run stands."""
+    """Status of a run."""
 
     ACTIVE = "active"
-    """It has a next call, or one under way."""
+    """A call is in flight or follows."""
     IDLE = "idle"
-    """Its last turn is answered; a further turn may follow until it expires."""
+    """The last turn of a conversation is answered; another turn may follow until it expires."""
     SUCCEEDED = "succeeded"
     FAILED = "failed"
     CANCELLED = "cancelled"
     REFUSED = "refused"
-    """Nothing was sent, and nothing ever will be under its idempotency key."""
+    """No call was sent, and none will be sent under the run's idempotency key."""
     OUTCOME_UNKNOWN = "outcome_unknown"
-    """A call that may not be repeated may have had its effect."""
+    """A non-repeatable call may or may not have had its effect."""
 
 
 FINAL_STATUSES = frozenset(
@@ -43,7 +44,7 @@
 
 
 class CallKind(enum.Enum):
-    """What a call goes to."""
+    """Kind of back end that a call goes to."""
 
     MODEL = "model"
     TOOL = "tool"
@@ -52,7 +53,7 @@
 
 
 class CallStatus(enum.Enum):
-    """Where a call stands."""
+    """Status of a call."""
 
     STARTED = "started"
     SUCCEEDED = "succeeded"
@@ -61,7 +62,7 @@
 
 
 class Role(enum.Enum):
-    """Who a message of the history is from (OpenAI chat roles)."""
+    """Author of a history message, as in the OpenAI chat API."""
 
     SYSTEM = "system"
     USER = "user"
@@ -70,12 +71,12 @@
 
 
 class ToolRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A tool (or child program) call that a model asked for.
+    """A model's request to call a tool or a child program.
 
     Attributes:
         identity: The model's id of the tool call.
-        name: Name of the tool, or of the program to run as a child.
-        arguments: JSON text.
+        name: Name of the tool or of the child program.
+        arguments: Arguments as JSON text.
     """
 
     identity: str
@@ -90,7 +91,7 @@
     content: str
     tool_requests: tuple[ToolRequest, ...] = ()
     tool_request: str = ""
-    """For a tool's answer: the identity of the request it answers."""
+    """Identity of the tool request that the message answers; empty for other messages."""
     tokens: int = 0
 
 
@@ -112,7 +113,7 @@
     calls: int = 0
 
     def plus(self, other: Usage) -> Usage:
-        """Return the sum."""
+        """Return the sum of two usages."""
         return Usage(
             prompt_tokens=self.prompt_tokens + other.prompt_tokens,
             cached_tokens=self.cached_tokens + other.cached_tokens,
@@ -126,18 +127,18 @@
     """Limits of a run tree (the root run and all its children together)."""
 
     tokens: int = 200_000
-    """Prompt tokens not found in cache plus completion tokens."""
+    """Uncached prompt tokens plus completion tokens."""
     calls: int = 200
     tool_seconds: float = 600.0
     wall_seconds: float = 3600.0
     turns: int = 100
-    """Model calls of one run."""
+    """Model calls in one run."""
     identical_calls: int = 5
-    """Consecutive tool calls with the same name and arguments before a run is ended."""
+    """Consecutive tool calls with the same name and arguments."""
 
 
 class Reservation(msgspec.Struct, frozen=True, kw_only=True):
-    """Budget set aside when a call starts and settled when it finishes."""
+    """Budget reserved when a call starts and settled when it finishes."""
 
     tokens: int = 0
     tool_seconds: float = 0.0
@@ -145,16 +146,16 @@
 
 
 class RunSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What a run was created with: resolved from program and policies at that moment.
+    """Parameters of a run, resolved from its program and policies when the run is created.
 
     Attributes:
-        request_digest: xxh3 hex of the request's content; a reused idempotency key with
-            another digest is an error.
-        app: For a one-call request to an app: the app's name; empty for an agent program.
+        request_digest: Hex XXH3-128 digest of the request; reusing an idempotency key with a
+            different digest is an error.
+        app: Name of the app, for a request to an app; empty for an agent program.
         tools: Names of tools that the model may call.
         children: Names of programs that the model may run as children.
-        deadline_wall: Wall seconds by which the caller wants the answer.
         worth: Weight of a timely answer.
+        deadline_wall: Time by which the caller wants the answer.
     """
 
     tenant: str
@@ -175,20 +176,20 @@
     max_completion_tokens: int = 1024
     deadline_wall: float | None = None
     conversation: bool = False
-    """Stay idle after an answer, so that further turns can follow."""
+    """Whether the run stays idle after an answer, so that more turns can follow."""
 
 
 class CallRecord(msgspec.Struct, kw_only=True):
-    """A call of a run, as the log knows it.
+    """A call of a run and its latest attempt.
 
     Attributes:
-        number: 1, 2, ... within the run, in order.
-        attempt: 1, 2, ...; more than one only for repeatable calls.
+        number: Number of the call within the run, counted from 1.
+        attempt: Number of the attempt, counted from 1; above 1 only for repeatable calls.
         backend: Name of the engine, tool or app; for a child, its run id.
-        fence: Fencing token: the term of the leader that started this attempt.
-        reason: Why that back end was chosen, for people.
-        answered: Its message is in the history; no further attempt may follow.
-        may_have_run: Some attempt of it was not surely refused by the back end.
+        fence: Fencing token: the term of the leader that started the attempt.
+        reason: Human-readable reason for the selection of the back end.
+        answered: Whether the call's message is in the history; no other attempt may follow.
+        may_have_run: Whether any finished attempt may have been executed by the back end.
     """
 
     number: int
@@ -213,10 +214,11 @@
     """The state of one run.
 
     Attributes:
-        spent: Used by the run and all its descendants.
-        reserved: Set aside for the started calls of the run and all its descendants.
-        turn_started_wall: Wall seconds at which the current turn's input was added.
-        turn_first_call: Number that the first call of the current turn has (or will have).
+        children: Number of child runs created so far.
+        spent: Usage of the run and all its descendants.
+        reserved: Reservations of the in-flight calls of the run and all its descendants.
+        turn_started_wall: Time at which the input of the current turn was added.
+        turn_first_call: Number of the current turn's first call, which may not exist yet.
     """
 
     run: RunId
@@ -228,11 +230,11 @@
     calls: list[CallRecord] = []
     turn: int = 1
     turn_keys: list[str] = []
-    """Idempotency keys of the turns after the first, in order."""
+    """Idempotency keys of the turns after the first, in turn order."""
     children: int = 0
     answer: str = ""
     answer_digest: str = ""
-    """xxh3 64 hex of the whole answer."""
+    """Hex XXH3-64 digest of the answer's UTF-8 bytes."""
     error: YokelineError | None = None
     spent: Usage = Usage()
     reserved: Reservation = Reservation(calls=0)
@@ -245,7 +247,7 @@
 
 
 class CreateRun(msgspec.Struct, frozen=True, kw_only=True, tag="create_run"):
-    """Create a run; a no-op that yields the existing run if the id is known already."""
+    """Create a run; accepted without effect if the same request has created it before."""
 
     run: RunId
     spec: RunSpec
@@ -255,7 +257,7 @@
 
 
 class AddTurn(msgspec.Struct, frozen=True, kw_only=True, tag="add_turn"):
-    """Append a further user message to an idle conversation and make it active."""
+    """Append a user message to an idle conversation and make it active."""
 
     run: RunId
     turn_key: str
@@ -265,7 +267,7 @@
 
 
 class RefuseRun(msgspec.Struct, frozen=True, kw_only=True, tag="refuse_run"):
-    """Record that a request is refused; valid only where no call has started."""
+    """Record that a request is refused; rejected if a call has started."""
 
     run: RunId
     spec: RunSpec
@@ -274,7 +276,7 @@
 
 
 class CallStarted(msgspec.Struct, frozen=True, kw_only=True, tag="call_started"):
-    """Committed before anything is sent to a back end."""
+    """Record the start of an attempt; committed before the attempt is sent."""
 
     run: RunId
     number: int
@@ -291,7 +293,7 @@
 
 
 class CallFinished(msgspec.Struct, frozen=True, kw_only=True, tag="call_finished"):
-    """The outcome of a call's attempt; appends its message to the history."""
+    """Record the outcome of an attempt and append its message to the history."""
 
     run: RunId
     number: int
@@ -304,7 +306,7 @@
 
 
 class FinishRun(msgspec.Struct, frozen=True, kw_only=True, tag="finish_run"):
-    """Give a run its final (or idle) status and answer."""
+    """Set the answer and the final or idle status of a run."""
 
     run: RunId
     status: RunStatus
@@ -314,7 +316,7 @@
 
 
 class CancelRun(msgspec.Struct, frozen=True, kw_only=True, tag="cancel_run"):
-    """A caller gave a run up; its children are cancelled with it."""
+    """Cancel a run and its descendants at a caller's request."""
 
     run: RunId
     wall: float
@@ -322,21 +324,21 @@
 
 
 class ForgetRuns(msgspec.Struct, frozen=True, kw_only=True, tag="forget_runs"):
-    """Remove final and expired idle runs whose retention is over."""
+    """Remove final and idle runs after their retention time."""
 
     runs: tuple[RunId, ...]
     wall: float
 
 
 class RecoverShard(msgspec.Struct, frozen=True, kw_only=True, tag="recover_shard"):
-    """First command of a group that was started anew from a copy; see ``runs.recovery``.
+    """First command of a shard group recovered from a copy; see ``runs.recovery``.
 
     Attributes:
-        copy_of: The process start whose copy it was.
-        last_index: Last log entry of the copy.
-        wall: Wall seconds of the recovery.
-        keyed_until_wall: Until then a request with a key may be one that was lost.
-        unkeyed_until_wall: The same for a request without one.
+        copy_of: Replica id of the process that wrote the copy.
+        last_index: Index of the last log entry in the copy.
+        wall: Time of the recovery.
+        keyed_until_wall: End of the doubt window for requests with an idempotency key.
+        unkeyed_until_wall: End of the doubt window for requests without an idempotency key.
     """
 
     copy_of: ReplicaId
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of a shard's runs.
 
-Commands are applied in log order on every replica. Applying is deterministic: it reads no
-clock and draws nothing at random. A command that the state does not allow is rejected with a
-typed error and changes nothing.
+Every replica applies the commands in log order. Applying is deterministic: it reads no clock
+and no source of randomness. A command that the state does not allow is rejected with a typed
+error and leaves the state unchanged.
 """
 
 from __future__ import annotations
@@ -57,12 +57,13 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What applying a command did.
+    """Result of applying a command.
 
     Attributes:
-        accepted: The command took effect, or had taken effect before.
-        run: The run it was about.
-        created: This very command created the run or added the turn.
+        accepted: Whether the command has taken effect, now or in an earlier repetition.
+        run: The run that the command names, if it names one.
+        error: Reason for a rejection.
+        created: Whether this command, not an earlier repetition, created the run or turn.
     """
 
     accepted: bool
@@ -75,24 +76,16 @@
     """All runs of one shard.
 
     Attributes:
-        runs: Runs by id. Read only for everybody else.
+        runs: Runs by id; other components must not modify them.
         doubt_window: Doubt window of the last recovery from a copy.
     """
 
     def __init__(self) -> None:
-        """Create a shard without runs."""
         self.runs: dict[RunId, Run] = {}
         self.doubt_window = DoubtWindow()
 
     def apply(self, command: Command) -> ApplyResult:
-        """Apply one committed command.
-
-        Args:
-            command: The next command of the log.
-
-        Returns:
-            Whether it was accepted, and why not.
-        """
+        """Apply the next committed command of the log."""
         match command:
             case CreateRun():
                 return self.transition_create_run(command)
@@ -116,12 +109,12 @@
                 assert_never(command)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes; equal states give equal bytes."""
+        """Encode the state as bytes; equal states give equal bytes."""
         return encode_runs(self.runs, self.doubt_window)
 
     @classmethod
     def restore(cls, data: bytes) -> RunStateMachine:
-        """Return the state machine that a snapshot was taken of."""
+        """Create a state machine from the bytes of :meth:`snapshot`."""
         machine = cls()
         content = decode_runs(data)
         machine.runs = {run.run: run for run in content.runs}
@@ -131,7 +124,7 @@
     # ------------------------------------------------------------ transitions
 
     def transition_create_run(self, command: CreateRun) -> ApplyResult:
-        """Create a run, or find the one that the same request created before."""
+        """Create a run, or accept the repetition of the request that created it."""
         existing = self.runs.get(command.run)
         if existing is not None:
             return _result_of(command.run, rules.check_same_request(existing, command.spec))
@@ -142,7 +135,7 @@
                 return _rejected(command.run, check.failure())
             parent.children += 1
         elif root_run_id(command.run) != command.run:
-            return _rejected(command.run, conflict(command.run, "a child names its parent"))
+            return _rejected(command.run, conflict(command.run, "a child run needs a parent"))
         run = new_run(command)
         self.runs[command.run] = run
         if command.parent is None and self.doubt_window.covers_request(command.spec, command.wall):
@@ -172,7 +165,7 @@
         return ApplyResult(accepted=True, run=command.run, created=True)
 
     def transition_refuse_run(self, command: RefuseRun) -> ApplyResult:
-        """Record that a request was not run and never will be."""
+        """Record that a request is refused and will not run."""
         run = self.runs.get(command.run)
         if run is None:
             self.runs[command.run] = new_refused_run(command)
@@ -187,7 +180,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_call_started(self, command: CallStarted) -> ApplyResult:
-        """Record a call (or a further attempt) and reserve its budget."""
+        """Record the start of a call or of another attempt, and reserve its budget."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
@@ -213,7 +206,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_call_finished(self, command: CallFinished) -> ApplyResult:
-        """Record an attempt's outcome, settle its budget and append its message."""
+        """Record an attempt's outcome, settle its reservation and append its message."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
@@ -239,7 +232,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_finish_run(self, command: FinishRun) -> ApplyResult:
-        """Give a run its final (or idle) status and its answer."""
+        """Set the answer and the final or idle status of a run."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
@@ -251,7 +244,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_cancel_run(self, command: CancelRun) -> ApplyResult:
-        """Cancel a run and its descendants; a no-op if it has ended already."""
+        """Cancel a run and its descendants; accepted without effect if the run is final."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
@@ -263,7 +256,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_forget_runs(self, command: ForgetRuns) -> ApplyResult:
-        """Remove whole trees of runs; rejected as a whole if one of them is active."""
+        """Remove run trees; rejected entirely if any root is active or a run is not a root."""
         roots = [self.runs[run] for run in dict.fromkeys(command.runs) if run in self.runs]
         for root in roots:
             if root.parent is not None or root.status is RunStatus.ACTIVE:
@@ -285,10 +278,10 @@
                     self._end_as_unknown(member, command.wall)
         return ApplyResult(accepted=True, run=None)
 
-    # ------------------------------------------------------------ parts of transitions
+    # ------------------------------------------------------------ helpers
 
     def _supersede(self, run: Run, call: CallRecord) -> None:
-        """Charge an attempt that never got an outcome with all that it had reserved."""
+        """Charge a superseded attempt without an outcome its whole reservation."""
         if call.status is CallStatus.STARTED:
             self._settle(run, call.reserved, budget.usage_of_reservation(call.reserved))
 
@@ -328,7 +321,7 @@
 
 
 def _result_of(run: RunId, check: Result[None, YokelineError]) -> ApplyResult:
-    """Return an accepted repetition, or the rejection of a different request."""
+    """Return the result for a repeated request: accepted if it matches the first one."""
     if isinstance(check, Failure):
         return _rejected(run, check.failure())
     return ApplyResult(accepted=True, run=run)
