--- a/tests/unit/runs/support.py
+++ b/tests/unit/runs/support.py
@@ -1,4 +1,4 @@
-"""A fake host, engine directory and back ends for tests of the executor."""
+"""Fake host, engine directory and back ends for executor tests."""
 
 from __future__ import annotations
 
@@ -54,15 +54,15 @@
 
 
 class FakeHost:
-    """One shard with a log that every leader shares; commits at once unless held."""
+    """One shard with its log; commits immediately unless ``pending_commits`` is a queue."""
 
     def __init__(self) -> None:
         self.log: list[Command] = []
         self.state = RunStateMachine()
         self.leading = True
-        self.lease = True
+        self.lease_valid = True
         self.current_term = 1
-        self.held: deque[Callable[[], None]] | None = None
+        self.pending_commits: deque[Callable[[], None]] | None = None
         self.listener: Executor | None = None
 
     def propose(
@@ -82,10 +82,10 @@
                 self.listener.command_applied(shard, command, result)
             done(Success(result))
 
-        if self.held is None:
+        if self.pending_commits is None:
             commit()
         else:
-            self.held.append(commit)
+            self.pending_commits.append(commit)
 
     def read(
         self, _shard: ShardId, done: Callable[[Result[RunStateMachine, YokelineError]], None]
@@ -102,15 +102,15 @@
         return self.current_term
 
     def may_send(self, _shard: ShardId) -> bool:
-        return self.leading and self.lease
+        return self.leading and self.lease_valid
 
 
 class FakeEngines:
-    """Engines with names; takes the first that is not avoided."""
+    """A directory of named engines that chooses the first engine not avoided."""
 
     def __init__(self, *names: str) -> None:
         self.addresses = {name: Address(f"10.0.0.{n}", 80) for n, name in enumerate(names, start=1)}
-        self.room = True
+        self.has_capacity = True
         self.in_flight: dict[str, str] = {}
         self.demands: list[CallDemand] = []
         self.policy = make_policy("affinity")
@@ -118,11 +118,11 @@
         self.pauses: list[ProgramPause] = []
         self.ended_pauses: list[tuple[PauseKind, str, float]] = []
         self.decision: CacheDecision | None = None
-        self.held: list[str] = []
+        self.held_engines: list[str] = []
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         self.demands.append(demand)
-        if not self.room:
+        if not self.has_capacity:
             return Failure(overloaded("engines", 0.5))
         names = [name for name in self.addresses if name not in demand.avoid]
         name = (names or list(self.addresses))[0]
@@ -159,16 +159,16 @@
         if self.decision is None:
             return None
         address = self.addresses[pause.engine]
-        self.held.append(pause.engine)
+        self.held_engines.append(pause.engine)
         return PlannedCacheAction(engine=pause.engine, address=address, decision=self.decision)
 
     def pause_ended(self, kind: PauseKind, name: str, seconds: float) -> None:
         self.ended_pauses.append((kind, name, seconds))
 
     def hold_ended(self, engine: str, _cache_key: RunId) -> Address | None:
-        if engine not in self.held:
+        if engine not in self.held_engines:
             return None
-        self.held.remove(engine)
+        self.held_engines.remove(engine)
         return self.addresses[engine]
 
     def run_ended(self, _cache_key: RunId) -> tuple[str, ...]:
@@ -176,7 +176,7 @@
 
 
 class FakeConfiguration:
-    """Two tools, an app and a child program."""
+    """A configuration with one tool, one app and one child program."""
 
     def __init__(self) -> None:
         self.lookup = Lookup.NONE
@@ -223,7 +223,7 @@
 
 
 def app_spec(**changes: object) -> RunSpec:
-    """Return the spec of a request to an app that may not be repeated."""
+    """Return the spec of a non-repeatable request to an app."""
     spec = RunSpec(
         tenant=TENANT, program="post", request_digest="d", app="results", repeatable=False
     )
@@ -231,7 +231,7 @@
 
 
 def chunk(text: str, offset: int) -> HttpStreamItem:
-    """Return a text event of an engine's stream (the request id is filled in later)."""
+    """Return a text event of an engine's stream; the bench sets the request id."""
     data = {"choices": [{"delta": {"content": text}, "finish_reason": None}]}
     return HttpStreamItem(
         request=RequestId(""), data=json.dumps(data).encode(), event_id=str(offset)
@@ -239,7 +239,7 @@
 
 
 def tool_calls(*requests: tuple[str, str, str]) -> HttpStreamItem:
-    """Return a stream event with tool calls of (identity, name, arguments)."""
+    """Return a stream event with tool calls given as (identity, name, arguments)."""
     calls = [
         {"index": n, "id": identity, "function": {"name": name, "arguments": arguments}}
         for n, (identity, name, arguments) in enumerate(requests)
@@ -249,7 +249,7 @@
 
 
 def usage(prompt: int, completion: int, finish: str = "stop") -> HttpStreamItem:
-    """Return a stream's event with its usage."""
+    """Return a stream event with the finish reason and the usage."""
     data = {
         "choices": [{"delta": {}, "finish_reason": finish}],
         "usage": {
@@ -265,7 +265,7 @@
 
 
 class Bench:
-    """An executor between a fake host and fake back ends, under a manual clock."""
+    """An executor with a fake host, fake back ends and a manual clock."""
 
     def __init__(self, host: FakeHost | None = None, **settings: object) -> None:
         self.context = NodeContext(
@@ -285,23 +285,23 @@
         )
         self.host.listener = self.executor
         self.requests: list[HttpRequest] = []
-        self.open: dict[RequestId, HttpRequest] = {}
+        self.open_requests: dict[RequestId, HttpRequest] = {}
         self.results: dict[str, Result[OperationResult, YokelineError]] = {}
         self.events: list[RunEvent] = []
 
     # -------------------------------------------------------- time and effects
 
-    def collect(self) -> None:
-        """Take the effects in."""
+    def process_outbox(self) -> None:
+        """Process the effects in the outbox."""
         for effect in self.context.take_outbox():
             if isinstance(effect, HttpRequest):
                 self.requests.append(effect)
-                self.open[effect.request] = effect
+                self.open_requests[effect.request] = effect
             elif isinstance(effect, HttpCancel):
-                self.open.pop(effect.request, None)
+                self.open_requests.pop(effect.request, None)
 
     def advance(self, seconds: float, limit: int = 2000) -> None:
-        """Let time pass, with a tick at each deadline."""
+        """Advance the clock, with a tick at each deadline."""
         end = self.context.now + seconds
         for _ in range(limit):
             due = self.executor.next_deadline()
@@ -309,23 +309,23 @@
                 break
             self.context.now = max(self.context.now, due)
             self.executor.tick()
-            self.collect()
+            self.process_outbox()
         self.context.now = end
-        self.collect()
+        self.process_outbox()
 
     # -------------------------------------------------------- callers
 
     def serve(self, operation: Operation, name: str = "", deadline: float = 100.0) -> str:
         """Serve an operation and keep its result under ``name``."""
-        label = name or type(operation).__name__
+        result_key = name or type(operation).__name__
         ticket = self.executor.serve(
             operation,
             SHARD,
             deadline_seconds=deadline,
-            done=lambda result: self.results.__setitem__(label, result),
+            done=lambda result: self.results.__setitem__(result_key, result),
             on_events=self.events.extend,
         )
-        self.collect()
+        self.process_outbox()
         return ticket
 
     def start(self, spec: RunSpec, text: str = "hello", run: RunId = RUN) -> None:
@@ -345,58 +345,60 @@
 
     # -------------------------------------------------------- back ends
 
-    def take(self, method: str, path_part: str) -> HttpRequest:
-        """Return the one open request with this method and part of its path."""
-        found = [r for r in self.open.values() if r.method == method and path_part in r.path]
-        assert len(found) == 1, [(r.method, r.path) for r in self.open.values()]
+    def open_request(self, method: str, path_part: str) -> HttpRequest:
+        """Return the only open request with this method and a path that contains the part."""
+        found = [
+            r for r in self.open_requests.values() if r.method == method and path_part in r.path
+        ]
+        assert len(found) == 1, [(r.method, r.path) for r in self.open_requests.values()]
         return found[0]
 
-    def opened(self, method: str, path_part: str) -> list[HttpRequest]:
-        """Return all requests ever made with this method and part of their path."""
+    def sent_requests(self, method: str, path_part: str) -> list[HttpRequest]:
+        """Return all requests sent so far with this method and a path that contains the part."""
         return [r for r in self.requests if r.method == method and path_part in r.path]
 
     def answer(
         self, request: HttpRequest, status: int, body: object = None, **headers: str
     ) -> None:
-        """Answer a request with a whole response."""
-        self.open.pop(request.request, None)
+        """Answer a request with a complete response."""
+        self.open_requests.pop(request.request, None)
         data = b"" if body is None else json.dumps(body).encode()
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
+        header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
         self.context.dispatch_http(
-            HttpResponse(request=request.request, status=status, headers=named, body=data)
+            HttpResponse(request=request.request, status=status, headers=header_fields, body=data)
         )
-        self.collect()
+        self.process_outbox()
 
     def fail(self, request: HttpRequest, *, sent: bool) -> None:
-        """Break the connection of a request."""
-        self.open.pop(request.request, None)
+        """Fail a request with a broken connection."""
+        self.open_requests.pop(request.request, None)
         self.context.dispatch_http(
             HttpFailed(request=request.request, sent=sent, reason="connection reset")
         )
-        self.collect()
+        self.process_outbox()
 
     def stream(self, request: HttpRequest, *items: HttpStreamItem) -> None:
-        """Send items of a stream (with its head before the first)."""
+        """Answer a request with the head and the first items of a stream."""
         self.context.dispatch_http(HttpResponse(request=request.request, status=200))
-        self.more(request, *items)
+        self.stream_more(request, *items)
 
-    def more(self, request: HttpRequest, *items: HttpStreamItem) -> None:
-        """Send further items of a stream."""
+    def stream_more(self, request: HttpRequest, *items: HttpStreamItem) -> None:
+        """Send more items of a stream."""
         for item in items:
             self.context.dispatch_http(msgspec.structs.replace(item, request=request.request))
             if item is DONE_ITEM:
-                self.open.pop(request.request, None)
+                self.open_requests.pop(request.request, None)
                 self.context.dispatch_http(HttpStreamEnded(request.request))
-        self.collect()
+        self.process_outbox()
 
     def answer_model(self, text: str = "fine", prompt: int = 10, completion: int = 2) -> None:
-        """Answer the open model call with a whole text."""
-        request = self.take("POST", "/v1/chat")
+        """Answer the open model call with a complete text."""
+        request = self.open_request("POST", "/v1/chat")
         self.stream(request, chunk(text, len(text)), usage(prompt, completion), DONE_ITEM)
 
-    def ask_tool(self, name: str = "roster", arguments: str = '{"club":1}') -> None:
-        """Answer the open model call with a tool call."""
-        request = self.take("POST", "/v1/chat")
+    def answer_with_tool_request(self, name: str = "roster", arguments: str = '{"club":1}') -> None:
+        """Answer the open model call with a tool request."""
+        request = self.open_request("POST", "/v1/chat")
         self.stream(request, tool_calls(("t1", name, arguments)), usage(10, 2), DONE_ITEM)
 
 
@@ -406,11 +408,11 @@
 
 
 def fail_over(bench: Bench) -> Bench:
-    """Return a new leader of the same log; the old one lost its leadership."""
+    """Move leadership to a new bench with the same log, and return that bench."""
     old = bench.host
     old.leading = False
     bench.executor.leadership_lost(SHARD)
-    bench.collect()
+    bench.process_outbox()
     host = FakeHost()
     host.state = RunStateMachine.restore(old.state.snapshot())
     host.log = list(old.log)
@@ -419,5 +421,5 @@
     successor.configuration = bench.configuration
     successor.context.now = bench.context.now
     successor.executor.leadership_gained(SHARD, host.current_term)
-    successor.collect()
+    successor.process_outbox()
     return successor
--- a/tests/unit/runs/test_cache_actions.py
+++ b/tests/unit/runs/test_cache_actions.py
@@ -1,4 +1,4 @@
-"""Tests of how the executor carries out cache decisions at pauses and ends."""
+"""Tests of the executor's cache actions when programs pause and end."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 )
 
 
-def ask_for_tool(bench: Bench) -> None:
-    """Let the model of the first run ask for the tool."""
-    request = bench.take("POST", "/v1/chat")
+def request_tool_call(bench: Bench) -> None:
+    """Answer the open model call with a tool request."""
+    request = bench.open_request("POST", "/v1/chat")
     calls = tool_calls(("t1", "roster", "{}"))
     bench.stream(request, calls, usage(50, 5, "tool_calls"), DONE_ITEM)
 
@@ -25,8 +25,8 @@
         bench = Bench()
         bench.start(agent_spec())
         bench.engines.decision = HOLD
-        ask_for_tool(bench)
-        hold = json.loads(bench.take("POST", "/v1/cache/holds").body)
+        request_tool_call(bench)
+        hold = json.loads(bench.open_request("POST", "/v1/cache/holds").body)
         self.assertEqual(
             hold, {"cache_key": RUN, "cache_salt": "dallim", "seconds": 7.0, "fence": 1}
         )
@@ -34,10 +34,10 @@
         self.assertEqual((pause.kind, pause.name), (PauseKind.TOOL, "dallim/roster"))
         self.assertEqual((pause.engine, pause.context_tokens), ("pool/e1", 55))
         bench.advance(3.0)
-        bench.answer(bench.take("POST", "/roster"), 200, {"content": "names"})
-        self.assertEqual(bench.opened("DELETE", f"/holds/{RUN}"), [])
-        bench.stream(bench.take("POST", "/v1/chat"), chunk("done", 4))
-        self.assertEqual(len(bench.opened("DELETE", f"/holds/{RUN}")), 1)
+        bench.answer(bench.open_request("POST", "/roster"), 200, {"content": "names"})
+        self.assertEqual(bench.sent_requests("DELETE", f"/holds/{RUN}"), [])
+        bench.stream(bench.open_request("POST", "/v1/chat"), chunk("done", 4))
+        self.assertEqual(len(bench.sent_requests("DELETE", f"/holds/{RUN}")), 1)
         kind, name, seconds = bench.engines.ended_pauses[-1]
         self.assertEqual((kind, name), (PauseKind.TOOL, "dallim/roster"))
         self.assertAlmostEqual(seconds, 3.0)
@@ -45,25 +45,25 @@
     def test_idle_conversation_is_a_pause_between_turns(self) -> None:
         bench = Bench()
         bench.start(agent_spec(conversation=True))
-        bench.stream(bench.take("POST", "/v1/chat"), chunk("hi", 2), usage(9, 1), DONE_ITEM)
+        bench.stream(bench.open_request("POST", "/v1/chat"), chunk("hi", 2), usage(9, 1), DONE_ITEM)
         pause = bench.engines.pauses[-1]
         self.assertEqual((pause.kind, pause.name), (PauseKind.TURN, "dallim/agent"))
-        self.assertEqual(bench.opened("DELETE", "/v1/cache/entries"), [])
+        self.assertEqual(bench.sent_requests("DELETE", "/v1/cache/entries"), [])
 
-    def test_ended_program_is_dropped_whatever_the_policy_says(self) -> None:
+    def test_context_of_an_ended_program_is_always_dropped(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
-        bench.stream(bench.take("POST", "/v1/chat"), chunk("hi", 2), usage(9, 1), DONE_ITEM)
-        self.assertEqual(len(bench.opened("DELETE", f"/v1/cache/entries/{RUN}")), 1)
+        bench.stream(bench.open_request("POST", "/v1/chat"), chunk("hi", 2), usage(9, 1), DONE_ITEM)
+        self.assertEqual(len(bench.sent_requests("DELETE", f"/v1/cache/entries/{RUN}")), 1)
 
     def test_several_tools_of_one_answer_are_one_pause(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
         calls = tool_calls(("t1", "roster", "{}"), ("t2", "roster", '{"a": 1}'))
-        request = bench.take("POST", "/v1/chat")
+        request = bench.open_request("POST", "/v1/chat")
         bench.stream(request, calls, usage(50, 5, "tool_calls"), DONE_ITEM)
-        bench.answer(bench.take("POST", "/roster"), 200, {"content": "a"})
-        bench.answer(bench.take("POST", "/roster"), 200, {"content": "b"})
+        bench.answer(bench.open_request("POST", "/roster"), 200, {"content": "a"})
+        bench.answer(bench.open_request("POST", "/roster"), 200, {"content": "b"})
         self.assertEqual([p.name for p in bench.engines.pauses], ["dallim/roster+roster"])
         self.assertEqual(len(bench.engines.ended_pauses), 1)
 
--- a/tests/unit/runs/test_executor.py
+++ b/tests/unit/runs/test_executor.py
@@ -1,4 +1,4 @@
-"""The executor's main path: model, tool, child and app calls, callers and their answers."""
+"""Tests of the executor without failures: model, tool, child and app calls, and callers."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 def texts_of(bench: Bench) -> list[str]:
-    """Return the pieces of text that the watcher got."""
+    """Return the text events that the watcher received."""
     return [event.text for event in bench.events if isinstance(event, TextEvent)]
 
 
@@ -49,18 +49,18 @@
     def test_plain_answer_is_streamed_and_finished(self) -> None:
         bench = Bench()
         bench.start(agent_spec(system_prompt="be brief"))
-        request = bench.take("POST", "/v1/chat")
+        request = bench.open_request("POST", "/v1/chat")
         body = json.loads(request.body)
         self.assertEqual([m["role"] for m in body["messages"]], ["system", "user"])
         self.assertEqual(body["call_id"], "run-1-1-1")
         self.assertEqual(body["cache_salt"], TENANT)
         self.assertEqual(body["fence"], 1)
         bench.stream(request, chunk("one ", 4), chunk("t", 5), chunk("wo", 7))
-        # The first text of a call goes out at once, later text is joined.
+        # The first text of a call is sent immediately; later text is batched.
         self.assertEqual(texts_of(bench), ["one "])
         bench.advance(0.05)
         self.assertEqual(texts_of(bench), ["one ", "two"])
-        bench.more(request, chunk("!", 8), usage(12, 3), DONE_ITEM)
+        bench.stream_more(request, chunk("!", 8), usage(12, 3), DONE_ITEM)
         self.assertEqual(
             [type(event) for event in bench.events],
             [CallStartedEvent, TextEvent, TextEvent, TextEvent, CallFinishedEvent, FinishedEvent],
@@ -72,9 +72,9 @@
         self.assertEqual(bench.result_run("WatchRun").status, RunStatus.SUCCEEDED)
         self.assertEqual(bench.run().spent.completion_tokens, 3)
         self.assertEqual(bench.engines.in_flight, {})
-        self.assertEqual(len(bench.opened("DELETE", "/v1/cache/entries/run-1")), 1)
+        self.assertEqual(len(bench.sent_requests("DELETE", "/v1/cache/entries/run-1")), 1)
 
-    def test_event_ids_rise_and_resume_gives_the_rest(self) -> None:
+    def test_event_ids_increase_and_resuming_returns_later_events(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
         bench.answer_model("hello you")
@@ -88,15 +88,15 @@
     def test_tool_result_goes_back_to_the_model(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
-        bench.ask_tool()
-        request = bench.take("POST", "/v1/tools/roster")
+        bench.answer_with_tool_request()
+        request = bench.open_request("POST", "/v1/tools/roster")
         self.assertEqual(request.headers["idempotency-key"], "run-1/2")
         self.assertEqual(request.headers["x-yokeline-fence"], "1")
         self.assertEqual(
             json.loads(request.body), {"arguments": {"club": 1}, "run": "run-1", "call": 2}
         )
         bench.answer(request, 200, {"content": "42 members"})
-        body = json.loads(bench.take("POST", "/v1/chat").body)
+        body = json.loads(bench.open_request("POST", "/v1/chat").body)
         self.assertEqual(body["messages"][-1]["content"], "42 members")
         self.assertEqual(body["messages"][-1]["tool_call_id"], "t1")
         bench.answer_model("there are 42")
@@ -104,23 +104,23 @@
         kinds = [call.kind for call in bench.run().calls]
         self.assertEqual(kinds, [CallKind.MODEL, CallKind.TOOL, CallKind.MODEL])
 
-    def test_requests_that_cannot_be_carried_out_are_told_to_the_model(self) -> None:
+    def test_invalid_tool_requests_are_reported_to_the_model(self) -> None:
         for name, arguments in (("unlisted", "{}"), ("roster", "not json"), ("helper", "[]")):
             with self.subTest(name=name):
                 bench = Bench()
                 bench.start(agent_spec())
-                bench.ask_tool(name, arguments)
-                self.assertEqual(bench.opened("POST", "/v1/tools"), [])
-                body = json.loads(bench.take("POST", "/v1/chat").body)
+                bench.answer_with_tool_request(name, arguments)
+                self.assertEqual(bench.sent_requests("POST", "/v1/tools"), [])
+                body = json.loads(bench.open_request("POST", "/v1/chat").body)
                 self.assertEqual(json.loads(body["messages"][-1]["content"])["executed"], "not_run")
 
     def test_child_run_answers_its_parent_and_shares_the_budget(self) -> None:
         bench = Bench()
         bench.start(agent_spec(deadline_wall=1050.0, priority=3))
-        bench.ask_tool("helper", '{"input":"look it up"}')
+        bench.answer_with_tool_request("helper", '{"input":"look it up"}')
         child = bench.run(child_run_id(RUN, 1))
         self.assertEqual((child.spec.priority, child.spec.deadline_wall), (3, 1050.0))
-        body = json.loads(bench.take("POST", "/v1/chat").body)
+        body = json.loads(bench.open_request("POST", "/v1/chat").body)
         self.assertEqual(body["cache_key"], "run-1")
         bench.answer_model("found", prompt=100, completion=5)
         self.assertEqual(child.status, RunStatus.SUCCEEDED)
@@ -133,18 +133,18 @@
     def test_budget_ends_the_run(self) -> None:
         bench = Bench()
         bench.start(agent_spec(budget=small_budget(calls=2)))
-        bench.ask_tool()
-        bench.answer(bench.take("POST", "/v1/tools"), 200, {"content": "x"})
+        bench.answer_with_tool_request()
+        bench.answer(bench.open_request("POST", "/v1/tools"), 200, {"content": "x"})
         run = bench.run()
         self.assertEqual(run.status, RunStatus.FAILED)
         assert run.error is not None
         self.assertEqual(run.error.kind, ErrorKind.BUDGET_EXHAUSTED)
         self.assertEqual(run.error.execution, Execution.UNKNOWN)
 
-    def test_answer_cut_by_the_budget_is_no_answer(self) -> None:
+    def test_answer_truncated_by_the_budget_fails_the_run(self) -> None:
         bench = Bench()
         bench.start(agent_spec(budget=small_budget(tokens=30)))
-        request = bench.take("POST", "/v1/chat")
+        request = bench.open_request("POST", "/v1/chat")
         limit = json.loads(request.body)["max_tokens"]
         self.assertLess(limit, 30)
         end = usage(10, limit, finish="length")
@@ -158,18 +158,18 @@
         bench = Bench()
         bench.start(agent_spec(budget=small_budget(identical_calls=2)))
         for _ in range(2):
-            bench.ask_tool()
-            bench.answer(bench.take("POST", "/v1/tools"), 200, {"content": "x"})
-        bench.ask_tool()
+            bench.answer_with_tool_request()
+            bench.answer(bench.open_request("POST", "/v1/tools"), 200, {"content": "x"})
+        bench.answer_with_tool_request()
         self.assertEqual(bench.run().status, RunStatus.FAILED)
-        self.assertEqual(len(bench.opened("POST", "/v1/tools")), 2)
+        self.assertEqual(len(bench.sent_requests("POST", "/v1/tools")), 2)
 
 
 class AppRunTest(unittest.TestCase):
     def test_app_answer_is_the_run_answer(self) -> None:
         bench = Bench()
         bench.start(app_spec(), '{"bib": 7}')
-        request = bench.take("POST", "/v1/requests")
+        request = bench.open_request("POST", "/v1/requests")
         self.assertEqual(request.body, b'{"bib": 7}')
         self.assertFalse(request.allow_retry)
         bench.answer(request, 200, {"ok": True})
@@ -178,7 +178,7 @@
     def test_client_error_says_not_run(self) -> None:
         bench = Bench()
         bench.start(app_spec(), "{}")
-        bench.answer(bench.take("POST", "/v1/requests"), 422, {"why": "no such bib"})
+        bench.answer(bench.open_request("POST", "/v1/requests"), 422, {"why": "no such bib"})
         run = bench.run()
         assert run.error is not None
         self.assertEqual((run.status, run.error.execution), (RunStatus.FAILED, Execution.NOT_RUN))
@@ -189,7 +189,7 @@
             with self.subTest(status=status):
                 bench = Bench()
                 bench.start(app_spec(), "{}")
-                request = bench.take("POST", "/v1/requests")
+                request = bench.open_request("POST", "/v1/requests")
                 if status is None:
                     bench.fail(request, sent=True)
                 else:
@@ -199,7 +199,7 @@
                 assert run.error is not None
                 self.assertEqual(run.status, RunStatus.OUTCOME_UNKNOWN)
                 self.assertEqual(run.error.execution, Execution.UNKNOWN)
-                self.assertEqual(len(bench.opened("POST", "/v1/requests")), 1)
+                self.assertEqual(len(bench.sent_requests("POST", "/v1/requests")), 1)
 
     def test_unknown_app_is_refused(self) -> None:
         bench = Bench()
@@ -213,7 +213,7 @@
         bench.start(agent_spec())
         bench.serve(StartRun(run=RUN, spec=agent_spec(), input="hello"), "again")
         self.assertEqual(bench.result_run("again").run, RUN)
-        self.assertEqual(len(bench.opened("POST", "/v1/chat")), 1)
+        self.assertEqual(len(bench.sent_requests("POST", "/v1/chat")), 1)
         bench.serve(StartRun(run=RUN, spec=agent_spec(request_digest="x"), input="other"), "reuse")
         self.assertEqual(bench.results["reuse"].failure().kind, ErrorKind.IDEMPOTENCY_KEY_REUSED)
 
@@ -255,17 +255,17 @@
         self.assertEqual([run.run for run in page.runs], ["run-b"])
         self.assertEqual(page.runs[0].history, [])
 
-    def test_conversation_goes_on_with_the_same_context(self) -> None:
+    def test_next_turn_extends_the_conversation_context(self) -> None:
         bench = Bench()
         bench.start(agent_spec(conversation=True))
         bench.answer_model("first")
         self.assertEqual(bench.run().status, RunStatus.IDLE)
-        self.assertEqual(bench.opened("DELETE", "/v1/cache/entries"), [])
+        self.assertEqual(bench.sent_requests("DELETE", "/v1/cache/entries"), [])
         turn = ContinueRun(run=RUN, tenant=TENANT, turn_key="k", input="and then?")
         bench.serve(turn)
         bench.serve(turn, "again")
         self.assertIsInstance(bench.results["again"], Success)
-        body = json.loads(bench.take("POST", "/v1/chat").body)
+        body = json.loads(bench.open_request("POST", "/v1/chat").body)
         self.assertEqual([m["content"] for m in body["messages"]], ["hello", "first", "and then?"])
         demand = bench.engines.demands[-1]
         self.assertEqual((demand.previous_engine, demand.previous_tokens), ("pool/e1", 12))
@@ -293,11 +293,11 @@
     def test_stop_cancels_the_call_and_the_children(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
-        bench.ask_tool("helper", '{"input":"x"}')
+        bench.answer_with_tool_request("helper", '{"input":"x"}')
         bench.serve(StopRun(run=RUN, tenant=TENANT))
         child = bench.run(child_run_id(RUN, 1))
         self.assertEqual((bench.run().status, child.status), (RunStatus.CANCELLED,) * 2)
-        self.assertEqual(len(bench.opened("DELETE", "/v1/calls/run-1.1-1-1")), 1)
+        self.assertEqual(len(bench.sent_requests("DELETE", "/v1/calls/run-1.1-1-1")), 1)
         self.assertEqual(bench.executor.active_runs(), 0)
         self.assertEqual(bench.engines.in_flight, {})
 
@@ -311,7 +311,7 @@
         self.assertEqual(run.error.execution, Execution.UNKNOWN)
         self.assertEqual(run.calls[0].status, CallStatus.UNKNOWN)
 
-    def test_old_runs_are_forgotten(self) -> None:
+    def test_runs_are_removed_after_their_retention(self) -> None:
         bench = Bench()
         bench.start(agent_spec())
         bench.answer_model()
--- a/tests/unit/runs/test_recovery.py
+++ b/tests/unit/runs/test_recovery.py
@@ -1,4 +1,4 @@
-"""What becomes of runs when their shard comes back from a copy."""
+"""Tests of runs after their shard is recovered from a copy."""
 
 from __future__ import annotations
 
@@ -78,8 +78,8 @@
     def status(self, run: RunId) -> RunStatus:
         return self.machine.runs[run].status
 
-    def test_what_may_have_gone_further_ends_unknown(self) -> None:
-        """A call that is in the copy is resumed by the executor; lost ones are never repeated."""
+    def test_runs_that_may_have_advanced_end_as_unknown(self) -> None:
+        """Only an app run with its call in the copy stays active; no lost call is repeated."""
         unsent = self.create("unsent", POSTING)
         sent = self.create("sent", POSTING)
         self.start_call(sent, CallKind.APP)
@@ -94,7 +94,7 @@
         assert run.error is not None
         self.assertIs(run.error.execution, Execution.UNKNOWN)
 
-    def test_requests_that_may_be_lost_ones_are_not_run(self) -> None:
+    def test_unsafe_requests_in_the_doubt_window_are_not_run(self) -> None:
         self.recover()
         cases = {
             "keyed": (keyed(POSTING, "k"), KEYED - 1, RunStatus.OUTCOME_UNKNOWN),
@@ -112,7 +112,7 @@
                 self.create(name, spec, KEYED + 10.0)
                 self.assertEqual(self.status(run), expected, "a repetition changes nothing")
 
-    def test_turns_of_old_conversations_that_may_be_lost_ones_are_refused(self) -> None:
+    def test_unsafe_turns_of_recovered_conversations_are_rejected(self) -> None:
         runs = [self.idle("agent", AGENT, 1.0), self.idle("talk", TALK, 1.0)]
         self.recover()
         runs.append(self.idle("new", AGENT, KEYED + 1.0))
