--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of a shard's runs.
 
-Commands are applied in log order on every replica. Applying is deterministic: it reads no
-clock and draws nothing at random. A command that the state does not allow is rejected with a
-typed error and changes nothing.
+Every replica applies the commands in log order. Applying is deterministic: it reads no clock
+and no source of randomness. A command that the state does not allow is rejected with a typed
+error and leaves the state unchanged.
 """
 
 from __future__ import annotations
@@ -15,14 +15,6 @@
 from yokeline.errors import YokelineError
 from yokeline.identifiers import RunId, root_run_id
 from yokeline.runs import budget, rules
-from yokeline.runs.changes import (
-    abandoned_record,
-    created_run,
-    end_run,
-    record_of,
-    refused_run,
-    set_answer,
-)
 from yokeline.runs.errors import conflict, run_not_found
 from yokeline.runs.model import (
     AddTurn,
@@ -45,24 +37,33 @@
     RunStatus,
     Usage,
 )
+from yokeline.runs.records import (
+    abandoned_call_record,
+    end_run,
+    new_call_record,
+    new_refused_run,
+    new_run,
+    set_answer,
+)
 from yokeline.runs.recovery import (
-    Doubt,
-    goes_on,
-    is_under_way,
-    lost_with_majority,
-    turn_lost_with_majority,
+    DoubtWindow,
+    is_resumable,
+    may_have_advanced,
+    request_possibly_run,
+    turn_possibly_run,
 )
 from yokeline.runs.snapshot import decode_runs, encode_runs
 from yokeline.runs.tree import ancestors, descendants
 
 
 class ApplyResult(msgspec.Struct, frozen=True, kw_only=True):
-    """What applying a command did.
+    """Result of applying a command.
 
     Attributes:
-        accepted: The command took effect, or had taken effect before.
-        run: The run it was about.
-        created: This very command created the run or added the turn.
+        accepted: Whether the command has taken effect, now or in an earlier repetition.
+        run: The run that the command names, if it names one.
+        error: Reason for a rejection.
+        created: Whether this command, not an earlier repetition, created the run or turn.
     """
 
     accepted: bool
@@ -75,24 +76,16 @@
     """All runs of one shard.
 
     Attributes:
-        runs: Runs by id. Read only for everybody else.
-        doubt: What is in doubt since the shard was recovered from a copy.
+        runs: Runs by id; other components must not modify them.
+        doubt_window: Doubt window of the last recovery from a copy.
     """
 
     def __init__(self) -> None:
-        """Create a shard without runs."""
         self.runs: dict[RunId, Run] = {}
-        self.doubt = Doubt()
+        self.doubt_window = DoubtWindow()
 
     def apply(self, command: Command) -> ApplyResult:
-        """Apply one committed command.
-
-        Args:
-            command: The next command of the log.
-
-        Returns:
-            Whether it was accepted, and why not.
-        """
+        """Apply the next committed command of the log."""
         match command:
             case CreateRun():
                 return self.transition_create_run(command)
@@ -116,25 +109,25 @@
                 assert_never(command)
 
     def snapshot(self) -> bytes:
-        """Return the whole state as bytes; equal states give equal bytes."""
-        return encode_runs(self.runs, self.doubt)
+        """Encode the state as bytes; equal states give equal bytes."""
+        return encode_runs(self.runs, self.doubt_window)
 
     @classmethod
     def restore(cls, data: bytes) -> RunStateMachine:
-        """Return the state machine that a snapshot was taken of."""
+        """Create a state machine from the bytes of :meth:`snapshot`."""
         machine = cls()
         content = decode_runs(data)
         machine.runs = {run.run: run for run in content.runs}
-        machine.doubt = content.doubt
+        machine.doubt_window = content.doubt
         return machine
 
     # ------------------------------------------------------------ transitions
 
     def transition_create_run(self, command: CreateRun) -> ApplyResult:
-        """Create a run, or find the one that the same request created before."""
+        """Create a run, or accept the repetition of the request that created it."""
         existing = self.runs.get(command.run)
         if existing is not None:
-            return _checked(command.run, rules.check_same_request(existing, command.spec))
+            return _result_of(command.run, rules.check_same_request(existing, command.spec))
         if command.parent is not None:
             parent = self.runs.get(command.parent)
             check = rules.check_child(parent, command.run, command.spec.tenant)
@@ -142,11 +135,11 @@
                 return _rejected(command.run, check.failure())
             parent.children += 1
         elif root_run_id(command.run) != command.run:
-            return _rejected(command.run, conflict(command.run, "a child names its parent"))
-        run = created_run(command)
+            return _rejected(command.run, conflict(command.run, "a child run needs a parent"))
+        run = new_run(command)
         self.runs[command.run] = run
-        if command.parent is None and self.doubt.covers_request(command.spec, command.wall):
-            self._end_in_doubt(run, command.wall)
+        if command.parent is None and self.doubt_window.covers_request(command.spec, command.wall):
+            self._end_as_unknown(run, command.wall)
         return ApplyResult(accepted=True, run=command.run, created=True)
 
     def transition_add_turn(self, command: AddTurn) -> ApplyResult:
@@ -155,11 +148,11 @@
         if run is None:
             return _rejected(command.run, run_not_found())
         if command.turn_key and command.turn_key in run.turn_keys:
-            return _checked(command.run, rules.check_same_turn(run, command))
+            return _result_of(command.run, rules.check_same_turn(run, command))
         if run.status is not RunStatus.IDLE:
             return _rejected(command.run, conflict(run.run, f"the run is {run.status.value}"))
-        if self.doubt.covers_turn(run, command.wall):
-            return _rejected(command.run, turn_lost_with_majority())
+        if self.doubt_window.covers_turn(run, command.wall):
+            return _rejected(command.run, turn_possibly_run())
         run.history.append(ChatMessage(role=Role.USER, content=command.input))
         run.turn += 1
         run.turn_keys.append(command.turn_key)
@@ -172,37 +165,39 @@
         return ApplyResult(accepted=True, run=command.run, created=True)
 
     def transition_refuse_run(self, command: RefuseRun) -> ApplyResult:
-        """Record that a request was not run and never will be."""
+        """Record that a request is refused and will not run."""
         run = self.runs.get(command.run)
         if run is None:
-            self.runs[command.run] = refused_run(command)
+            self.runs[command.run] = new_refused_run(command)
             return ApplyResult(accepted=True, run=command.run, created=True)
         check = rules.check_refuse(run, command.spec)
         if isinstance(check, Failure):
             return _rejected(command.run, check.failure())
         if run.status is RunStatus.REFUSED:
             return ApplyResult(accepted=True, run=command.run)
-        run.error = rules.not_run(command.error)
+        run.error = rules.as_not_run(command.error)
         end_run(run, RunStatus.REFUSED, command.wall)
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_call_started(self, command: CallStarted) -> ApplyResult:
-        """Record a call (or a further attempt) and reserve its budget."""
+        """Record the start of a call or of another attempt, and reserve its budget."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
         check = rules.check_call_started(run, command)
         if isinstance(check, Failure):
             return _rejected(command.run, check.failure())
-        covered = budget.check_call(self.runs[root_run_id(run.run)], run, command)
-        if isinstance(covered, Failure):
-            return _rejected(command.run, covered.failure())
+        budget_check = budget.check_call(self.runs[root_run_id(run.run)], run, command)
+        if isinstance(budget_check, Failure):
+            return _rejected(command.run, budget_check.failure())
         previous = rules.last_call(run)
-        repeats = previous is not None and previous.number == command.number
-        if repeats and previous is not None:
+        is_retry = previous is not None and previous.number == command.number
+        if is_retry and previous is not None:
             self._supersede(run, previous)
-        record = record_of(command, rules.may_have_run(previous) if repeats and previous else False)
-        if repeats:
+        record = new_call_record(
+            command, rules.may_have_run(previous) if is_retry and previous else False
+        )
+        if is_retry:
             run.calls[-1] = record
         else:
             run.calls.append(record)
@@ -211,17 +206,17 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_call_finished(self, command: CallFinished) -> ApplyResult:
-        """Record an attempt's outcome, settle its budget and append its message."""
+        """Record an attempt's outcome, settle its reservation and append its message."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
-        call = rules.call_under_way(run)
+        call = rules.in_flight_call(run)
         child = self.runs.get(RunId(call.backend)) if call is not None else None
         check = rules.check_call_finished(run, command, child)
         if isinstance(check, Failure) or call is None:
             return _rejected(command.run, check.failure())
-        harmless = rules.surely_not_run(command.status, command.error)
-        usage = budget.charged_usage(command.usage, surely_not_run=harmless)
+        not_run = rules.definitely_not_run(command.status, command.error)
+        usage = budget.charged_usage(command.usage, definitely_not_run=not_run)
         run.calls[-1] = msgspec.structs.replace(
             call,
             status=command.status,
@@ -229,7 +224,7 @@
             usage=usage,
             error=command.error,
             answered=command.message is not None,
-            may_have_run=call.may_have_run or not harmless,
+            may_have_run=call.may_have_run or not not_run,
         )
         if command.message is not None:
             run.history.append(command.message)
@@ -237,19 +232,19 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_finish_run(self, command: FinishRun) -> ApplyResult:
-        """Give a run its final (or idle) status and its answer."""
+        """Set the answer and the final or idle status of a run."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
         check = rules.check_finish(run, command)
         if isinstance(check, Failure):
             return _rejected(command.run, check.failure())
-        set_answer(run, command.answer, rules.truthful(run, command.error))
+        set_answer(run, command.answer, rules.with_known_execution(run, command.error))
         end_run(run, command.status, command.wall)
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_cancel_run(self, command: CancelRun) -> ApplyResult:
-        """Cancel a run and its descendants; a no-op if it has ended already."""
+        """Cancel a run and its descendants; accepted without effect if the run is final."""
         run = self.runs.get(command.run)
         if run is None:
             return _rejected(command.run, run_not_found())
@@ -261,7 +256,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_forget_runs(self, command: ForgetRuns) -> ApplyResult:
-        """Remove whole trees of runs; rejected as a whole if one of them is active."""
+        """Remove run trees; rejected entirely if any root is active or a run is not a root."""
         roots = [self.runs[run] for run in dict.fromkeys(command.runs) if run in self.runs]
         for root in roots:
             if root.parent is not None or root.status is RunStatus.ACTIVE:
@@ -272,21 +267,21 @@
         return ApplyResult(accepted=True, run=None)
 
     def transition_recover_shard(self, command: RecoverShard) -> ApplyResult:
-        """End what may have gone further than the copy knows, and note what is in doubt."""
-        self.doubt = self.doubt.after(command)
+        """End runs that may have advanced beyond the copy and extend the doubt window."""
+        self.doubt_window = self.doubt_window.extended_by(command)
         for root in [run for run in self.runs.values() if run.parent is None]:
             tree = descendants(self.runs, root)
-            if goes_on(tree):
+            if is_resumable(tree):
                 continue
             for member in reversed(tree):
-                if is_under_way(member):
-                    self._end_in_doubt(member, command.wall)
+                if may_have_advanced(member):
+                    self._end_as_unknown(member, command.wall)
         return ApplyResult(accepted=True, run=None)
 
-    # ------------------------------------------------------------ parts of transitions
+    # ------------------------------------------------------------ helpers
 
     def _supersede(self, run: Run, call: CallRecord) -> None:
-        """Charge an attempt that never got an outcome with all that it had reserved."""
+        """Charge a superseded attempt without an outcome its whole reservation."""
         if call.status is CallStatus.STARTED:
             self._settle(run, call.reserved, budget.usage_of_reservation(call.reserved))
 
@@ -295,38 +290,38 @@
             budget.settle(member, reserved, usage)
 
     def _cancel(self, run: Run, command: CancelRun) -> None:
-        call = rules.call_under_way(run)
+        call = rules.in_flight_call(run)
         status = RunStatus.CANCELLED
-        if call is not None and self._leaves_doubt(call):
+        if call is not None and self._may_have_effect(call):
             status = RunStatus.OUTCOME_UNKNOWN
-        set_answer(run, "", rules.truthful(run, command.error))
+        set_answer(run, "", rules.with_known_execution(run, command.error))
         if call is not None:
             self._abandon_call(run, call, command.wall)
         end_run(run, status, command.wall)
 
-    def _end_in_doubt(self, run: Run, wall: float) -> None:
-        """End a run of which nobody knows how far it went."""
-        set_answer(run, "", lost_with_majority())
-        call = rules.call_under_way(run)
+    def _end_as_unknown(self, run: Run, wall: float) -> None:
+        """End a run that may have advanced beyond its known state."""
+        set_answer(run, "", request_possibly_run())
+        call = rules.in_flight_call(run)
         if call is not None:
             self._abandon_call(run, call, wall)
         end_run(run, RunStatus.OUTCOME_UNKNOWN, wall)
 
-    def _leaves_doubt(self, call: CallRecord) -> bool:
-        """Return whether a call under way may have an effect that will not be undone."""
+    def _may_have_effect(self, call: CallRecord) -> bool:
+        """Return whether an in-flight call may have an effect that cannot be undone."""
         if call.kind is not CallKind.CHILD:
             return not call.repeatable
         child = self.runs.get(RunId(call.backend))
         return child is not None and child.status is RunStatus.OUTCOME_UNKNOWN
 
     def _abandon_call(self, run: Run, call: CallRecord, wall: float) -> None:
-        abandoned = abandoned_record(call, wall, run.error)
+        abandoned = abandoned_call_record(call, wall, run.error)
         run.calls[-1] = abandoned
         self._settle(run, call.reserved, abandoned.usage)
 
 
-def _checked(run: RunId, check: Result[None, YokelineError]) -> ApplyResult:
-    """Return an accepted repetition, or the rejection of a different request."""
+def _result_of(run: RunId, check: Result[None, YokelineError]) -> ApplyResult:
+    """Return the result for a repeated request: accepted if it matches the first one."""
     if isinstance(check, Failure):
         return _rejected(run, check.failure())
     return ApplyResult(accepted=True, run=run)
