--- a/src/yokeline/scheduling/account.py
+++ b/src/yokeline/scheduling/account.py
@@ -36,8 +36,8 @@
     engine: str
     demand: CallDemand
     sent_at: float
-    missing_tokens: int
-    alone: bool
+    uncached_tokens: int
+    is_sole_prefill: bool
     first_text_at: float | None = None
 
 
@@ -52,7 +52,7 @@
 
     contexts: dict[RunId, int] = {}
     calls: int = 0
-    counted_until: float = 0.0
+    active_until: float = 0.0
 
     @property
     def tokens(self) -> int:
@@ -78,10 +78,10 @@
         self.calls = 0
         self.pending_prefill = 0
         self.active_tokens = 0
-        self._others = 0
-        self._counts: deque[tuple[float, int]] = deque([(float("-inf"), 0)])
+        self._other_nodes_load = 0
+        self._call_counts: deque[tuple[float, int]] = deque([(float("-inf"), 0)])
         self._programs: dict[RunId, ActiveProgram] = {}
-        self._pause_ends: list[tuple[float, RunId]] = []
+        self._pause_deadlines: list[tuple[float, RunId]] = []
         self._holds: dict[RunId, tuple[float, int]] = {}
 
     # ------------------------------------------------------------ load
@@ -89,47 +89,47 @@
     def report_received(self, report: LoadState, taken_at: float) -> None:
         """Take a load report over; what it shows beyond this node's own calls is others'."""
         self.report = report
-        while len(self._counts) > 1 and self._counts[1][0] <= taken_at:
-            self._counts.popleft()
-        own = self._counts[0][1]
-        self._others = max(0, report.running + report.waiting - own)
+        while len(self._call_counts) > 1 and self._call_counts[1][0] <= taken_at:
+            self._call_counts.popleft()
+        own = self._call_counts[0][1]
+        self._other_nodes_load = max(0, report.running + report.waiting - own)
 
     @property
     def load(self) -> int:
         """Return the calls running or waiting there: this node's now, others' as reported."""
-        return self.calls + self._others
+        return self.calls + self._other_nodes_load
 
     def _count(self, change: int, now: float) -> None:
         self.calls += change
-        self._counts.append((now, self.calls))
-        while len(self._counts) > 1 and self._counts[1][0] < now - LOAD_HISTORY_SECONDS:
-            self._counts.popleft()
+        self._call_counts.append((now, self.calls))
+        while len(self._call_counts) > 1 and self._call_counts[1][0] < now - LOAD_HISTORY_SECONDS:
+            self._call_counts.popleft()
 
     # ------------------------------------------------------------ calls
 
     def call_sent(self, call: SentCall, now: float) -> None:
         """Note a call that was sent there."""
         self._count(1, now)
-        self.pending_prefill += call.missing_tokens
-        needed = call.demand.prompt_tokens + int(expected_answer(call.demand))
+        self.pending_prefill += call.uncached_tokens
+        expected_tokens = call.demand.prompt_tokens + int(expected_answer(call.demand))
         program = self._programs.setdefault(call.demand.cache_key, ActiveProgram())
         program.calls += 1
-        self._resize(program, call.demand.run, needed)
+        self._resize(program, call.demand.run, expected_tokens)
 
     def prefill_ended(self, call: SentCall, now: float) -> None:
         """Note the first text of a call."""
         call.first_text_at = now
-        self.pending_prefill -= call.missing_tokens
+        self.pending_prefill -= call.uncached_tokens
 
     def call_ended(self, call: SentCall, context_tokens: int, now: float) -> None:
         """Note that a call ended; ``context_tokens`` of its program stay cached."""
         self._count(-1, now)
         if call.first_text_at is None:
-            self.pending_prefill -= call.missing_tokens
+            self.pending_prefill -= call.uncached_tokens
         program = self._programs[call.demand.cache_key]
         program.calls -= 1
-        if not program.calls and program.counted_until <= now:
-            self.program_left(call.demand.cache_key)
+        if not program.calls and program.active_until <= now:
+            self.deactivate_program(call.demand.cache_key)
         else:
             self._resize(program, call.demand.run, context_tokens)
 
@@ -138,33 +138,33 @@
     def run_paused(self, cache_key: RunId, run: RunId, tokens: int, until: float) -> None:
         """Count a run's program as active until a time, though it has no call there."""
         program = self._programs.setdefault(cache_key, ActiveProgram())
-        program.counted_until = max(program.counted_until, until)
+        program.active_until = max(program.active_until, until)
         self._resize(program, run, tokens)
-        heapq.heappush(self._pause_ends, (until, cache_key))
+        heapq.heappush(self._pause_deadlines, (until, cache_key))
 
-    def run_left(self, cache_key: RunId, run: RunId) -> None:
+    def remove_run_context(self, cache_key: RunId, run: RunId) -> None:
         """Note that one run of a program needs no context here any more."""
         program = self._programs.get(cache_key)
         if program is not None:
             self._resize(program, run, 0)
 
-    def program_left(self, cache_key: RunId) -> None:
+    def deactivate_program(self, cache_key: RunId) -> None:
         """Note that a program needs nothing here any more; its calls here still count."""
         program = self._programs.get(cache_key)
         if program is None:
             return
-        program.counted_until = 0.0
+        program.active_until = 0.0
         if not program.calls:
             self.active_tokens -= program.tokens
             del self._programs[cache_key]
 
-    def expire(self, now: float) -> None:
+    def expire_pauses(self, now: float) -> None:
         """Drop the programs whose pause has outlasted what was counted for it."""
-        while self._pause_ends and self._pause_ends[0][0] <= now:
-            cache_key = heapq.heappop(self._pause_ends)[1]
+        while self._pause_deadlines and self._pause_deadlines[0][0] <= now:
+            cache_key = heapq.heappop(self._pause_deadlines)[1]
             program = self._programs.get(cache_key)
-            if program is not None and not program.calls and program.counted_until <= now:
-                self.program_left(cache_key)
+            if program is not None and not program.calls and program.active_until <= now:
+                self.deactivate_program(cache_key)
 
     def is_active(self, cache_key: RunId) -> bool:
         """Return whether a program is active there."""
--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -31,7 +31,7 @@
     return demand.prompt_tokens + expected_answer(demand)
 
 
-def missing_tokens(demand: CallDemand, engine: EngineView) -> int:
+def uncached_tokens(demand: CallDemand, engine: EngineView) -> int:
     """Return the tokens of the call's context that the engine would have to prefill."""
     return max(0, demand.prompt_tokens - engine.cached_tokens)
 
@@ -50,7 +50,7 @@
 
 def eviction_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of prefill that others will have to repeat."""
-    needed = missing_tokens(demand, engine) + expected_answer(demand)
+    needed = uncached_tokens(demand, engine) + expected_answer(demand)
     evicted = max(0.0, engine.active_tokens + needed - engine.cache_tokens)
     return EVICTION_WEIGHT * evicted / engine.prefill_rate
 
@@ -61,8 +61,8 @@
     Queue wait, prefill of the missing tokens behind the prefill already sent, decoding, and
     a share of the cost of rebuilding what would be evicted.
     """
-    missing = missing_tokens(demand, engine) / engine.prefill_rate
-    prefill = engine.pending_prefill / engine.prefill_rate + missing
-    harm = STALL_WEIGHT * missing * engine.running + eviction_seconds(demand, engine)
+    uncached_seconds = uncached_tokens(demand, engine) / engine.prefill_rate
+    prefill = engine.pending_prefill / engine.prefill_rate + uncached_seconds
+    harm = STALL_WEIGHT * uncached_seconds * engine.running + eviction_seconds(demand, engine)
     waiting = queue_seconds(demand, engine)
     return waiting + prefill + decode_seconds(demand, engine) + harm
--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/ledger.py
@@ -97,7 +97,7 @@
     def view(self, facts: EngineFacts, demand: CallDemand, now: float) -> EngineView:
         """Return what the policy may know of an engine for a call."""
         account = self.account(facts.name)
-        account.expire(now)
+        account.expire_pauses(now)
         report = account.report or LoadState()
         return EngineView(
             name=facts.name,
@@ -107,7 +107,7 @@
             slots=facts.slots,
             running=account.load,
             waiting=report.waiting,
-            cached_tokens=self._cached(facts.name, demand),
+            cached_tokens=self._cached_tokens(facts.name, demand),
             cache_tokens=report.cache_tokens or facts.cache_tokens,
             cache_used=report.cache_tokens_used,
             prefill_rate=account.pace.prefill_rate,
@@ -119,7 +119,7 @@
             usable=facts.usable,
         )
 
-    def _cached(self, engine: str, demand: CallDemand) -> int:
+    def _cached_tokens(self, engine: str, demand: CallDemand) -> int:
         known = self._contexts.get(demand.cache_key, {}).get(engine, {}).get(demand.run)
         if known is None:
             return demand.previous_tokens if engine == demand.previous_engine else 0
@@ -139,13 +139,13 @@
         """Note that a call was sent to an engine; a call sent before is replaced."""
         self.call_ended(call_id, CallEnd(ok=False), now)
         account = self.account(engine)
-        missing = max(0, demand.prompt_tokens - self._cached(engine, demand))
+        uncached = max(0, demand.prompt_tokens - self._cached_tokens(engine, demand))
         call = SentCall(
             engine=engine,
             demand=demand,
             sent_at=now,
-            missing_tokens=missing,
-            alone=not account.pending_prefill,
+            uncached_tokens=uncached,
+            is_sole_prefill=not account.pending_prefill,
         )
         self._sent[call_id] = call
         account.call_sent(call, now)
@@ -164,23 +164,25 @@
         account = self.account(call.engine)
         context = end.prompt_tokens + end.completion_tokens
         if end.ok:
-            self._learn(account, call, end, now)
-            self._note_context(call, context)
+            self._observe_call(account, call, end, now)
+            self._record_context(call, context)
         else:
             contexts = self._contexts.get(call.demand.cache_key, {}).get(call.engine, {})
             contexts.pop(call.demand.run, None)
         account.call_ended(call, context, now)
 
-    def _learn(self, account: EngineAccount, call: SentCall, end: CallEnd, now: float) -> None:
+    def _observe_call(
+        self, account: EngineAccount, call: SentCall, end: CallEnd, now: float
+    ) -> None:
         self.answers.observe(call.demand.program, end.completion_tokens)
         if call.first_text_at is None:
             return
-        if call.alone:
+        if call.is_sole_prefill:
             computed = end.prompt_tokens - end.cached_tokens
             account.pace.observe_prefill(computed, call.first_text_at - call.sent_at)
         account.pace.observe_decode(end.completion_tokens, now - call.first_text_at)
 
-    def _note_context(self, call: SentCall, tokens: int) -> None:
+    def _record_context(self, call: SentCall, tokens: int) -> None:
         # Moved to the end, so that the first program is the one used longest ago.
         engines = self._contexts.pop(call.demand.cache_key, {})
         self._contexts[call.demand.cache_key] = engines
@@ -201,7 +203,7 @@
     ) -> PauseContext:
         """Return what a cache decision may depend on; without a forecast the learned one."""
         account = self.account(pause.engine)
-        account.expire(now)
+        account.expire_pauses(now)
         report = account.report or LoadState()
         return PauseContext(
             run=pause.run,
@@ -229,21 +231,21 @@
             until = now + decision.hold_seconds
             account.hold_made(context.cache_key, context.context_tokens, until)
         if decision.action is CacheAction.DROP:
-            self.context_lost(context.engine, context.cache_key)
+            self.context_removed(context.engine, context.cache_key)
         elif context.kind in (PauseKind.TOOL, PauseKind.CHILD):
             until = now + counted_seconds(context.forecast)
             tokens = context.context_tokens
             account.run_paused(context.cache_key, context.run, tokens, until)
         elif context.kind is PauseKind.END:
-            account.run_left(context.cache_key, context.run)
+            account.remove_run_context(context.cache_key, context.run)
         else:
-            account.program_left(context.cache_key)
+            account.deactivate_program(context.cache_key)
 
-    def context_lost(self, engine: str, cache_key: RunId) -> None:
+    def context_removed(self, engine: str, cache_key: RunId) -> None:
         """Note that an engine does not hold a program's context any more."""
         account = self.account(engine)
         account.hold_ended(cache_key)
-        account.program_left(cache_key)
+        account.deactivate_program(cache_key)
         contexts = self._contexts.get(cache_key, {}).get(engine, {})
         for run in contexts:
             # Kept as zero: the log's last call would else count as cached again.
@@ -258,17 +260,17 @@
             if engine in engines and not account.is_active(cache_key)
         )
 
-    def contexts_of(self, cache_key: RunId) -> tuple[str, ...]:
+    def engines_with_context(self, cache_key: RunId) -> tuple[str, ...]:
         """Return the engines that may hold a program's context, by name."""
         return tuple(sorted(self._contexts.get(cache_key, {})))
 
     def program_ended(self, cache_key: RunId) -> tuple[str, ...]:
         """Forget a program; return the engines that may still hold its context."""
-        engines = self.contexts_of(cache_key)
+        engines = self.engines_with_context(cache_key)
         for engine in engines:
             account = self.account(engine)
             account.hold_ended(cache_key)
-            account.program_left(cache_key)
+            account.deactivate_program(cache_key)
         self._contexts.pop(cache_key, None)
         return engines
 
--- a/src/yokeline/scheduling/steward.py
+++ b/src/yokeline/scheduling/steward.py
@@ -104,7 +104,7 @@
         there = {entry.cache_key for entry in entries}
         for cache_key in self._ledger.idle_contexts_at(engine):
             if cache_key not in there:
-                self._ledger.context_lost(engine, cache_key)
+                self._ledger.context_removed(engine, cache_key)
 
     def _to_ask_about(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
         """Return the entries of runs that may be gone, the next ones in turn."""
@@ -128,7 +128,7 @@
         if presence is not RunPresence.GONE:
             return
         self._context.counters["yokeline_cache_reconciled_total"] += 1
-        self._ledger.context_lost(record.name, RunId(entry.cache_key))
+        self._ledger.context_removed(record.name, RunId(entry.cache_key))
         self._client.drop_entries(record.address, RunId(entry.cache_key), _ignore)
 
 
--- a/tests/property/test_scheduling.py
+++ b/tests/property/test_scheduling.py
@@ -154,7 +154,7 @@
                 case "e":
                     ledger.call_ended(call, CallEnd(ok=True, prompt_tokens=900), now)
                 case "d":
-                    ledger.context_lost("pool/e1", run)
+                    ledger.context_removed("pool/e1", run)
                 case "p":
                     ledger.account("pool/e1").run_paused(run, run, 500, now + 5.0)
         end = float(len(steps))
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -104,7 +104,7 @@
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.ledger.call_ended("a", ENDED, 2.0)
         self.assertEqual(self.ledger.idle_contexts_at(ENGINE), (RUN,))
-        self.ledger.context_lost(ENGINE, RUN)
+        self.ledger.context_removed(ENGINE, RUN)
         call = demand(previous_engine=ENGINE, previous_tokens=4100)
         self.assertEqual(self.view(2.0, call).cached_tokens, 0)
 
