--- a/src/yokeline/scheduling/affinity.py
+++ b/src/yokeline/scheduling/affinity.py
@@ -106,7 +106,7 @@
 
     def _admits(self, demand: CallDemand, engine: EngineView) -> bool:
         """Return whether a program may become active there; one that is goes on."""
-        if not self._on.admission or engine.member or not engine.active_programs:
+        if not self._on.admission or engine.program_is_active or not engine.active_programs:
             return True
         needed = engine.active_tokens + memory_tokens(demand)
         return needed <= ADMITTED_SHARE * engine.cache_tokens
--- a/src/yokeline/scheduling/interface.py
+++ b/src/yokeline/scheduling/interface.py
@@ -133,7 +133,7 @@
     pending_prefill: int
     active_programs: int = 0
     active_tokens: int = 0
-    member: bool = False
+    program_is_active: bool = False
     usable: bool = True
 
 
--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/ledger.py
@@ -24,10 +24,10 @@
 from yokeline.scheduling.interface import CallDemand, EngineView
 from yokeline.scheduling.pauses import PausePredictor
 
-UNKNOWN_PAUSE_SECONDS = 10.0
+DEFAULT_PAUSE_SECONDS = 10.0
 """Time for which a paused program counts as active where no forecast is known."""
-COUNTED_QUANTILE = 0.9
-COUNTED_MAX_SECONDS = 60.0
+ACTIVE_PAUSE_QUANTILE = 0.9
+MAX_ACTIVE_PAUSE_SECONDS = 60.0
 MAX_PROGRAMS = 20_000
 """Programs whose contexts are remembered; their logs know the rest."""
 
@@ -115,7 +115,7 @@
             pending_prefill=account.pending_prefill,
             active_programs=account.active_programs,
             active_tokens=account.active_tokens,
-            member=account.is_active(demand.cache_key),
+            program_is_active=account.is_active(demand.cache_key),
             usable=facts.usable,
         )
 
@@ -233,7 +233,7 @@
         if decision.action is CacheAction.DROP:
             self.context_removed(context.engine, context.cache_key)
         elif context.kind in (PauseKind.TOOL, PauseKind.CHILD):
-            until = now + counted_seconds(context.forecast)
+            until = now + active_pause_seconds(context.forecast)
             tokens = context.context_tokens
             account.run_paused(context.cache_key, context.run, tokens, until)
         elif context.kind is PauseKind.END:
@@ -275,8 +275,8 @@
         return engines
 
 
-def counted_seconds(forecast: PauseForecast | None) -> float:
+def active_pause_seconds(forecast: PauseForecast | None) -> float:
     """Return for how long a paused program counts as active."""
     if forecast is None:
-        return UNKNOWN_PAUSE_SECONDS
-    return min(COUNTED_MAX_SECONDS, forecast.quantile(COUNTED_QUANTILE))
+        return DEFAULT_PAUSE_SECONDS
+    return min(MAX_ACTIVE_PAUSE_SECONDS, forecast.quantile(ACTIVE_PAUSE_QUANTILE))
--- a/tests/property/test_scheduling.py
+++ b/tests/property/test_scheduling.py
@@ -56,7 +56,7 @@
             active_tokens=draw(TOKENS),
             active_programs=draw(st.integers(0, 6)),
             pending_prefill=draw(TOKENS),
-            member=draw(st.booleans()),
+            program_is_active=draw(st.booleans()),
             usable=draw(st.booleans()),
         )
         for number in range(count)
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -10,7 +10,7 @@
 from yokeline.scheduling.account import LoadState
 from yokeline.scheduling.cache_types import CacheAction, CacheCause, CacheDecision, ProgramPause
 from yokeline.scheduling.interface import CallDemand, EngineView, PauseKind
-from yokeline.scheduling.ledger import UNKNOWN_PAUSE_SECONDS, CallEnd, EngineLedger
+from yokeline.scheduling.ledger import DEFAULT_PAUSE_SECONDS, CallEnd, EngineLedger
 from yokeline.scheduling.pauses import MIN_SAMPLES, PausePredictor
 
 ENGINE = "pool/e1"
@@ -122,12 +122,14 @@
     def test_program_is_active_during_calls_and_tool_pauses(self) -> None:
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.assertEqual(self.view(1.0).active_tokens, 4100)
-        self.assertTrue(self.view(1.0).member)
+        self.assertTrue(self.view(1.0).program_is_active)
         self.ledger.call_ended("a", ENDED, 2.0)
         self.pause(PauseKind.TOOL, 2.0, CacheAction.LEAVE)
         self.assertEqual(self.view(3.0).active_tokens, 4100)
-        after = 2.0 + UNKNOWN_PAUSE_SECONDS
-        self.assertEqual((self.view(after).active_tokens, self.view(after).member), (0, False))
+        after = 2.0 + DEFAULT_PAUSE_SECONDS
+        self.assertEqual(
+            (self.view(after).active_tokens, self.view(after).program_is_active), (0, False)
+        )
 
     def test_conversation_between_turns_is_not_active(self) -> None:
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
--- a/tests/unit/scheduling/test_policies.py
+++ b/tests/unit/scheduling/test_policies.py
@@ -35,7 +35,7 @@
 class ChoiceTest(unittest.TestCase):
     def test_engine_with_the_context_goes_before_an_idle_one(self) -> None:
         call = demand(prompt_tokens=16_000)
-        busy = engine("pool/e2", cached_tokens=15_900, running=2, member=True)
+        busy = engine("pool/e2", cached_tokens=15_900, running=2, program_is_active=True)
         self.assertEqual(chosen(engine(), busy, call=call), "pool/e2")
 
     def test_short_context_is_left_for_an_idle_engine(self) -> None:
@@ -44,7 +44,7 @@
 
     def test_call_waits_for_a_full_engine_if_a_rebuild_takes_longer(self) -> None:
         call = demand(prompt_tokens=90_000, expected_completion_tokens=10)
-        holder = engine("pool/e2", cached_tokens=90_000, running=4, member=True)
+        holder = engine("pool/e2", cached_tokens=90_000, running=4, program_is_active=True)
         self.assertEqual(chosen(engine(), holder, call=call), WaitCause.CONTEXT_ELSEWHERE.value)
         self.assertEqual(chosen(engine(), holder, call=call, now=PATIENCE_SECONDS), "pool/e1")
 
@@ -54,8 +54,8 @@
         self.assertEqual(chosen(crowded), WaitCause.MEMORY.value)
         roomy = engine(active_tokens=full - 4200, active_programs=9)
         self.assertEqual(chosen(roomy), "pool/e1")
-        member = engine(active_tokens=2 * CACHE_TOKENS, active_programs=9, member=True)
-        self.assertEqual(chosen(member), "pool/e1")
+        active = engine(active_tokens=2 * CACHE_TOKENS, active_programs=9, program_is_active=True)
+        self.assertEqual(chosen(active), "pool/e1")
 
     def test_nothing_is_too_large_for_an_engine_without_programs(self) -> None:
         self.assertEqual(chosen(engine(), call=demand(prompt_tokens=CACHE_TOKENS)), "pool/e1")
