--- a/src/yokeline/scheduling/account.py
+++ b/src/yokeline/scheduling/account.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from yokeline.identifiers import RunId
-from yokeline.scheduling.estimate import expected_answer
+from yokeline.scheduling.estimate import expected_completion_tokens
 from yokeline.scheduling.interface import CallDemand
 from yokeline.scheduling.pace import EnginePace
 
@@ -111,7 +111,7 @@
         """Note a call that was sent there."""
         self._count(1, now)
         self.pending_prefill += call.uncached_tokens
-        expected_tokens = call.demand.prompt_tokens + int(expected_answer(call.demand))
+        expected_tokens = call.demand.prompt_tokens + int(expected_completion_tokens(call.demand))
         program = self._programs.setdefault(call.demand.cache_key, ActiveProgram())
         program.calls += 1
         self._resize(program, call.demand.run, expected_tokens)
--- a/src/yokeline/scheduling/answers.py
+++ b/src/yokeline/scheduling/completion_lengths.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 SMOOTHING = 0.05
-MAX_NAMES = 4096
+MAX_PROGRAMS = 4096
 """Programs kept; the one that was updated longest ago makes room."""
 
 
-class AnswerLengths:
+class CompletionLengths:
     """Exponentially weighted mean of the lengths of answers of each program."""
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
         """Learn from an answer of a program."""
         mean = self._means.pop(program, None)
         self._means[program] = tokens if mean is None else mean + SMOOTHING * (tokens - mean)
-        if len(self._means) > MAX_NAMES:
+        if len(self._means) > MAX_PROGRAMS:
             del self._means[next(iter(self._means))]
 
     def expected(self, program: str) -> int | None:
--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -4,7 +4,7 @@
 
 from yokeline.scheduling.interface import CallDemand, EngineView
 
-UNKNOWN_ANSWER_SHARE = 0.25
+DEFAULT_COMPLETION_FRACTION = 0.25
 """Share of ``completion_tokens`` that an answer is taken to use while nothing is known."""
 
 CROWDING_WEIGHT = 1.0
@@ -19,16 +19,16 @@
 """A prefill stalls every call that decodes beside it: how much their delay counts."""
 
 
-def expected_answer(demand: CallDemand) -> float:
+def expected_completion_tokens(demand: CallDemand) -> float:
     """Return the expected tokens of the call's answer."""
     if demand.expected_completion_tokens:
         return float(demand.expected_completion_tokens)
-    return demand.completion_tokens * UNKNOWN_ANSWER_SHARE
+    return demand.completion_tokens * DEFAULT_COMPLETION_FRACTION
 
 
 def memory_tokens(demand: CallDemand) -> float:
     """Return the tokens of cache that the call is expected to need."""
-    return demand.prompt_tokens + expected_answer(demand)
+    return demand.prompt_tokens + expected_completion_tokens(demand)
 
 
 def uncached_tokens(demand: CallDemand, engine: EngineView) -> int:
@@ -39,7 +39,7 @@
 def decode_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of decoding, in a batch as full as it is now."""
     crowding = 1.0 + CROWDING_WEIGHT * min(1.0, engine.running / engine.slots)
-    return expected_answer(demand) * engine.decode_seconds * crowding
+    return expected_completion_tokens(demand) * engine.decode_seconds * crowding
 
 
 def queue_seconds(demand: CallDemand, engine: EngineView) -> float:
@@ -50,7 +50,7 @@
 
 def eviction_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of prefill that others will have to repeat."""
-    needed = uncached_tokens(demand, engine) + expected_answer(demand)
+    needed = uncached_tokens(demand, engine) + expected_completion_tokens(demand)
     evicted = max(0.0, engine.active_tokens + needed - engine.cache_tokens)
     return EVICTION_WEIGHT * evicted / engine.prefill_rate
 
--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/ledger.py
@@ -12,7 +12,6 @@
 from yokeline.effects import Address
 from yokeline.identifiers import RunId
 from yokeline.scheduling.account import EngineAccount, LoadState, SentCall
-from yokeline.scheduling.answers import AnswerLengths
 from yokeline.scheduling.cache_types import (
     CacheAction,
     CacheDecision,
@@ -20,6 +19,7 @@
     PauseKind,
     ProgramPause,
 )
+from yokeline.scheduling.completion_lengths import CompletionLengths
 from yokeline.scheduling.forecast import PauseForecast
 from yokeline.scheduling.interface import CallDemand, EngineView
 from yokeline.scheduling.pauses import PausePredictor
@@ -69,7 +69,7 @@
     def __init__(self) -> None:
         """Create an empty ledger."""
         self.pauses = PausePredictor()
-        self.answers = AnswerLengths()
+        self.completion_lengths = CompletionLengths()
         self._accounts: dict[str, EngineAccount] = {}
         self._sent: dict[str, SentCall] = {}
         self._contexts: dict[RunId, dict[str, dict[RunId, int]]] = {}
@@ -127,7 +127,7 @@
 
     def with_expected_answer(self, demand: CallDemand) -> CallDemand:
         """Return the demand with the expected length of its answer, where it has none."""
-        expected = self.answers.expected(demand.program)
+        expected = self.completion_lengths.expected(demand.program)
         if demand.expected_completion_tokens or expected is None:
             return demand
         expected = min(expected, demand.completion_tokens)
@@ -174,7 +174,7 @@
     def _observe_call(
         self, account: EngineAccount, call: SentCall, end: CallEnd, now: float
     ) -> None:
-        self.answers.observe(call.demand.program, end.completion_tokens)
+        self.completion_lengths.observe(call.demand.program, end.completion_tokens)
         if call.first_text_at is None:
             return
         if call.is_sole_prefill:
