--- a/src/yokeline/scheduling/affinity.py
+++ b/src/yokeline/scheduling/affinity.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from yokeline.scheduling import caching
-from yokeline.scheduling.baselines import LEFT_ALONE, NO_ENGINE
+from yokeline.scheduling.baselines import LEAVE_TO_ENGINE, NO_ENGINE
 from yokeline.scheduling.estimate import finish_seconds, memory_tokens
 from yokeline.scheduling.interface import (
     CacheDecision,
@@ -22,11 +22,11 @@
 )
 from yokeline.scheduling.ordering import OrderRules, aged_priority, order_key
 
-ADMITTED_SHARE = 1.2
+MAX_ACTIVE_CACHE_RATIO = 1.2
 """Share of an engine's cache that the contexts of its active programs may take. Above one,
 since paused programs count until their pause is over with high probability."""
 
-PATIENCE_SECONDS = 120.0
+ADMISSION_TIMEOUT_SECONDS = 120.0
 """Waiting time after which the caps on memory and on leaving a context do not apply."""
 
 
@@ -65,12 +65,12 @@
         self, mechanisms: Mechanisms | None = None, *, aging_seconds: float = 10.0
     ) -> None:
         """Create it; without ``mechanisms`` all of them are on."""
-        self._on = mechanisms or Mechanisms()
+        self._mechanisms = mechanisms or Mechanisms()
         self._rules = OrderRules(
             aging_seconds=aging_seconds,
-            by_service=self._on.service,
-            by_deadline=self._on.deadlines,
-            by_ageing=self._on.ageing,
+            by_service=self._mechanisms.service,
+            by_deadline=self._mechanisms.deadlines,
+            by_ageing=self._mechanisms.ageing,
         )
 
     # ------------------------------------------------------------ which
@@ -79,16 +79,16 @@
         self, demand: CallDemand, engines: Sequence[EngineView], now: float
     ) -> EngineChoice | WaitForEngine:
         """Return the engine with the least estimated finish among those that admit the call."""
-        usable = [self._seen(engine) for engine in engines if engine.usable]
+        usable = [self._policy_view(engine) for engine in engines if engine.usable]
         if not usable:
             return NO_ENGINE
-        patient = now - demand.waiting_since < PATIENCE_SECONDS
+        limits_apply = now - demand.waiting_since < ADMISSION_TIMEOUT_SECONDS
         free = [engine for engine in usable if self._has_slot(engine)]
-        admitting = [engine for engine in free if not patient or self._admits(demand, engine)]
+        admitting = [engine for engine in free if not limits_apply or self._admits(demand, engine)]
         if not admitting:
-            return _wait(usable, free)
-        best = _least_finish(demand, admitting)
-        holder = self._worth_waiting_for(demand, usable, best) if patient else None
+            return _wait_decision(usable, free)
+        best = _earliest_finish(demand, admitting)
+        holder = self._earlier_full_holder(demand, usable, best) if limits_apply else None
         if holder is not None:
             return WaitForEngine(
                 cause=WaitCause.CONTEXT_ELSEWHERE,
@@ -96,31 +96,31 @@
             )
         return _choice(demand, best, len(usable))
 
-    def _seen(self, engine: EngineView) -> EngineView:
-        if self._on.affinity:
+    def _policy_view(self, engine: EngineView) -> EngineView:
+        if self._mechanisms.affinity:
             return engine
         return msgspec.structs.replace(engine, cached_tokens=0)
 
     def _has_slot(self, engine: EngineView) -> bool:
-        return not self._on.queue or engine.running < engine.slots
+        return not self._mechanisms.queue or engine.running < engine.slots
 
     def _admits(self, demand: CallDemand, engine: EngineView) -> bool:
         """Return whether a program may become active there; one that is goes on."""
-        if not self._on.admission or engine.program_is_active or not engine.active_programs:
+        if not self._mechanisms.admission or engine.program_is_active or not engine.active_programs:
             return True
         needed = engine.active_tokens + memory_tokens(demand)
-        return needed <= ADMITTED_SHARE * engine.cache_tokens
+        return needed <= MAX_ACTIVE_CACHE_RATIO * engine.cache_tokens
 
-    def _worth_waiting_for(
+    def _earlier_full_holder(
         self, demand: CallDemand, engines: list[EngineView], best: EngineView
     ) -> EngineView | None:
         """Return an engine that holds context and would finish earlier, though it is full."""
-        if not self._on.wait_for_context:
+        if not self._mechanisms.wait_for_context:
             return None
         holders = [engine for engine in engines if engine.cached_tokens]
         if not holders:
             return None
-        holder = _least_finish(demand, holders)
+        holder = _earliest_finish(demand, holders)
         sooner = finish_seconds(demand, holder) < finish_seconds(demand, best)
         return holder if sooner and not self._has_slot(holder) else None
 
@@ -139,11 +139,11 @@
 
     def cache_decision(self, pause: PauseContext) -> CacheDecision:
         """Return what becomes of a context; see :mod:`yokeline.scheduling.caching`."""
-        switched_on = self._on.drop if pause.kind is PauseKind.END else self._on.holds
-        return caching.cache_decision(pause) if switched_on else LEFT_ALONE
+        enabled = self._mechanisms.drop if pause.kind is PauseKind.END else self._mechanisms.holds
+        return caching.cache_decision(pause) if enabled else LEAVE_TO_ENGINE
 
 
-def _least_finish(demand: CallDemand, engines: list[EngineView]) -> EngineView:
+def _earliest_finish(demand: CallDemand, engines: list[EngineView]) -> EngineView:
     return min(engines, key=lambda engine: (finish_seconds(demand, engine), engine.name))
 
 
@@ -163,7 +163,7 @@
     )
 
 
-def _wait(usable: list[EngineView], free: list[EngineView]) -> WaitForEngine:
+def _wait_decision(usable: list[EngineView], free: list[EngineView]) -> WaitForEngine:
     if not free:
         reason = f"all {len(usable)} allowed engines are full"
         return WaitForEngine(cause=WaitCause.SLOTS, reason=reason)
--- a/src/yokeline/scheduling/baselines.py
+++ b/src/yokeline/scheduling/baselines.py
@@ -22,12 +22,12 @@
 
 NO_ENGINE = WaitForEngine(cause=WaitCause.NO_ENGINE, reason="no allowed engine is usable")
 
-LEFT_ALONE = CacheDecision(
+LEAVE_TO_ENGINE = CacheDecision(
     action=CacheAction.LEAVE, cause=CacheCause.BASELINE, reason="left to the engine"
 )
 
 
-class ArrivalOrderBaseline:
+class FcfsBaseline:
     """What the baselines have in common; they differ in the choice of engine."""
 
     name = ""
@@ -55,10 +55,10 @@
 
     def cache_decision(self, pause: PauseContext) -> CacheDecision:
         """Leave the cache to the engine."""
-        return LEFT_ALONE
+        return LEAVE_TO_ENGINE
 
 
-class RoundRobinPolicy(ArrivalOrderBaseline):
+class RoundRobinPolicy(FcfsBaseline):
     """Baseline: engines in turn."""
 
     name = "round_robin"
@@ -74,7 +74,7 @@
         return EngineChoice(engine=best.name, address=best.address, reason="next in turn")
 
 
-class LeastLoadedPolicy(ArrivalOrderBaseline):
+class LeastLoadedPolicy(FcfsBaseline):
     """Baseline: the engine with the fewest calls."""
 
     name = "least_loaded"
@@ -85,7 +85,7 @@
         return EngineChoice(engine=best.name, address=best.address, reason=reason)
 
 
-class PrefixFcfsPolicy(ArrivalOrderBaseline):
+class PrefixFcfsPolicy(FcfsBaseline):
     """Baseline: the engine with the longest cached prefix, whatever its load.
 
     Without a cached prefix: the engine with the fewest calls.
--- a/tests/unit/scheduling/test_policies.py
+++ b/tests/unit/scheduling/test_policies.py
@@ -7,8 +7,8 @@
 from tests.unit.scheduling.support import CACHE_TOKENS, demand, engine, pause
 from yokeline.identifiers import RunId
 from yokeline.scheduling.affinity import (
-    ADMITTED_SHARE,
-    PATIENCE_SECONDS,
+    ADMISSION_TIMEOUT_SECONDS,
+    MAX_ACTIVE_CACHE_RATIO,
     AffinityPolicy,
     Mechanisms,
 )
@@ -46,10 +46,12 @@
         call = demand(prompt_tokens=90_000, expected_completion_tokens=10)
         holder = engine("pool/e2", cached_tokens=90_000, running=4, program_is_active=True)
         self.assertEqual(chosen(engine(), holder, call=call), WaitCause.CONTEXT_ELSEWHERE.value)
-        self.assertEqual(chosen(engine(), holder, call=call, now=PATIENCE_SECONDS), "pool/e1")
+        self.assertEqual(
+            chosen(engine(), holder, call=call, now=ADMISSION_TIMEOUT_SECONDS), "pool/e1"
+        )
 
     def test_new_program_waits_for_memory_and_an_active_one_does_not(self) -> None:
-        full = int(ADMITTED_SHARE * CACHE_TOKENS)
+        full = int(MAX_ACTIVE_CACHE_RATIO * CACHE_TOKENS)
         crowded = engine(active_tokens=full - 4000, active_programs=9)
         self.assertEqual(chosen(crowded), WaitCause.MEMORY.value)
         roomy = engine(active_tokens=full - 4200, active_programs=9)
@@ -62,8 +64,10 @@
 
     def test_memory_cap_ends_with_patience(self) -> None:
         crowded = engine(active_tokens=2 * CACHE_TOKENS, active_programs=9)
-        self.assertEqual(chosen(crowded, now=PATIENCE_SECONDS - 1.0), WaitCause.MEMORY.value)
-        self.assertEqual(chosen(crowded, now=PATIENCE_SECONDS), "pool/e1")
+        self.assertEqual(
+            chosen(crowded, now=ADMISSION_TIMEOUT_SECONDS - 1.0), WaitCause.MEMORY.value
+        )
+        self.assertEqual(chosen(crowded, now=ADMISSION_TIMEOUT_SECONDS), "pool/e1")
 
     def test_full_and_unusable_engines_are_told_apart(self) -> None:
         self.assertEqual(chosen(engine(running=4)), WaitCause.SLOTS.value)
