--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -18,38 +18,38 @@
     PauseKind,
 )
 
-CROWDED_SHARE = 0.8
+CROWDED_CACHE_FRACTION = 0.8
 """Share of the cache from which the need of the active programs threatens paused ones. What
 is merely used tells nothing: an engine keeps idle context until it needs the room."""
-TURNOVER_SECONDS = 30.0
-LRU_SECONDS = 300.0
+EVICTION_AGE_SECONDS = 30.0
+REUSE_HORIZON_SECONDS = 300.0
 """Time after which a crowded cache has evicted an unused context by itself."""
-DROPPED_SHARE = 0.02
+MIN_REUSE_PROBABILITY = 0.02
 """Chance of being used within that time below which a context only takes others' room."""
 HOLD_QUANTILE = 0.9
 """A hold covers the pause with this probability."""
 HOLD_MARGIN = 1.25
 MIN_HOLD_SECONDS = 0.5
-HOLD_SHARE = 0.5
+MAX_HELD_CACHE_FRACTION = 0.5
 """Share of the cache that holds may take."""
 
 
 def cache_decision(pause: PauseContext) -> CacheDecision:
     """Return what becomes of the context; see the module's docstring."""
     if pause.kind is PauseKind.END:
-        return _ended(pause)
+        return _decide_ended(pause)
     if not pause.context_tokens:
         return _leave(CacheCause.CHEAP_REBUILD, "no context there")
     needed = pause.active_tokens
-    if needed < CROWDED_SHARE * pause.cache_tokens and not _is_useless(pause):
-        figures = f"active programs need {needed} of {pause.cache_tokens} tokens of cache"
-        return _leave(CacheCause.ROOM, figures)
+    if needed < CROWDED_CACHE_FRACTION * pause.cache_tokens and not _is_unlikely_reused(pause):
+        reason = f"active programs need {needed} of {pause.cache_tokens} tokens of cache"
+        return _leave(CacheCause.ROOM, reason)
     if pause.forecast is None:
         return _leave(CacheCause.UNKNOWN_PAUSE, f"no forecast for {pause.kind.value} {pause.name}")
-    return _crowded(pause)
+    return _decide_crowded(pause)
 
 
-def _ended(pause: PauseContext) -> CacheDecision:
+def _decide_ended(pause: PauseContext) -> CacheDecision:
     if pause.run != pause.cache_key:
         return _leave(CacheCause.ENDED, "the program that it is a child of goes on")
     return CacheDecision(
@@ -57,33 +57,33 @@
     )
 
 
-def _is_useless(pause: PauseContext) -> bool:
+def _is_unlikely_reused(pause: PauseContext) -> bool:
     """Return whether the engine would evict the context before it is used, at a full cache."""
     if pause.run != pause.cache_key:
         # A drop is by the cache key and would take the parents' context as well.
         return False
-    if pause.forecast is None or pause.cache_used < CROWDED_SHARE * pause.cache_tokens:
+    if pause.forecast is None or pause.cache_used < CROWDED_CACHE_FRACTION * pause.cache_tokens:
         return False
-    return pause.forecast.share_within(LRU_SECONDS) < DROPPED_SHARE
+    return pause.forecast.share_within(REUSE_HORIZON_SECONDS) < MIN_REUSE_PROBABILITY
 
 
-def _crowded(pause: PauseContext) -> CacheDecision:
+def _decide_crowded(pause: PauseContext) -> CacheDecision:
     assert pause.forecast is not None
     wanted = max(MIN_HOLD_SECONDS, pause.forecast.quantile(HOLD_QUANTILE) * HOLD_MARGIN)
     seconds = min(wanted, pause.hold_max_seconds)
     occupied = pause.forecast.expected_within(seconds)
-    saved = pause.forecast.share_within(seconds) * TURNOVER_SECONDS
-    figures = f"{occupied:.1f} s of memory for {saved:.1f} s worth of rebuild"
-    if _is_useless(pause):
-        return CacheDecision(action=CacheAction.DROP, cause=CacheCause.LONG_PAUSE, reason=figures)
+    saved = pause.forecast.share_within(seconds) * EVICTION_AGE_SECONDS
+    reason = f"{occupied:.1f} s of memory for {saved:.1f} s worth of rebuild"
+    if _is_unlikely_reused(pause):
+        return CacheDecision(action=CacheAction.DROP, cause=CacheCause.LONG_PAUSE, reason=reason)
     if saved <= occupied:
-        return _leave(CacheCause.LONG_PAUSE, figures)
-    if pause.held_tokens + pause.context_tokens > HOLD_SHARE * pause.cache_tokens:
+        return _leave(CacheCause.LONG_PAUSE, reason)
+    if pause.held_tokens + pause.context_tokens > MAX_HELD_CACHE_FRACTION * pause.cache_tokens:
         return _leave(CacheCause.CHEAP_REBUILD, "holds take their share of the cache already")
     return CacheDecision(
         action=CacheAction.HOLD,
         cause=CacheCause.COSTLY_REBUILD,
-        reason=figures,
+        reason=reason,
         hold_seconds=seconds,
     )
 
