--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -64,15 +64,15 @@
         return False
     if pause.forecast is None or pause.cache_used < CROWDED_CACHE_FRACTION * pause.cache_tokens:
         return False
-    return pause.forecast.share_within(REUSE_HORIZON_SECONDS) < MIN_REUSE_PROBABILITY
+    return pause.forecast.probability_within(REUSE_HORIZON_SECONDS) < MIN_REUSE_PROBABILITY
 
 
 def _decide_crowded(pause: PauseContext) -> CacheDecision:
     assert pause.forecast is not None
     wanted = max(MIN_HOLD_SECONDS, pause.forecast.quantile(HOLD_QUANTILE) * HOLD_MARGIN)
     seconds = min(wanted, pause.hold_max_seconds)
-    occupied = pause.forecast.expected_within(seconds)
-    saved = pause.forecast.share_within(seconds) * EVICTION_AGE_SECONDS
+    occupied = pause.forecast.expected_seconds_within(seconds)
+    saved = pause.forecast.probability_within(seconds) * EVICTION_AGE_SECONDS
     reason = f"{occupied:.1f} s of memory for {saved:.1f} s worth of rebuild"
     if _is_unlikely_reused(pause):
         return CacheDecision(action=CacheAction.DROP, cause=CacheCause.LONG_PAUSE, reason=reason)
--- a/src/yokeline/scheduling/clairvoyant.py
+++ b/src/yokeline/scheduling/clairvoyant.py
@@ -13,7 +13,7 @@
 
 from yokeline.scheduling.affinity import AffinityPolicy
 from yokeline.scheduling.interface import CallDemand
-from yokeline.scheduling.ordering import SMALLEST_WORTH, aged_priority
+from yokeline.scheduling.ordering import MIN_WORTH, aged_priority
 
 
 class ClairvoyantPolicy(AffinityPolicy):
@@ -27,7 +27,7 @@
             (
                 -aged_priority(demand, now, self._rules),
                 not demand.attained_service,
-                _remaining(demand),
+                _weighted_remaining_service(demand),
                 index,
             )
             for index, demand in enumerate(waiting)
@@ -35,7 +35,7 @@
         return tuple(key[-1] for key in sorted(keys))
 
 
-def _remaining(demand: CallDemand) -> float:
+def _weighted_remaining_service(demand: CallDemand) -> float:
     known = demand.remaining_service
     tokens = known if known is not None else demand.attained_service
-    return tokens / max(demand.worth, SMALLEST_WORTH)
+    return tokens / max(demand.worth, MIN_WORTH)
--- a/src/yokeline/scheduling/forecast.py
+++ b/src/yokeline/scheduling/forecast.py
@@ -8,24 +8,24 @@
 
 import msgspec
 
-SMALLEST_BOUND_SECONDS = 0.01
+MIN_BOUND_SECONDS = 0.01
 BUCKETS_PER_DOUBLING = 2
 BUCKET_COUNT = 44
 
-BOUNDS = tuple(
-    SMALLEST_BOUND_SECONDS * 2.0 ** (index / BUCKETS_PER_DOUBLING) for index in range(BUCKET_COUNT)
+BUCKET_BOUNDS_SECONDS = tuple(
+    MIN_BOUND_SECONDS * 2.0 ** (index / BUCKETS_PER_DOUBLING) for index in range(BUCKET_COUNT)
 )
 """Upper bounds of the buckets in seconds: 10 ms to about 8 h; a last bucket is open."""
 
 
 def bucket_of(seconds: float) -> int:
     """Return the index of the bucket that a length falls into."""
-    return bisect.bisect_left(BOUNDS, seconds)
+    return bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)
 
 
 def bucket_seconds(index: int) -> float:
     """Return the length that stands for a bucket: its upper bound."""
-    return BOUNDS[min(index, BUCKET_COUNT - 1)]
+    return BUCKET_BOUNDS_SECONDS[min(index, BUCKET_COUNT - 1)]
 
 
 class PauseForecast(msgspec.Struct, frozen=True, kw_only=True):
@@ -37,12 +37,12 @@
     """
 
     seconds: tuple[float, ...]
-    shares: tuple[float, ...]
+    probabilities: tuple[float, ...]
 
     @classmethod
     def exactly(cls, seconds: float) -> PauseForecast:
         """Return the forecast of a known length."""
-        return cls(seconds=(seconds,), shares=(1.0,))
+        return cls(seconds=(seconds,), probabilities=(1.0,))
 
     @classmethod
     def of_counts(cls, counts: Sequence[float]) -> PauseForecast:
@@ -51,23 +51,23 @@
         pairs = [(index, count) for index, count in enumerate(counts) if count > 0]
         return cls(
             seconds=tuple(bucket_seconds(index) for index, _count in pairs),
-            shares=tuple(count / total for _index, count in pairs),
+            probabilities=tuple(count / total for _index, count in pairs),
         )
 
-    def share_within(self, limit: float) -> float:
+    def probability_within(self, limit: float) -> float:
         """Return the probability that the pause is over after ``limit`` seconds."""
         count = bisect.bisect_right(self.seconds, limit)
-        return min(1.0, sum(self.shares[:count]))
+        return min(1.0, sum(self.probabilities[:count]))
 
-    def expected_within(self, limit: float) -> float:
+    def expected_seconds_within(self, limit: float) -> float:
         """Return the expected seconds until the pause or ``limit`` is over, the first of both."""
-        pairs = zip(self.seconds, self.shares, strict=True)
-        return sum(min(seconds, limit) * share for seconds, share in pairs)
+        pairs = zip(self.seconds, self.probabilities, strict=True)
+        return sum(min(seconds, limit) * probability for seconds, probability in pairs)
 
-    def quantile(self, share: float) -> float:
+    def quantile(self, probability: float) -> float:
         """Return the least length within which the pause is over with probability ``share``."""
-        reached = itertools.accumulate(self.shares)
-        for seconds, total in zip(self.seconds, reached, strict=True):
-            if total >= share:
+        cumulative = itertools.accumulate(self.probabilities)
+        for seconds, total in zip(self.seconds, cumulative, strict=True):
+            if total >= probability:
                 return seconds
         return self.seconds[-1]
--- a/src/yokeline/scheduling/ordering.py
+++ b/src/yokeline/scheduling/ordering.py
@@ -8,7 +8,7 @@
 
 from yokeline.scheduling.interface import CallDemand
 
-SMALLEST_WORTH = 1e-9
+MIN_WORTH = 1e-9
 LEVEL_BASE_TOKENS = 1024.0
 """Service below this is one level; each further level covers twice as much.
 
@@ -38,7 +38,7 @@
 
 def service_level(demand: CallDemand) -> float:
     """Return the level of service attained by the whole program, weighted by its worth."""
-    served = demand.attained_service / max(demand.worth, SMALLEST_WORTH)
+    served = demand.attained_service / max(demand.worth, MIN_WORTH)
     return max(0.0, math.floor(math.log2(max(served, 1.0) / LEVEL_BASE_TOKENS)) + 1.0)
 
 
--- a/tests/property/test_scheduling.py
+++ b/tests/property/test_scheduling.py
@@ -11,7 +11,7 @@
 from tests.unit.scheduling.support import CACHE_TOKENS, demand, engine, facts, pause
 from yokeline.identifiers import RunId
 from yokeline.scheduling.affinity import AffinityPolicy
-from yokeline.scheduling.forecast import BOUNDS, PauseForecast
+from yokeline.scheduling.forecast import BUCKET_BOUNDS_SECONDS, PauseForecast
 from yokeline.scheduling.interface import CacheAction, CallDemand, EngineChoice, EngineView
 from yokeline.scheduling.ledger import CallEnd, EngineLedger
 from yokeline.scheduling.policies import POLICY_NAMES, make_policy
@@ -127,15 +127,21 @@
         self.assertGreaterEqual(held[0], held[1])
 
     @EXAMPLES
-    @given(st.lists(st.integers(0, 9), min_size=1, max_size=len(BOUNDS)), SECONDS, SECONDS)
+    @given(
+        st.lists(st.integers(0, 9), min_size=1, max_size=len(BUCKET_BOUNDS_SECONDS)),
+        SECONDS,
+        SECONDS,
+    )
     def test_forecast_is_a_distribution(self, counts: list[int], one: float, other: float) -> None:
         forecast = PauseForecast.of_counts([*counts, 1])
         less, more = sorted((one, other))
-        self.assertAlmostEqual(sum(forecast.shares), 1.0)
-        self.assertLessEqual(forecast.share_within(less), forecast.share_within(more))
-        self.assertLessEqual(forecast.expected_within(less), forecast.expected_within(more))
-        self.assertLessEqual(forecast.expected_within(more), more + ROUNDING)
-        self.assertGreaterEqual(forecast.share_within(forecast.quantile(0.5)), 0.5 - ROUNDING)
+        self.assertAlmostEqual(sum(forecast.probabilities), 1.0)
+        self.assertLessEqual(forecast.probability_within(less), forecast.probability_within(more))
+        self.assertLessEqual(
+            forecast.expected_seconds_within(less), forecast.expected_seconds_within(more)
+        )
+        self.assertLessEqual(forecast.expected_seconds_within(more), more + ROUNDING)
+        self.assertGreaterEqual(forecast.probability_within(forecast.quantile(0.5)), 0.5 - ROUNDING)
 
 
 class LedgerTest(unittest.TestCase):
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -172,7 +172,7 @@
             predictor.observe(PauseKind.TOOL, "roster", seconds)
         forecast = predictor.forecast(PauseKind.TOOL, "roster")
         assert forecast is not None
-        self.assertLess(forecast.share_within(2.0), 0.01)
+        self.assertLess(forecast.probability_within(2.0), 0.01)
 
 
 if __name__ == "__main__":
