--- a/src/yokeline/scheduling/account.py
+++ b/src/yokeline/scheduling/account.py
@@ -8,9 +8,9 @@
 import msgspec
 
 from yokeline.identifiers import RunId
+from yokeline.scheduling.engine_speed import EngineSpeed
 from yokeline.scheduling.estimate import expected_completion_tokens
 from yokeline.scheduling.interface import CallDemand
-from yokeline.scheduling.pace import EnginePace
 
 LOAD_HISTORY_SECONDS = 30.0
 """How far back a load report's state may lie."""
@@ -73,7 +73,7 @@
 
     def __init__(self) -> None:
         """Create an account of an engine that nothing was sent to."""
-        self.pace = EnginePace()
+        self.speed = EngineSpeed()
         self.report: LoadState | None = None
         self.calls = 0
         self.pending_prefill = 0
--- a/src/yokeline/scheduling/pace.py
+++ b/src/yokeline/scheduling/engine_speed.py
@@ -11,11 +11,11 @@
 """Prefills below this say more about the step time than about the rate."""
 MIN_DECODED_TOKENS = 8
 MIN_SECONDS = 1e-4
-BEST_DECAY = 0.98
+BEST_SPEED_DECAY = 0.98
 """Factor by which the best pace is forgotten at an observation below it."""
 
 
-class EnginePace:
+class EngineSpeed:
     """The pace of one engine while nothing is in a call's way.
 
     Times contain queueing and the prefill of other calls, which only ever make an engine look
@@ -45,15 +45,15 @@
             self._prefill_observed = True
             self.prefill_rate = rate
             return
-        self.prefill_rate = max(rate, self.prefill_rate * BEST_DECAY)
+        self.prefill_rate = max(rate, self.prefill_rate * BEST_SPEED_DECAY)
 
     def observe_decode(self, tokens: int, seconds: float) -> None:
         """Learn from a call that generated ``tokens`` after its first token."""
         if tokens < MIN_DECODED_TOKENS or seconds < MIN_SECONDS:
             return
-        pace = seconds / tokens
+        seconds_per_token = seconds / tokens
         if not self._decode_observed:
             self._decode_observed = True
-            self.decode_seconds = pace
+            self.decode_seconds = seconds_per_token
             return
-        self.decode_seconds = min(pace, self.decode_seconds / BEST_DECAY)
+        self.decode_seconds = min(seconds_per_token, self.decode_seconds / BEST_SPEED_DECAY)
--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/ledger.py
@@ -110,8 +110,8 @@
             cached_tokens=self._cached_tokens(facts.name, demand),
             cache_tokens=report.cache_tokens or facts.cache_tokens,
             cache_used=report.cache_tokens_used,
-            prefill_rate=account.pace.prefill_rate,
-            decode_seconds=account.pace.decode_seconds,
+            prefill_rate=account.speed.prefill_rate,
+            decode_seconds=account.speed.decode_seconds,
             pending_prefill=account.pending_prefill,
             active_programs=account.active_programs,
             active_tokens=account.active_tokens,
@@ -179,8 +179,8 @@
             return
         if call.is_sole_prefill:
             computed = end.prompt_tokens - end.cached_tokens
-            account.pace.observe_prefill(computed, call.first_text_at - call.sent_at)
-        account.pace.observe_decode(end.completion_tokens, now - call.first_text_at)
+            account.speed.observe_prefill(computed, call.first_text_at - call.sent_at)
+        account.speed.observe_decode(end.completion_tokens, now - call.first_text_at)
 
     def _record_context(self, call: SentCall, tokens: int) -> None:
         # Moved to the end, so that the first program is the one used longest ago.
@@ -214,7 +214,7 @@
             engine=pause.engine,
             context_tokens=pause.context_tokens,
             forecast=forecast or self.pauses.forecast(pause.kind, pause.name),
-            prefill_rate=account.pace.prefill_rate,
+            prefill_rate=account.speed.prefill_rate,
             cache_tokens=report.cache_tokens or facts.cache_tokens,
             cache_used=report.cache_tokens_used,
             active_tokens=account.active_tokens,
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -6,7 +6,7 @@
 
 from tests.unit.scheduling.support import RUN, demand, facts
 from yokeline.identifiers import RunId
-from yokeline.scheduling import pace
+from yokeline.scheduling import engine_speed
 from yokeline.scheduling.account import LoadState
 from yokeline.scheduling.cache_types import CacheAction, CacheCause, CacheDecision, ProgramPause
 from yokeline.scheduling.interface import CallDemand, EngineView, PauseKind
@@ -70,7 +70,7 @@
         self.assertEqual(self.view(2.0).pending_prefill, 0)
 
     def test_pace_is_observed(self) -> None:
-        self.assertEqual(self.view(0.0).prefill_rate, pace.DEFAULT_PREFILL_RATE)
+        self.assertEqual(self.view(0.0).prefill_rate, engine_speed.DEFAULT_PREFILL_RATE)
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.ledger.text_received("a", 1.2)
         self.ledger.call_ended("a", ENDED, 6.2)
@@ -83,7 +83,7 @@
         self.ledger.call_sent(ENGINE, demand(run=RunId("run-2")), "b", 1.0)
         self.ledger.text_received("b", 9.0)
         self.ledger.call_ended("b", ENDED, 9.0)
-        self.assertEqual(self.view(9.0).prefill_rate, pace.DEFAULT_PREFILL_RATE)
+        self.assertEqual(self.view(9.0).prefill_rate, engine_speed.DEFAULT_PREFILL_RATE)
 
 
 class ContextTest(LedgerTest):
