--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -14,7 +14,7 @@
 from yokeline.identifiers import RunId
 from yokeline.labels.objects import EnginePool
 from yokeline.scheduling.account import LoadState
-from yokeline.scheduling.engines import EngineRecord, EngineRoster, LoadReport, MachineEntry
+from yokeline.scheduling.engine_catalog import EngineCatalog, EngineRecord, LoadReport, MachineEntry
 from yokeline.scheduling.interface import (
     CacheAction,
     CallDemand,
@@ -82,24 +82,24 @@
         self._settings = settings.scheduling
         self._policy = policy
         self._ledger = EngineLedger()
-        self._roster = EngineRoster(pools, machines)
-        self._steward = CacheSteward(context, self._roster, self._ledger, stewards, run_exists)
+        self._catalog = EngineCatalog(pools, machines)
+        self._steward = CacheSteward(context, self._catalog, self._ledger, stewards, run_exists)
 
     # ------------------------------------------------------------ which engines exist
 
     def refresh(self) -> None:
         """Take over the engines of the configuration and the machine list."""
-        for gone in self._roster.refresh():
-            self._ledger.forget_engine(gone)
+        for removed in self._catalog.refresh():
+            self._ledger.forget_engine(removed)
 
     def address_of(self, engine: str) -> Address | None:
         """Return where an engine listens, None if it is not known (any more)."""
-        record = self._roster.records.get(engine)
+        record = self._catalog.records.get(engine)
         return record.address if record is not None else None
 
     def views(self) -> tuple[EngineRecord, ...]:
         """Return the engines for the admin API, by name."""
-        records = self._roster.records
+        records = self._catalog.records
         return tuple(records[name] for name in sorted(records))
 
     def sent_to(self, engine: str) -> int:
@@ -110,9 +110,9 @@
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
-        allowed = self._roster.allowed(demand.model, demand.engine_selector)
+        allowed = self._catalog.allowed(demand.model, demand.engine_selector)
         if not allowed:
-            return Failure(_no_engine(demand))
+            return Failure(_no_engine_error(demand))
         preferred = [record for record in allowed if record.name not in demand.avoid] or allowed
         demand = self._ledger.with_expected_answer(demand)
         now = self._context.now
@@ -120,7 +120,7 @@
         choice = self._policy.choose(demand, views, now)
         if isinstance(choice, WaitForEngine):
             self._count("waits", choice.cause.value)
-            return Failure(_must_wait(choice))
+            return Failure(_wait_error(choice))
         self._count("choices", choice.cause.value)
         return Success(choice)
 
@@ -134,7 +134,7 @@
 
     def pause_started(self, pause: ProgramPause) -> PlannedCacheAction | None:
         """Decide what becomes of a pausing program's context; None: nothing is to be done."""
-        record = self._roster.records.get(pause.engine)
+        record = self._catalog.records.get(pause.engine)
         if record is None:
             return None
         now = self._context.now
@@ -197,19 +197,19 @@
 
     def next_deadline(self) -> float | None:
         """Return when the next reading is due."""
-        records = self._roster.records.values()
-        due = [record.next_reading for record in records if not record.reading]
+        records = self._catalog.records.values()
+        due = [record.next_poll for record in records if not record.is_polling]
         return min([*due, self._steward.next_deadline()])
 
     def tick(self) -> None:
         """Read the loads and inventories that are due."""
-        for record in self._roster.records.values():
-            if not record.reading and record.next_reading <= self._context.now:
-                self._read_load(record)
+        for record in self._catalog.records.values():
+            if not record.is_polling and record.next_poll <= self._context.now:
+                self._poll_load(record)
         self._steward.tick()
 
-    def _read_load(self, record: EngineRecord) -> None:
-        record.reading = True
+    def _poll_load(self, record: EngineRecord) -> None:
+        record.is_polling = True
         request = HttpRequest(
             request=self._context.new_request_id(),
             address=record.address,
@@ -218,12 +218,12 @@
             timeout=LOAD_TIMEOUT_SECONDS,
             allow_retry=True,
         )
-        self._context.send_http(request, functools.partial(self._load_read, record))
+        self._context.send_http(request, functools.partial(self._load_received, record))
 
-    def _load_read(self, record: EngineRecord, answer: HttpAnswer) -> None:
+    def _load_received(self, record: EngineRecord, answer: HttpAnswer) -> None:
         now = self._context.now
-        record.reading = False
-        record.next_reading = now + self._settings.load_period_seconds
+        record.is_polling = False
+        record.next_poll = now + self._settings.load_period_seconds
         report = _decode_report(answer)
         if report is None:
             record.failures += 1
@@ -249,7 +249,7 @@
         return None
 
 
-def _no_engine(demand: CallDemand) -> YokelineError:
+def _no_engine_error(demand: CallDemand) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.UNAVAILABLE,
         message=f"no live engine serves model {demand.model!r} under the selectors that apply",
@@ -258,7 +258,7 @@
     )
 
 
-def _must_wait(wait: WaitForEngine) -> YokelineError:
+def _wait_error(wait: WaitForEngine) -> YokelineError:
     no_engine = wait.cause is WaitCause.NO_ENGINE
     return YokelineError(
         kind=ErrorKind.OVERLOADED,
--- a/src/yokeline/scheduling/engines.py
+++ b/src/yokeline/scheduling/engine_catalog.py
@@ -11,7 +11,7 @@
 from yokeline.labels.selectors import Selector, parse_selector
 from yokeline.scheduling.ledger import EngineFacts
 
-FAILURES_UNTIL_DOWN = 2
+UNREACHABLE_AFTER_FAILURES = 2
 """Load readings in a row that must fail before an engine is passed over."""
 
 
@@ -47,14 +47,14 @@
     reported_at: float = 0.0
     failures: int = 0
     leaving: bool = False
-    next_reading: float = 0.0
-    reading: bool = False
+    next_poll: float = 0.0
+    is_polling: bool = False
 
     def state(self) -> str:
         """Return the state for people: leaving, unreachable, draining or live."""
         if self.leaving:
             return "leaving"
-        if self.failures >= FAILURES_UNTIL_DOWN:
+        if self.failures >= UNREACHABLE_AFTER_FAILURES:
             return "unreachable"
         if self.report is not None and self.report.draining:
             return "draining"
@@ -77,7 +77,7 @@
         )
 
 
-class EngineRoster:
+class EngineCatalog:
     """The engines that the configuration and the machine list name."""
 
     def __init__(
@@ -94,13 +94,13 @@
     def refresh(self) -> tuple[str, ...]:
         """Take over configuration and machine list; return the engines that went away."""
         machines = self._machines()
-        wanted: dict[str, EngineRecord] = {}
+        configured: dict[str, EngineRecord] = {}
         for pool in self._pools():
             for record in self._engines_of(pool, machines):
-                wanted[record.name] = self._merged(record)
-        gone = tuple(name for name in self.records if name not in wanted)
-        self.records = wanted
-        return gone
+                configured[record.name] = self._updated(record)
+        removed = tuple(name for name in self.records if name not in configured)
+        self.records = configured
+        return removed
 
     def allowed(self, model: str, selector: str) -> list[EngineRecord]:
         """Return the usable engines for a model under a selector."""
@@ -127,7 +127,7 @@
                     records.append(_record(pool, entry.address, labels, entry.leaving))
         return records
 
-    def _merged(self, record: EngineRecord) -> EngineRecord:
+    def _updated(self, record: EngineRecord) -> EngineRecord:
         known = self.records.get(record.name)
         if known is None:
             return record
--- a/src/yokeline/scheduling/steward.py
+++ b/src/yokeline/scheduling/steward.py
@@ -18,7 +18,7 @@
 from yokeline.backends.engine_messages import Accepted, CacheEntry, CacheInventory
 from yokeline.errors import YokelineError
 from yokeline.identifiers import RUN_PREFIX, RunId
-from yokeline.scheduling.engines import EngineRecord, EngineRoster
+from yokeline.scheduling.engine_catalog import EngineCatalog, EngineRecord
 from yokeline.scheduling.ledger import EngineLedger
 from yokeline.server.context import NodeContext
 
@@ -60,14 +60,14 @@
     def __init__(
         self,
         context: NodeContext,
-        roster: EngineRoster,
+        catalog: EngineCatalog,
         ledger: EngineLedger,
         stewards: Callable[[str], bool],
         run_exists: RunExists,
     ) -> None:
         """Create it; the first inventories are read some seconds later."""
         self._context = context
-        self._roster = roster
+        self._catalog = catalog
         self._ledger = ledger
         self._stewards = stewards
         self._run_exists = run_exists
@@ -84,7 +84,7 @@
         if self._context.now < self._next_round:
             return
         self._next_round = self._context.now + INVENTORY_PERIOD_SECONDS
-        for record in self._roster.records.values():
+        for record in self._catalog.records.values():
             if self._stewards(record.name):
                 read = functools.partial(self._inventory_read, record)
                 self._client.inventory(record.address, read)
