--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -32,7 +32,7 @@
     PresenceHandler,
     RunExists,
     RunPresence,
-    nothing_known,
+    presence_unknown,
     stewards_nothing,
 )
 from yokeline.server.context import HttpAnswer, NodeContext
@@ -65,7 +65,7 @@
         machines: Callable[[], tuple[MachineEntry, ...]],
         *,
         stewards: Callable[[str], bool] = stewards_nothing,
-        run_exists: RunExists = nothing_known,
+        run_exists: RunExists = presence_unknown,
     ) -> None:
         """Create an empty directory.
 
--- a/src/yokeline/scheduling/steward.py
+++ b/src/yokeline/scheduling/steward.py
@@ -24,7 +24,7 @@
 
 INVENTORY_PERIOD_SECONDS = 20.0
 FIRST_INVENTORY_SECONDS = 5.0
-QUESTIONS_PER_INVENTORY = 200
+MAX_LOOKUPS_PER_INVENTORY = 200
 """Runs asked about per reading; the next reading goes on behind them."""
 
 
@@ -44,7 +44,7 @@
 """Asks about a root run of a tenant; the handler may be called at once or later."""
 
 
-def nothing_known(_run: RunId, _tenant: str, done: PresenceHandler) -> None:
+def presence_unknown(_run: RunId, _tenant: str, done: PresenceHandler) -> None:
     """Answer that a run's presence is unknown, so that its entries are kept."""
     done(RunPresence.UNKNOWN)
 
@@ -72,41 +72,41 @@
         self._stewards = stewards
         self._run_exists = run_exists
         self._client = EngineClient(context)
-        self._next_round = context.now + FIRST_INVENTORY_SECONDS
+        self._next_inventory_at = context.now + FIRST_INVENTORY_SECONDS
         self._cursors: dict[str, str] = {}
 
     def next_deadline(self) -> float:
         """Return when inventories are due."""
-        return self._next_round
+        return self._next_inventory_at
 
     def tick(self) -> None:
         """Read the inventories, if they are due."""
-        if self._context.now < self._next_round:
+        if self._context.now < self._next_inventory_at:
             return
-        self._next_round = self._context.now + INVENTORY_PERIOD_SECONDS
+        self._next_inventory_at = self._context.now + INVENTORY_PERIOD_SECONDS
         for record in self._catalog.records.values():
             if self._stewards(record.name):
-                read = functools.partial(self._inventory_read, record)
+                read = functools.partial(self._inventory_received, record)
                 self._client.inventory(record.address, read)
 
-    def _inventory_read(
+    def _inventory_received(
         self, record: EngineRecord, result: Result[CacheInventory, YokelineError]
     ) -> None:
         if not isinstance(result, Success):
             return
         entries = result.unwrap().entries
-        self._correct_beliefs(record.name, entries)
-        for entry in self._to_ask_about(record.name, entries):
-            done = functools.partial(self._presence_known, record, entry)
+        self._remove_evicted_contexts(record.name, entries)
+        for entry in self._entries_to_check(record.name, entries):
+            done = functools.partial(self._presence_received, record, entry)
             self._run_exists(RunId(entry.cache_key), entry.cache_salt, done)
 
-    def _correct_beliefs(self, engine: str, entries: tuple[CacheEntry, ...]) -> None:
-        there = {entry.cache_key for entry in entries}
+    def _remove_evicted_contexts(self, engine: str, entries: tuple[CacheEntry, ...]) -> None:
+        cached = {entry.cache_key for entry in entries}
         for cache_key in self._ledger.idle_contexts_at(engine):
-            if cache_key not in there:
+            if cache_key not in cached:
                 self._ledger.context_removed(engine, cache_key)
 
-    def _to_ask_about(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
+    def _entries_to_check(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
         """Return the entries of runs that may be gone, the next ones in turn."""
         account = self._ledger.account(engine)
         cursor = self._cursors.get(engine, "")
@@ -118,19 +118,19 @@
         ]
         # Those behind the cursor first, then from the start again.
         candidates.sort(key=lambda entry: (entry.cache_key <= cursor, entry.cache_key))
-        asked = candidates[:QUESTIONS_PER_INVENTORY]
-        self._cursors[engine] = asked[-1].cache_key if asked else ""
-        return asked
+        selected = candidates[:MAX_LOOKUPS_PER_INVENTORY]
+        self._cursors[engine] = selected[-1].cache_key if selected else ""
+        return selected
 
-    def _presence_known(
+    def _presence_received(
         self, record: EngineRecord, entry: CacheEntry, presence: RunPresence
     ) -> None:
         if presence is not RunPresence.GONE:
             return
         self._context.counters["yokeline_cache_reconciled_total"] += 1
         self._ledger.context_removed(record.name, RunId(entry.cache_key))
-        self._client.drop_entries(record.address, RunId(entry.cache_key), _ignore)
+        self._client.drop_entries(record.address, RunId(entry.cache_key), _ignore_result)
 
 
-def _ignore(_result: Result[Accepted, YokelineError]) -> None:
+def _ignore_result(_result: Result[Accepted, YokelineError]) -> None:
     """A drop that failed is repeated after the next inventory."""
