--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -7,7 +7,7 @@
 DEFAULT_COMPLETION_FRACTION = 0.25
 """Share of ``completion_tokens`` that an answer is taken to use while nothing is known."""
 
-CROWDING_WEIGHT = 1.0
+FULL_BATCH_SLOWDOWN = 1.0
 """How much a full batch slows decoding, relative to a call that runs alone."""
 
 EVICTION_WEIGHT = 0.5
@@ -38,8 +38,8 @@
 
 def decode_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of decoding, in a batch as full as it is now."""
-    crowding = 1.0 + CROWDING_WEIGHT * min(1.0, engine.running / engine.slots)
-    return expected_completion_tokens(demand) * engine.decode_seconds * crowding
+    batch_factor = 1.0 + FULL_BATCH_SLOWDOWN * min(1.0, engine.running / engine.slots)
+    return expected_completion_tokens(demand) * engine.decode_seconds * batch_factor
 
 
 def queue_seconds(demand: CallDemand, engine: EngineView) -> float:
@@ -50,8 +50,8 @@
 
 def eviction_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of prefill that others will have to repeat."""
-    needed = uncached_tokens(demand, engine) + expected_completion_tokens(demand)
-    evicted = max(0.0, engine.active_tokens + needed - engine.cache_tokens)
+    added_tokens = uncached_tokens(demand, engine) + expected_completion_tokens(demand)
+    evicted = max(0.0, engine.active_tokens + added_tokens - engine.cache_tokens)
     return EVICTION_WEIGHT * evicted / engine.prefill_rate
 
 
@@ -63,6 +63,8 @@
     """
     uncached_seconds = uncached_tokens(demand, engine) / engine.prefill_rate
     prefill = engine.pending_prefill / engine.prefill_rate + uncached_seconds
-    harm = STALL_WEIGHT * uncached_seconds * engine.running + eviction_seconds(demand, engine)
-    waiting = queue_seconds(demand, engine)
-    return waiting + prefill + decode_seconds(demand, engine) + harm
+    cost_to_others = STALL_WEIGHT * uncached_seconds * engine.running + eviction_seconds(
+        demand, engine
+    )
+    queueing = queue_seconds(demand, engine)
+    return queueing + prefill + decode_seconds(demand, engine) + cost_to_others
