--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -23,13 +23,13 @@
     merged,
 )
 
-FORGETTING = 0.985
+OBSERVATION_DECAY = 0.985
 """Share of its weight that an observation keeps when the next one comes."""
 OUTLIER_FACTOR = 3.0
 """An observation counts at most as this multiple of what was predicted (and at least as its
 inverse), so that a cut or a pause of a process does not bend the line."""
-START_FORGETTING = 0.9
-LEAST_START_SHARE = 0.02
+PRIOR_DECAY = 0.9
+MIN_PRIOR_WEIGHT = 0.02
 """Assumed observations fade faster than real ones, down to a share that keeps a line defined
 where all real ones lie at one value."""
 USUAL_WEIGHT = 0.05
@@ -44,7 +44,7 @@
 LEAST_SECONDS = 1e-4
 
 
-class Point(msgspec.Struct, frozen=True):
+class PriorPoint(msgspec.Struct, frozen=True):
     """An assumed observation, and how many real ones it is worth."""
 
     x: float
@@ -52,55 +52,55 @@
     weight: float
 
 
-class LineFit:
+class LinearFit:
     """A line ``y = base + slope * x`` with ``base`` and ``slope`` of at least 0."""
 
-    def __init__(self, start: tuple[Point, ...]) -> None:
+    def __init__(self, prior: tuple[PriorPoint, ...]) -> None:
         """Begin with assumed observations at two or more values of x."""
-        self._start = start
-        self._start_share = 1.0
+        self._prior = prior
+        self._prior_weight = 1.0
         self._weight = 0.0
         self._x = 0.0
         self._y = 0.0
         self._xx = 0.0
         self._xy = 0.0
-        self.base = 0.0
+        self.intercept = 0.0
         self.slope = 0.0
-        self._solve()
+        self._refit()
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Return the predicted y."""
-        return max(LEAST_SECONDS, self.base + self.slope * x)
+        return max(LEAST_SECONDS, self.intercept + self.slope * x)
 
     def observe(self, x: float, y: float) -> None:
         """Take an observation in."""
-        predicted = self.at(x)
+        predicted = self.predict(x)
         y = min(max(y, predicted / OUTLIER_FACTOR), predicted * OUTLIER_FACTOR)
-        self._start_share = max(LEAST_START_SHARE, self._start_share * START_FORGETTING)
-        self._weight = self._weight * FORGETTING + 1.0
-        self._x = self._x * FORGETTING + x
-        self._y = self._y * FORGETTING + y
-        self._xx = self._xx * FORGETTING + x * x
-        self._xy = self._xy * FORGETTING + x * y
-        self._solve()
-
-    def _solve(self) -> None:
-        start, share = self._start, self._start_share
-        weight = self._weight + share * sum(point.weight for point in start)
-        mean_x = (self._x + share * sum(p.weight * p.x for p in start)) / weight
-        mean_y = (self._y + share * sum(p.weight * p.y for p in start)) / weight
-        squares = self._xx + share * sum(p.weight * p.x * p.x for p in start)
-        products = self._xy + share * sum(p.weight * p.x * p.y for p in start)
-        spread = squares - weight * mean_x**2
-        together = products - weight * mean_x * mean_y
-        self.slope = max(0.0, together / spread) if spread > 0 else 0.0
-        self.base = mean_y - self.slope * mean_x
-        if self.base < 0:
-            self.base = 0.0
+        self._prior_weight = max(MIN_PRIOR_WEIGHT, self._prior_weight * PRIOR_DECAY)
+        self._weight = self._weight * OBSERVATION_DECAY + 1.0
+        self._x = self._x * OBSERVATION_DECAY + x
+        self._y = self._y * OBSERVATION_DECAY + y
+        self._xx = self._xx * OBSERVATION_DECAY + x * x
+        self._xy = self._xy * OBSERVATION_DECAY + x * y
+        self._refit()
+
+    def _refit(self) -> None:
+        prior, prior_weight = self._prior, self._prior_weight
+        total_weight = self._weight + prior_weight * sum(point.weight for point in prior)
+        mean_x = (self._x + prior_weight * sum(p.weight * p.x for p in prior)) / total_weight
+        mean_y = (self._y + prior_weight * sum(p.weight * p.y for p in prior)) / total_weight
+        squares = self._xx + prior_weight * sum(p.weight * p.x * p.x for p in prior)
+        products = self._xy + prior_weight * sum(p.weight * p.x * p.y for p in prior)
+        variance = squares - total_weight * mean_x**2
+        covariance = products - total_weight * mean_x * mean_y
+        self.slope = max(0.0, covariance / variance) if variance > 0 else 0.0
+        self.intercept = mean_y - self.slope * mean_x
+        if self.intercept < 0:
+            self.intercept = 0.0
             self.slope = mean_y / mean_x if mean_x > 0 else 0.0
 
 
-class SafeStart(msgspec.Struct, frozen=True, kw_only=True):
+class ModelPrior(msgspec.Struct, frozen=True, kw_only=True):
     """What is assumed of engines before any turn was seen.
 
     Attributes:
@@ -109,14 +109,14 @@
         events: Events of a turn.
     """
 
-    reading: tuple[Point, ...]
-    pace: tuple[Point, ...]
+    prefill: tuple[PriorPoint, ...]
+    event_interval: tuple[PriorPoint, ...]
     events: float
 
 
-SAFE_START = SafeStart(
-    reading=(Point(0.0, 0.03, 0.5), Point(10_000.0, 0.5, 0.5)),
-    pace=(Point(0.0, 0.02, 0.5), Point(16.0, 0.04, 0.5)),
+DEFAULT_PRIOR = ModelPrior(
+    prefill=(PriorPoint(0.0, 0.03, 0.5), PriorPoint(10_000.0, 0.5, 0.5)),
+    event_interval=(PriorPoint(0.0, 0.02, 0.5), PriorPoint(16.0, 0.04, 0.5)),
     events=10.0,
 )
 
@@ -172,16 +172,16 @@
 class EngineModel:
     """The engines of one pool, as one node has seen them and was told of them."""
 
-    def __init__(self, start: SafeStart = SAFE_START) -> None:
+    def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
         """Begin with what is assumed."""
-        self._reading = LineFit(start.reading)
-        self._pace = LineFit(start.pace)
+        self._reading = LinearFit(prior.prefill)
+        self._pace = LinearFit(prior.event_interval)
         self._profiles: dict[str, EngineProfile] = {}
         self._turns = 0
         self._reference = 0.0
         self._own_usual = 0.0
         self._told_usual = 0.0
-        self.events = start.events
+        self.events = prior.events
 
     @property
     def reading_seconds_per_token(self) -> float:
@@ -191,7 +191,7 @@
     @property
     def usual_seconds(self) -> float:
         """Seconds of a usual turn that runs alone and finds its prompt cached."""
-        return self._usual_relative * (self._reading.base + self.events * self._pace.base)
+        return self._usual_relative * (self._reading.intercept + self.events * self._pace.intercept)
 
     def factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
         """Return how slow an engine is lastingly, as a multiple of the pool's usual."""
@@ -251,15 +251,15 @@
         events = self._expected_events(hinted_events)
         relative = self._present_pace(engine_id, now, told, told_slowness)
         reading = relative * self._reading.slope * unread
-        between = relative * events * self._pace.at(beside)
+        between = relative * events * self._pace.predict(beside)
         slowed = relative * events * self._pace.slope
-        seconds = relative * self._reading.base + reading + between
+        seconds = relative * self._reading.intercept + reading + between
         return Prediction(seconds, beside * (reading + slowed))
 
     @property
     def _usual_pace(self) -> float:
         """Seconds between the events of a turn that runs alone at a usual engine."""
-        return self._told_usual or self._own_usual or self._pace.at(0.0)
+        return self._told_usual or self._own_usual or self._pace.predict(0.0)
 
     @property
     def _usual_relative(self) -> float:
@@ -275,7 +275,7 @@
 
     def _slowed_by(self, beside: float) -> float:
         """Return how much turns beside it slow a turn down."""
-        return self._pace.at(beside) / self._pace.at(0.0)
+        return self._pace.predict(beside) / self._pace.predict(0.0)
 
     def _slowness(self, alone: float) -> float:
         ratio = alone / self._usual_pace
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -24,10 +24,10 @@
 )
 from yokeline.ledger.turns_under_way import TurnsUnderWay
 from yokeline.scheduling.engine_model import (
+    DEFAULT_PRIOR,
     OUTLIER_FACTOR,
-    SAFE_START,
     EngineModel,
-    LineFit,
+    LinearFit,
     ServedTurn,
 )
 from yokeline.scheduling.engine_profiles import ToldProfile, usual_pace
@@ -122,8 +122,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.reading = [LineFit(SAFE_START.reading) for _ in range(NODES)]
-        self.pace = [LineFit(SAFE_START.pace) for _ in range(NODES)]
+        self.reading = [LinearFit(DEFAULT_PRIOR.prefill) for _ in range(NODES)]
+        self.pace = [LinearFit(DEFAULT_PRIOR.event_interval) for _ in range(NODES)]
         self.factors: list[dict[str, float]] = [{} for _ in range(NODES)]
         self.slowness: dict[str, FadingAverage] = {}
 
@@ -132,14 +132,14 @@
         if engine in self.slowness and not self.silent_leader:
             told = self.slowness[engine].value(now)
         factor = max(self.factors[node].get(engine, 1.0), told if told > 1 else 0.0)
-        between = (EVENTS - 1) * self.pace[node].at(beside)
-        return factor * (self.reading[node].at(unread) + between)
+        between = (EVENTS - 1) * self.pace[node].predict(beside)
+        return factor * (self.reading[node].predict(unread) + between)
 
     def learn(self, turn: Turn) -> None:
         observed = served(turn)
         assert observed.event_seconds is not None
         self.reading[turn.node].observe(turn.unread, turn.first_event)
-        ratio = observed.event_seconds / self.pace[turn.node].at(turn.beside)
+        ratio = observed.event_seconds / self.pace[turn.node].predict(turn.beside)
         ratio = min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
         self.pace[turn.node].observe(turn.beside, observed.event_seconds)
         factor = self.factors[turn.node].get(turn.engine, 1.0)
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -5,10 +5,10 @@
 
 from yokeline.scheduling.engine_model import (
     EngineModel,
-    LineFit,
+    LinearFit,
     ObservedPace,
-    Point,
     Prediction,
+    PriorPoint,
     ServedTurn,
 )
 from yokeline.scheduling.engine_profiles import ToldProfile
@@ -234,17 +234,17 @@
 
 class Lines(unittest.TestCase):
     def test_observations_at_one_place_divide_by_nothing(self) -> None:
-        line = LineFit((Point(0.0, 1.0, 0.5), Point(10.0, 2.0, 0.5)))
+        line = LinearFit((PriorPoint(0.0, 1.0, 0.5), PriorPoint(10.0, 2.0, 0.5)))
         for _ in range(1000):
             line.observe(5.0, 3.0)
-        self.assertAlmostEqual(line.at(5.0), 3.0, delta=0.1)
+        self.assertAlmostEqual(line.predict(5.0), 3.0, delta=0.1)
 
     def test_a_line_never_falls_nor_begins_below_nothing(self) -> None:
         source = random.Random(5)
         for _ in range(50):
-            line = LineFit((Point(0.0, 1.0, 0.5), Point(10.0, 2.0, 0.5)))
+            line = LinearFit((PriorPoint(0.0, 1.0, 0.5), PriorPoint(10.0, 2.0, 0.5)))
             for _ in range(100):
                 line.observe(10 * source.random(), source.random() ** 4)
             self.assertGreaterEqual(line.slope, 0.0)
-            self.assertGreaterEqual(line.base, 0.0)
-            self.assertGreater(line.at(0.0), 0.0)
+            self.assertGreaterEqual(line.intercept, 0.0)
+            self.assertGreater(line.predict(0.0), 0.0)
