--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -32,16 +32,16 @@
 MIN_PRIOR_WEIGHT = 0.02
 """Assumed observations fade faster than real ones, down to a share that keeps a line defined
 where all real ones lie at one value."""
-USUAL_WEIGHT = 0.05
+USUAL_PACE_WEIGHT = 0.05
 """Weight of one turn in the usual pace of the engines that this node has used."""
-LEAST_TURNS = 4
+MIN_TURNS = 4
 """Turns after which a line's shape is the pool's rather than what was assumed of it."""
 EVENTS_WEIGHT = 0.05
 """Weight of one turn in the usual number of events."""
-HINT_FACTOR = 4.0
+MAX_HINT_FACTOR = 4.0
 """A caller's guess of a turn's events counts at most as this multiple of the usual number, and
 at least as its inverse."""
-LEAST_SECONDS = 1e-4
+MIN_SECONDS = 1e-4
 
 
 class PriorPoint(msgspec.Struct, frozen=True):
@@ -70,7 +70,7 @@
 
     def predict(self, x: float) -> float:
         """Return the predicted y."""
-        return max(LEAST_SECONDS, self.intercept + self.slope * x)
+        return max(MIN_SECONDS, self.intercept + self.slope * x)
 
     def observe(self, x: float, y: float) -> None:
         """Take an observation in."""
@@ -144,12 +144,12 @@
     """Seconds that a turn takes, and that it takes from the turns beside it."""
 
     seconds: float
-    delay_of_others: float
+    delay_to_others: float
 
     @property
     def cost(self) -> float:
         """The time of all turns together."""
-        return self.seconds + self.delay_of_others
+        return self.seconds + self.delay_to_others
 
 
 class ObservedPace(msgspec.Struct, frozen=True, kw_only=True):
@@ -174,33 +174,35 @@
 
     def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
         """Begin with what is assumed."""
-        self._reading = LinearFit(prior.prefill)
-        self._pace = LinearFit(prior.event_interval)
+        self._prefill_fit = LinearFit(prior.prefill)
+        self._interval_fit = LinearFit(prior.event_interval)
         self._profiles: dict[str, EngineProfile] = {}
-        self._turns = 0
-        self._reference = 0.0
-        self._own_usual = 0.0
-        self._told_usual = 0.0
+        self._turns_observed = 0
+        self._reference_pace = 0.0
+        self._own_usual_pace = 0.0
+        self._told_usual_pace = 0.0
         self.events = prior.events
 
     @property
-    def reading_seconds_per_token(self) -> float:
+    def prefill_seconds_per_token(self) -> float:
         """Seconds for a prompt token to read."""
-        return self._usual_relative * self._reading.slope
+        return self._usual_relative_pace * self._prefill_fit.slope
 
     @property
     def usual_seconds(self) -> float:
         """Seconds of a usual turn that runs alone and finds its prompt cached."""
-        return self._usual_relative * (self._reading.intercept + self.events * self._pace.intercept)
+        return self._usual_relative_pace * (
+            self._prefill_fit.intercept + self.events * self._interval_fit.intercept
+        )
 
-    def factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
+    def slowdown_factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
         """Return how slow an engine is lastingly, as a multiple of the pool's usual."""
-        return self._lasting_pace(engine_id, now, told) / self._usual_pace
+        return self._baseline_pace(engine_id, now, told) / self._usual_pace
 
     def take_usual(self, seconds: float) -> None:
         """Note the usual pace of the pool's engines as it was told; 0 if nothing was."""
-        self._told_usual = seconds
-        self._begin_with(seconds)
+        self._told_usual_pace = seconds
+        self._set_reference_pace(seconds)
 
     def observe(
         self, turn: ServedTurn, now: float, told: ToldProfile | None = None
@@ -208,21 +210,21 @@
         """Take a turn in that ended now; ``told`` is what others know of its engine."""
         self.events += EVENTS_WEIGHT * (turn.events - self.events)
         if turn.event_seconds is None:
-            self._observe_reading(turn, now, told)
+            self._observe_prefill(turn, now, told)
             return NO_PACE
-        event_seconds = max(LEAST_SECONDS, turn.event_seconds)
-        alone = event_seconds / self._slowed_by(turn.beside)
-        slowness = self._slowness(alone)
-        self._begin_with(alone)
+        event_seconds = max(MIN_SECONDS, turn.event_seconds)
+        alone_seconds = event_seconds / self._load_slowdown(turn.beside)
+        slowness = self._slowness_ratio(alone_seconds)
+        self._set_reference_pace(alone_seconds)
         profile = self._profiles.setdefault(turn.engine_id, EngineProfile())
-        profile.note_pace(alone, now)
-        self._note_usual(profile.pace(now).seconds)
-        self._turns += 1
-        self._observe_reading(turn, now, told)
+        profile.note_pace(alone_seconds, now)
+        self._update_own_usual_pace(profile.pace(now).seconds)
+        self._turns_observed += 1
+        self._observe_prefill(turn, now, told)
         relative = self._relative_pace(turn.engine_id, now, told)
-        self._pace.observe(turn.beside, event_seconds / relative)
-        is_shape_known = self._turns >= LEAST_TURNS
-        return ObservedPace(slowness=slowness, alone_seconds=alone if is_shape_known else 0.0)
+        self._interval_fit.observe(turn.beside, event_seconds / relative)
+        is_fit_ready = self._turns_observed >= MIN_TURNS
+        return ObservedPace(slowness=slowness, alone_seconds=alone_seconds if is_fit_ready else 0.0)
 
     def predict(
         self,
@@ -249,47 +251,47 @@
                 counts within :data:`HINT_FACTOR` of the usual number.
         """
         events = self._expected_events(hinted_events)
-        relative = self._present_pace(engine_id, now, told, told_slowness)
-        reading = relative * self._reading.slope * unread
-        between = relative * events * self._pace.predict(beside)
-        slowed = relative * events * self._pace.slope
-        seconds = relative * self._reading.intercept + reading + between
-        return Prediction(seconds, beside * (reading + slowed))
+        relative = self._current_relative_pace(engine_id, now, told, told_slowness)
+        prefill_seconds = relative * self._prefill_fit.slope * unread
+        decode_seconds = relative * events * self._interval_fit.predict(beside)
+        slowdown_seconds = relative * events * self._interval_fit.slope
+        seconds = relative * self._prefill_fit.intercept + prefill_seconds + decode_seconds
+        return Prediction(seconds, beside * (prefill_seconds + slowdown_seconds))
 
     @property
     def _usual_pace(self) -> float:
         """Seconds between the events of a turn that runs alone at a usual engine."""
-        return self._told_usual or self._own_usual or self._pace.predict(0.0)
+        return self._told_usual_pace or self._own_usual_pace or self._interval_fit.predict(0.0)
 
     @property
-    def _usual_relative(self) -> float:
-        return self._usual_pace / self._reference if self._reference else 1.0
+    def _usual_relative_pace(self) -> float:
+        return self._usual_pace / self._reference_pace if self._reference_pace else 1.0
 
-    def _begin_with(self, seconds: float) -> None:
+    def _set_reference_pace(self, seconds: float) -> None:
         """Fix the pace for which the lines stand, with the first that is known.
 
         Any value would do, since observations are divided by it and predictions multiplied. It
         never changes, so engines that come or go bend no line.
         """
-        self._reference = self._reference or seconds
+        self._reference_pace = self._reference_pace or seconds
 
-    def _slowed_by(self, beside: float) -> float:
+    def _load_slowdown(self, beside: float) -> float:
         """Return how much turns beside it slow a turn down."""
-        return self._pace.predict(beside) / self._pace.predict(0.0)
+        return self._interval_fit.predict(beside) / self._interval_fit.predict(0.0)
 
-    def _slowness(self, alone: float) -> float:
-        ratio = alone / self._usual_pace
+    def _slowness_ratio(self, alone_seconds: float) -> float:
+        ratio = alone_seconds / self._usual_pace
         return min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
 
-    def _note_usual(self, pace: float) -> None:
-        weight = max(USUAL_WEIGHT, 1.0 / (self._turns + 1))
-        self._own_usual += weight * (pace - self._own_usual)
+    def _update_own_usual_pace(self, pace: float) -> None:
+        weight = max(USUAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
+        self._own_usual_pace += weight * (pace - self._own_usual_pace)
 
-    def _observe_reading(self, turn: ServedTurn, now: float, told: ToldProfile | None) -> None:
+    def _observe_prefill(self, turn: ServedTurn, now: float, told: ToldProfile | None) -> None:
         relative = self._relative_pace(turn.engine_id, now, told)
-        self._reading.observe(turn.unread, turn.first_event_seconds / relative)
+        self._prefill_fit.observe(turn.unread, turn.first_event_seconds / relative)
 
-    def _lasting_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
+    def _baseline_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
         profile = self._profiles.get(engine_id)
         own = profile.pace(now) if profile is not None else UNKNOWN_PACE
         other = told.pace(now) if told is not None else UNKNOWN_PACE
@@ -297,11 +299,11 @@
 
     def _relative_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
         """Return an engine's lasting pace as a multiple of what the lines stand for."""
-        if not self._reference:
+        if not self._reference_pace:
             return 1.0
-        return self._lasting_pace(engine_id, now, told) / self._reference
+        return self._baseline_pace(engine_id, now, told) / self._reference_pace
 
-    def _present_pace(
+    def _current_relative_pace(
         self, engine_id: str, now: float, told: ToldProfile | None, told_slowness: float
     ) -> float:
         """Return the same with the spell that an engine is in."""
@@ -312,12 +314,12 @@
         relative *= profile.spell(now) if profile is not None else 1.0
         if told_slowness <= 1:
             return relative
-        return max(relative, told_slowness * self._usual_relative)
+        return max(relative, told_slowness * self._usual_relative_pace)
 
     def _expected_events(self, hinted: float | None) -> float:
         if hinted is None:
             return self.events
-        return min(max(hinted, self.events / HINT_FACTOR), self.events * HINT_FACTOR)
+        return min(max(hinted, self.events / MAX_HINT_FACTOR), self.events * MAX_HINT_FACTOR)
 
     def forget(self, engine_id: str) -> None:
         """Forget an engine that is gone."""
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -65,8 +65,8 @@
             hinted_events=hinted_events,
         )
 
-    def factor(self, engine_id: str) -> float:
-        return self.model.factor(engine_id, self.now)
+    def slowdown_factor(self, engine_id: str) -> float:
+        return self.model.slowdown_factor(engine_id, self.now)
 
     def told(self, pace: float, *, samples: float = 15, spell: float = 1.0) -> ToldProfile:
         return ToldProfile(pace_seconds=pace, samples=samples, spell=spell, told_at=self.now)
@@ -76,8 +76,8 @@
         return self.model.events
 
     @property
-    def reading_seconds_per_token(self) -> float:
-        return self.model.reading_seconds_per_token
+    def prefill_seconds_per_token(self) -> float:
+        return self.model.prefill_seconds_per_token
 
     @property
     def usual_seconds(self) -> float:
@@ -95,7 +95,7 @@
 
     def test_known_paces_are_found_in_noise(self) -> None:
         model = self.trained()
-        self.assertAlmostEqual(model.reading_seconds_per_token / READING, 1.0, delta=0.1)
+        self.assertAlmostEqual(model.prefill_seconds_per_token / READING, 1.0, delta=0.1)
         expected = 0.02 + 1000 * READING + model.events * (PACE + 6 * PER_TURN)
         predicted = model.predict("e", unread=1000, beside=6).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.1)
@@ -112,11 +112,11 @@
         for _ in range(30):
             for name in ("a", "b", "c"):
                 model.observe(served(source, name))
-        self.assertLess(model.factor("b"), 1.2)
+        self.assertLess(model.slowdown_factor("b"), 1.2)
 
     def test_a_slower_kind_in_a_pool_costs_more(self) -> None:
         model = self.trained(speeds={"fast": 1.0, "fast-2": 1.0, "slow": 1.3})
-        ratio = model.factor("slow") / model.factor("fast")
+        ratio = model.slowdown_factor("slow") / model.slowdown_factor("fast")
         self.assertAlmostEqual(ratio, 1.3, delta=0.1)
 
     def test_what_other_nodes_saw_counts_where_this_one_saw_nothing(self) -> None:
@@ -198,7 +198,7 @@
             observer.observe(served(source, "known"))
         observer.observe(served(source, "e", speed=2.5))
         much, little = (
-            observer.model.factor("e", observer.now, observer.told(PACE, samples=samples))
+            observer.model.slowdown_factor("e", observer.now, observer.told(PACE, samples=samples))
             for samples in (15, 0.2)
         )
         self.assertLess(much, 1.2)
