--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -20,7 +20,7 @@
     UNKNOWN_PACE,
     EngineProfile,
     ToldProfile,
-    merged,
+    merge_paces,
 )
 
 OBSERVATION_DECAY = 0.985
@@ -295,7 +295,7 @@
         profile = self._profiles.get(engine_id)
         own = profile.pace(now) if profile is not None else UNKNOWN_PACE
         other = told.pace(now) if told is not None else UNKNOWN_PACE
-        return merged(own, other, self._usual_pace)
+        return merge_paces(own, other, self._usual_pace)
 
     def _relative_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
         """Return an engine's lasting pace as a multiple of what the lines stand for."""
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -34,16 +34,16 @@
 """Time in which a spell fades to a third without new turns; some turns' time."""
 SPELL_SAMPLES = 3
 """Samples in a row, all slow or all fast, that make a spell."""
-LEAST_SAMPLES_OF_SPELL = 2 * SPELL_SAMPLES + 1
+MIN_SAMPLES_FOR_SPELL = 2 * SPELL_SAMPLES + 1
 """Samples from which the median is that of other ones than a spell is read from."""
-MOST_SPELL = 3.0
+MAX_SPELL_FACTOR = 3.0
 """A turn counts at most as this multiple of the lasting pace in a spell, and at least as its
 inverse, so that a pause of a process is not taken for the engine's."""
 SILENCE_FADE_SECONDS = 30.0
 """Time without a turn in which the weight of what was seen falls to a third."""
-ASSUMED_SAMPLES = 0.5
+PRIOR_SAMPLES = 0.5
 """Weight of the assumption that an engine is as fast as is usual in its pool."""
-ALIKE_SHARE = 0.05
+USUAL_PACE_TOLERANCE = 0.05
 """Paces closer to the usual one than this are taken for it: nodes that are told the same would all
 choose the engine that the noise of measurement favours."""
 FAULT_WEIGHT = 0.15
@@ -67,15 +67,15 @@
 UNKNOWN_PACE = Pace()
 
 
-def faded(samples: float, silence: float) -> float:
+def faded_samples(samples: float, silence: float) -> float:
     """Return the weight of samples after a time without new ones."""
     return samples * math.exp(-max(0.0, silence) / SILENCE_FADE_SECONDS)
 
 
 def faded_spell(spell: float, age: float) -> float:
     """Return what is believed of a spell some time after the latest turn."""
-    believed = math.exp(-max(0.0, age) / SPELL_FADE_SECONDS)
-    return believed * spell + (1.0 - believed)
+    remaining = math.exp(-max(0.0, age) / SPELL_FADE_SECONDS)
+    return remaining * spell + (1.0 - remaining)
 
 
 class ToldProfile(msgspec.Struct, frozen=True, kw_only=True):
@@ -93,7 +93,7 @@
 
     def pace(self, now: float) -> Pace:
         """Return the lasting pace, which counts less the older it is."""
-        return Pace(self.pace_seconds, faded(self.samples, now - self.told_at))
+        return Pace(self.pace_seconds, faded_samples(self.samples, now - self.told_at))
 
     def spell_at(self, now: float) -> float:
         """Return the spell as far as it is still believed."""
@@ -111,10 +111,10 @@
         """Know nothing yet."""
         self.failed = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
         self._samples: list[float] = []
-        self._sample_began = -math.inf
-        self._paced_at = -math.inf
+        self._sample_started_at = -math.inf
+        self._last_turn_at = -math.inf
         self._turns_in_sample = 0
-        self._lasting = 0.0
+        self._baseline = 0.0
         self._spell = 1.0
 
     def note_outcome(self, now: float, *, failed: bool) -> None:
@@ -123,56 +123,56 @@
 
     def note_pace(self, seconds: float, now: float) -> None:
         """Take the time between a turn's events in, as it would be if the turn ran alone."""
-        self._paced_at = now
-        self._add_to_samples(seconds, now)
-        self._lasting = median(self._samples)
+        self._last_turn_at = now
+        self._add_sample(seconds, now)
+        self._baseline = median(self._samples)
         self._spell = self._spell_of_samples()
 
     def pace(self, now: float) -> Pace:
         """Return the lasting pace."""
-        return Pace(self._lasting, faded(len(self._samples), now - self._paced_at))
+        return Pace(self._baseline, faded_samples(len(self._samples), now - self._last_turn_at))
 
     def spell(self, now: float) -> float:
         """Return the present time as a multiple of the lasting one."""
-        return faded_spell(self._spell, now - self._paced_at)
+        return faded_spell(self._spell, now - self._last_turn_at)
 
     def _spell_of_samples(self) -> float:
         """Return by how much the latest samples all differ from the lasting pace."""
-        if len(self._samples) < LEAST_SAMPLES_OF_SPELL:
+        if len(self._samples) < MIN_SAMPLES_FOR_SPELL:
             return 1.0
-        ratios = [sample / self._lasting for sample in self._samples[-SPELL_SAMPLES:]]
+        ratios = [sample / self._baseline for sample in self._samples[-SPELL_SAMPLES:]]
         if min(ratios) > 1:
-            return min(MOST_SPELL, *ratios)
+            return min(MAX_SPELL_FACTOR, *ratios)
         if max(ratios) < 1:
-            return max(1 / MOST_SPELL, *ratios)
+            return max(1 / MAX_SPELL_FACTOR, *ratios)
         return 1.0
 
-    def _add_to_samples(self, seconds: float, now: float) -> None:
-        if now - self._sample_began < SAMPLE_SECONDS:
+    def _add_sample(self, seconds: float, now: float) -> None:
+        if now - self._sample_started_at < SAMPLE_SECONDS:
             self._turns_in_sample += 1
-            latest = self._samples[-1]
-            self._samples[-1] = latest + (seconds - latest) / self._turns_in_sample
+            average = self._samples[-1]
+            self._samples[-1] = average + (seconds - average) / self._turns_in_sample
             return
-        self._sample_began = now
+        self._sample_started_at = now
         self._turns_in_sample = 1
         self._samples.append(seconds)
         del self._samples[:-MAX_SAMPLES]
 
 
-def merged(own: Pace, told: Pace, usual: float) -> float:
+def merge_paces(own: Pace, told: Pace, usual: float) -> float:
     """Return the lasting pace that follows from what this process saw and what it was told.
 
     Each counts by its samples, and the pool's usual one as a few of them. Paces are ratios by
     nature, so their logarithms are averaged: the result lies between the least and the greatest.
     One next to the usual pace is taken for it.
     """
-    weight, distance = ASSUMED_SAMPLES, 0.0
+    weight, log_ratio_sum = PRIOR_SAMPLES, 0.0
     for pace in (own, told):
         if pace.seconds > 0:
             weight += pace.samples
-            distance += pace.samples * math.log(pace.seconds / usual)
-    ratio = math.exp(distance / weight)
-    return usual if abs(ratio - 1) < ALIKE_SHARE else usual * ratio
+            log_ratio_sum += pace.samples * math.log(pace.seconds / usual)
+    ratio = math.exp(log_ratio_sum / weight)
+    return usual if abs(ratio - 1) < USUAL_PACE_TOLERANCE else usual * ratio
 
 
 def usual_pace(paces: Iterable[float]) -> float:
--- a/tests/property/test_engine_profiles.py
+++ b/tests/property/test_engine_profiles.py
@@ -9,10 +9,10 @@
 
 from yokeline.scheduling.engine_profiles import (
     MAX_SAMPLES,
-    MOST_SPELL,
+    MAX_SPELL_FACTOR,
     EngineProfile,
     Pace,
-    merged,
+    merge_paces,
 )
 
 MANY = settings(derandomize=True, deadline=None, max_examples=200)
@@ -31,7 +31,7 @@
         self, own: Pace, told: Pace, usual: float
     ) -> None:
         known = (own.seconds, told.seconds, usual)
-        result = merged(own, told, usual)
+        result = merge_paces(own, told, usual)
         self.assertGreaterEqual(result, min(known) * (1 - ROUNDING))
         self.assertLessEqual(result, max(known) * (1 + ROUNDING))
 
@@ -44,9 +44,9 @@
             now += pause
             profile.note_pace(pace, now)
         known = [pace for pace, _ in observed]
-        lasting = profile.pace(now)
-        self.assertGreaterEqual(lasting.seconds, min(known) * (1 - ROUNDING))
-        self.assertLessEqual(lasting.seconds, max(known) * (1 + ROUNDING))
-        self.assertLessEqual(lasting.samples, min(MAX_SAMPLES, len(observed)))
-        self.assertLessEqual(profile.spell(now), MOST_SPELL)
-        self.assertGreaterEqual(profile.spell(now), 1 / MOST_SPELL)
+        baseline = profile.pace(now)
+        self.assertGreaterEqual(baseline.seconds, min(known) * (1 - ROUNDING))
+        self.assertLessEqual(baseline.seconds, max(known) * (1 + ROUNDING))
+        self.assertLessEqual(baseline.samples, min(MAX_SAMPLES, len(observed)))
+        self.assertLessEqual(profile.spell(now), MAX_SPELL_FACTOR)
+        self.assertGreaterEqual(profile.spell(now), 1 / MAX_SPELL_FACTOR)
--- a/tests/unit/scheduling/test_engine_profiles.py
+++ b/tests/unit/scheduling/test_engine_profiles.py
@@ -10,7 +10,7 @@
     UNKNOWN_PACE,
     EngineProfile,
     Pace,
-    merged,
+    merge_paces,
     usual_pace,
 )
 
@@ -27,19 +27,19 @@
             self.now += every
             self.profile.note_pace(speed * PACE, self.now)
 
-    def lasting(self) -> float:
+    def baseline(self) -> float:
         return self.profile.pace(self.now).seconds / PACE
 
     def test_one_turn_says_something(self) -> None:
         self.assertEqual(self.profile.pace(self.now), UNKNOWN_PACE)
         self.serve(1, speed=1.7)
-        self.assertAlmostEqual(self.lasting(), 1.7)
+        self.assertAlmostEqual(self.baseline(), 1.7)
         self.assertAlmostEqual(self.profile.pace(self.now).samples, 1.0)
 
     def test_a_spell_of_a_busy_engine_does_not_bend_its_lasting_pace(self) -> None:
         self.serve(200, every=0.03)
         self.serve(70, speed=2.5, every=0.03)
-        self.assertAlmostEqual(self.lasting(), 1.0, delta=0.01)
+        self.assertAlmostEqual(self.baseline(), 1.0, delta=0.01)
         self.assertGreater(self.profile.spell(self.now), 2.0)
 
     def test_a_lasting_speed_is_told_as_no_spell(self) -> None:
@@ -61,9 +61,9 @@
     def test_an_engine_that_changes_for_good_is_followed(self) -> None:
         self.serve(30, every=0.25)
         self.serve(30, speed=3.0, every=0.25)
-        self.assertAlmostEqual(self.lasting(), 3.0, delta=0.1)
+        self.assertAlmostEqual(self.baseline(), 3.0, delta=0.1)
         self.serve(30, every=0.25)
-        self.assertAlmostEqual(self.lasting(), 1.0, delta=0.1)
+        self.assertAlmostEqual(self.baseline(), 1.0, delta=0.1)
 
     def test_turns_that_end_together_count_as_one_sample(self) -> None:
         self.serve(10, every=SAMPLE_SECONDS / 100)
@@ -83,17 +83,19 @@
 
 class Merging(unittest.TestCase):
     def test_what_has_seen_more_counts_more(self) -> None:
-        result = merged(Pace(1.0, 1.0), Pace(2.0, 10.0), 1.0)
+        result = merge_paces(Pace(1.0, 1.0), Pace(2.0, 10.0), 1.0)
         self.assertGreater(result, 1.7)
         self.assertLess(result, 2.0)
 
     def test_without_knowledge_an_engine_is_usual(self) -> None:
-        self.assertAlmostEqual(merged(UNKNOWN_PACE, UNKNOWN_PACE, 3.0), 3.0)
+        self.assertAlmostEqual(merge_paces(UNKNOWN_PACE, UNKNOWN_PACE, 3.0), 3.0)
 
     def test_engines_that_differ_by_noise_alone_are_alike(self) -> None:
-        paces = [merged(UNKNOWN_PACE, Pace(1 + noise, 15.0), 1.0) for noise in (-0.03, 0.0, 0.04)]
+        paces = [
+            merge_paces(UNKNOWN_PACE, Pace(1 + noise, 15.0), 1.0) for noise in (-0.03, 0.0, 0.04)
+        ]
         self.assertEqual(paces, [1.0, 1.0, 1.0])
-        self.assertGreater(merged(UNKNOWN_PACE, Pace(1.3, 15.0), 1.0), 1.25)
+        self.assertGreater(merge_paces(UNKNOWN_PACE, Pace(1.3, 15.0), 1.0), 1.25)
 
     def test_the_usual_pace_is_the_median_of_what_is_known(self) -> None:
         self.assertEqual(usual_pace([0.7, 0.0, 0.7, 1.7]), 0.7)
