--- a/src/yokeline/scheduling/engine_subsets.py
+++ b/src/yokeline/scheduling/engine_subsets.py
@@ -20,7 +20,7 @@
 import msgspec
 import xxhash
 
-SPARE = 2.0
+SUBSET_HEADROOM = 2.0
 """Engines in a subset for each one that the node's share of the load would fill: half of them may
 be loaded by other nodes, slow or gone."""
 LEAST_ENGINES = 3
@@ -45,7 +45,7 @@
 
     A node so prefers this many times the engines over the nodes on average.
     """
-    return min(nodes, math.ceil(max(SPARE, LEAST_ENGINES * nodes / engines)))
+    return min(nodes, math.ceil(max(SUBSET_HEADROOM, LEAST_ENGINES * nodes / engines)))
 
 
 def preferred_engines(
@@ -60,15 +60,17 @@
     """
     nodes_by_zone = _by_zone({*nodes, node})
     engines_by_zone = _by_zone(engines)
-    chosen = {
+    preferred = {
         engine.name
         for zone, group in engines_by_zone.items()
-        for engine in _that_prefer(node, nodes_by_zone.get(zone) or _all(nodes_by_zone), group)
+        for engine in _preferred_in_zone(
+            node, nodes_by_zone.get(zone) or _all_members(nodes_by_zone), group
+        )
     }
-    wanted = min(LEAST_ENGINES, len(engines))
-    if len(chosen) < wanted:
-        chosen |= _first_others(node, engines, chosen, wanted - len(chosen))
-    return frozenset(chosen)
+    minimum = min(LEAST_ENGINES, len(engines))
+    if len(preferred) < minimum:
+        preferred |= _fallback_engines(node, engines, preferred, minimum - len(preferred))
+    return frozenset(preferred)
 
 
 def _by_zone(items: Iterable[ZoneMember]) -> dict[str, list[ZoneMember]]:
@@ -78,36 +80,38 @@
     return dict(zones)
 
 
-def _all(zones: dict[str, list[ZoneMember]]) -> list[ZoneMember]:
+def _all_members(zones: dict[str, list[ZoneMember]]) -> list[ZoneMember]:
     return [item for group in zones.values() for item in group]
 
 
-def _that_prefer(
+def _preferred_in_zone(
     node: ZoneMember, nodes: Sequence[ZoneMember], engines: Sequence[ZoneMember]
 ) -> Iterable[ZoneMember]:
     """Return the engines that have a node among their own, of those that share a zone."""
     if node not in nodes:
         return []
-    most = nodes_per_engine(len(nodes), len(engines))
-    return [engine for engine in engines if _is_among(node, nodes, engine, most)]
+    limit = nodes_per_engine(len(nodes), len(engines))
+    return [engine for engine in engines if _ranks_within(node, nodes, engine, limit)]
 
 
-def _is_among(node: ZoneMember, nodes: Sequence[ZoneMember], engine: ZoneMember, most: int) -> bool:
+def _ranks_within(
+    node: ZoneMember, nodes: Sequence[ZoneMember], engine: ZoneMember, limit: int
+) -> bool:
     """Return whether fewer than ``most`` nodes rank before this one at an engine."""
     own = rank(node.name, engine.name)
-    before = 0
+    lower_ranks = 0
     for other in nodes:
-        before += rank(other.name, engine.name) < own
-        if before >= most:
+        lower_ranks += rank(other.name, engine.name) < own
+        if lower_ranks >= limit:
             return False
     return True
 
 
-def _first_others(
-    node: ZoneMember, engines: Iterable[ZoneMember], chosen: set[str], count: int
+def _fallback_engines(
+    node: ZoneMember, engines: Iterable[ZoneMember], preferred: set[str], count: int
 ) -> set[str]:
     """Return further engines, the own zone's first."""
-    others = [engine for engine in engines if engine.name not in chosen]
+    others = [engine for engine in engines if engine.name not in preferred]
     first = heapq.nsmallest(
         count, others, key=lambda item: (item.zone != node.zone, rank(node.name, item.name))
     )
--- a/tests/property/test_engine_subsets.py
+++ b/tests/property/test_engine_subsets.py
@@ -23,17 +23,17 @@
 sizes = st.integers(1, 40)
 
 
-class World:
+class Fleet:
     """Nodes and engines in zones, that come and go."""
 
     def __init__(self, seed: int, zone_count: int, nodes: int, engines: int) -> None:
         self.random = random.Random(seed)
         self.zone_count = zone_count
         self.number = 0
-        self.nodes = [self.place("edge") for _ in range(nodes)]
-        self.engines = [self.place("engine") for _ in range(engines)]
+        self.nodes = [self.new_member("edge") for _ in range(nodes)]
+        self.engines = [self.new_member("engine") for _ in range(engines)]
 
-    def place(self, kind: str) -> ZoneMember:
+    def new_member(self, kind: str) -> ZoneMember:
         self.number += 1
         return ZoneMember(f"{kind}-{self.number}", f"z{self.random.randrange(self.zone_count)}")
 
@@ -43,12 +43,12 @@
         if len(group) > 1 and self.random.random() < 0.5:
             del group[self.random.randrange(len(group))]
         else:
-            group.append(self.place(kind))
+            group.append(self.new_member(kind))
 
     def subsets(self) -> dict[str, frozenset[str]]:
         return {node.name: preferred_engines(node, self.nodes, self.engines) for node in self.nodes}
 
-    def least_preferences(self) -> dict[str, int]:
+    def min_preferences(self) -> dict[str, int]:
         """Return by how many nodes each engine is preferred at least."""
         nodes: dict[str, int] = Counter(node.zone for node in self.nodes)
         engines: dict[str, int] = Counter(engine.zone for engine in self.engines)
@@ -65,15 +65,15 @@
     def test_no_engine_is_left_out_and_no_node_has_too_few(
         self, seed: int, zone_count: int, nodes: int, engines: int
     ) -> None:
-        world = World(seed, zone_count, nodes, engines)
+        fleet = Fleet(seed, zone_count, nodes, engines)
         for _ in range(STEPS):
-            world.change()
-            chosen = world.subsets()
+            fleet.change()
+            chosen = fleet.subsets()
             counts = Counter(name for subset in chosen.values() for name in subset)
-            for name, least in world.least_preferences().items():
+            for name, least in fleet.min_preferences().items():
                 self.assertGreaterEqual(counts[name], least)
             fewest = min(len(subset) for subset in chosen.values())
-            self.assertGreaterEqual(fewest, min(LEAST_ENGINES, len(world.engines)))
+            self.assertGreaterEqual(fewest, min(LEAST_ENGINES, len(fleet.engines)))
 
     @SOME
     @given(st.integers(0, 2**32), st.integers(10, 30), st.integers(10, 30))
@@ -81,16 +81,16 @@
         self, seed: int, nodes: int, engines: int
     ) -> None:
         """A node that goes from another zone leaves a node with enough engines as it was."""
-        world = World(seed, 2, nodes, engines)
-        before = world.subsets()
-        gone = world.random.choice(world.nodes)
-        world.nodes.remove(gone)
+        fleet = Fleet(seed, 2, nodes, engines)
+        before = fleet.subsets()
+        gone = fleet.random.choice(fleet.nodes)
+        fleet.nodes.remove(gone)
         own_zone: dict[str, int] = defaultdict(int)
-        for engine in world.engines:
+        for engine in fleet.engines:
             own_zone[engine.zone] += 1
-        has_all_zones = {node.zone for node in world.nodes} >= set(own_zone)
-        for node in world.nodes:
+        has_all_zones = {node.zone for node in fleet.nodes} >= set(own_zone)
+        for node in fleet.nodes:
             is_apart = node.zone != gone.zone and own_zone[node.zone] >= LEAST_ENGINES
             if is_apart and has_all_zones:
-                after = preferred_engines(node, world.nodes, world.engines)
+                after = preferred_engines(node, fleet.nodes, fleet.engines)
                 self.assertEqual(after, before[node.name])
--- a/tests/unit/scheduling/test_engine_subsets.py
+++ b/tests/unit/scheduling/test_engine_subsets.py
@@ -16,7 +16,7 @@
 Subsets = dict[str, frozenset[str]]
 
 
-def places(kind: str, count: int, zones: int = ZONES) -> list[ZoneMember]:
+def members(kind: str, count: int, zones: int = ZONES) -> list[ZoneMember]:
     return [ZoneMember(f"{kind}-{number}", f"zone-{number % zones}") for number in range(count)]
 
 
@@ -24,7 +24,7 @@
     return {node.name: preferred_engines(node, nodes, engines) for node in nodes}
 
 
-def preferences(chosen: Subsets, engines: list[ZoneMember]) -> list[int]:
+def preference_counts(chosen: Subsets, engines: list[ZoneMember]) -> list[int]:
     """Return by how many nodes each engine is preferred."""
     counts = Counter(name for subset in chosen.values() for name in subset)
     return [counts[engine.name] for engine in engines]
@@ -32,9 +32,9 @@
 
 class Evenness(unittest.TestCase):
     def check(self, node_count: int, engine_count: int, *, most_to_mean: float) -> Subsets:
-        nodes, engines = places("edge", node_count), places("engine", engine_count)
+        nodes, engines = members("edge", node_count), members("engine", engine_count)
         chosen = subsets(nodes, engines)
-        counts = preferences(chosen, engines)
+        counts = preference_counts(chosen, engines)
         least = nodes_per_engine(node_count // ZONES, engine_count // ZONES)
         self.assertGreaterEqual(min(counts), least)
         self.assertLessEqual(max(counts), most_to_mean * statistics.fmean(counts))
@@ -54,82 +54,82 @@
         self.check(400, 600, most_to_mean=3.0)
 
     def test_engines_of_each_speed_are_preferred_alike(self) -> None:
-        nodes, engines = places("edge", 72), places("engine", 24)
-        counts = preferences(subsets(nodes, engines), engines)
+        nodes, engines = members("edge", 72), members("engine", 24)
+        counts = preference_counts(subsets(nodes, engines), engines)
         by_speed = [counts[number::SPEEDS] for number in range(SPEEDS)]
         means = [statistics.fmean(group) for group in by_speed]
         self.assertLess(max(means), 1.15 * min(means))
 
     def test_the_long_run_size(self) -> None:
         """Some nodes of 400 only, since all of them together take minutes."""
-        nodes, engines = places("edge", 400, zones=20), places("engine", 12_000, zones=20)
+        nodes, engines = members("edge", 400, zones=20), members("engine", 12_000, zones=20)
         sizes = [len(preferred_engines(node, nodes, engines)) for node in nodes[::25]]
         self.assertLess(max(sizes), 1.5 * statistics.fmean(sizes))
         self.assertAlmostEqual(statistics.fmean(sizes) / 60, 1.0, delta=0.15)
 
     def test_a_zone_of_the_long_run_size_is_even(self) -> None:
-        nodes, engines = places("edge", 20, zones=1), places("engine", 600, zones=1)
-        self.assertEqual(set(preferences(subsets(nodes, engines), engines)), {2})
+        nodes, engines = members("edge", 20, zones=1), members("engine", 600, zones=1)
+        self.assertEqual(set(preference_counts(subsets(nodes, engines), engines)), {2})
 
     def test_the_size_of_a_fleet_of_few_nodes(self) -> None:
-        nodes, engines = places("edge", 72, zones=12), places("engine", 12_000, zones=12)
+        nodes, engines = members("edge", 72, zones=12), members("engine", 12_000, zones=12)
         sizes = [len(preferred_engines(node, nodes, engines)) for node in nodes[::9]]
         self.assertAlmostEqual(statistics.fmean(sizes) / 333, 1.0, delta=0.15)
 
 
 class Zones(unittest.TestCase):
     def test_engines_of_the_own_zone_come_first(self) -> None:
-        nodes, engines = places("edge", 72), places("engine", 24)
+        nodes, engines = members("edge", 72), members("engine", 24)
         zones = {engine.name: engine.zone for engine in engines}
         for node in nodes:
             subset = preferred_engines(node, nodes, engines)
             self.assertEqual({zones[name] for name in subset}, {node.zone})
 
     def test_a_zone_without_engines_prefers_those_of_others(self) -> None:
-        nodes = places("edge", 40)
-        engines = [item for item in places("engine", 24) if item.zone != "zone-0"]
-        counts = preferences(subsets(nodes, engines), engines)
+        nodes = members("edge", 40)
+        engines = [item for item in members("engine", 24) if item.zone != "zone-0"]
+        counts = preference_counts(subsets(nodes, engines), engines)
         self.assertGreaterEqual(
             min(len(subset) for subset in subsets(nodes, engines).values()), LEAST_ENGINES
         )
         self.assertGreater(min(counts), 0)
 
     def test_engines_of_a_zone_without_nodes_are_preferred_too(self) -> None:
-        nodes = [item for item in places("edge", 40) if item.zone != "zone-0"]
-        engines = places("engine", 24)
-        self.assertGreater(min(preferences(subsets(nodes, engines), engines)), 0)
+        nodes = [item for item in members("edge", 40) if item.zone != "zone-0"]
+        engines = members("engine", 24)
+        self.assertGreater(min(preference_counts(subsets(nodes, engines), engines)), 0)
 
     def test_a_node_that_is_not_listed_yet_prefers_some(self) -> None:
-        nodes, engines = places("edge", 20), places("engine", 24)
+        nodes, engines = members("edge", 20), members("engine", 24)
         new = ZoneMember("new", "zone-1")
         self.assertGreaterEqual(len(preferred_engines(new, nodes, engines)), LEAST_ENGINES)
 
     def test_a_pool_of_two_engines_is_preferred_whole_and_one_of_none_not_at_all(self) -> None:
-        nodes, engines = places("edge", 20), places("engine", 2)
+        nodes, engines = members("edge", 20), members("engine", 2)
         self.assertEqual(len(preferred_engines(nodes[3], nodes, engines)), 2)
         self.assertEqual(preferred_engines(nodes[3], nodes, []), frozenset())
 
 
 class Changes(unittest.TestCase):
-    def moved(self, before: Subsets, after: Subsets) -> int:
+    def changed_pairs(self, before: Subsets, after: Subsets) -> int:
         """Return how many pairs of a node and an engine are new or gone."""
         return sum(len(before[name] ^ after[name]) for name in before if name in after)
 
-    def pairs(self, chosen: Subsets) -> int:
+    def count_pairs(self, chosen: Subsets) -> int:
         return sum(len(subset) for subset in chosen.values())
 
     def test_an_engine_that_goes_moves_few_pairs(self) -> None:
-        nodes, engines = places("edge", 72), places("engine", 24)
+        nodes, engines = members("edge", 72), members("engine", 24)
         before, after = subsets(nodes, engines), subsets(nodes, engines[:11] + engines[12:])
-        self.assertLess(self.moved(before, after), 0.15 * self.pairs(before))
+        self.assertLess(self.changed_pairs(before, after), 0.15 * self.count_pairs(before))
 
     def test_an_engine_that_comes_is_preferred_at_once(self) -> None:
-        nodes, engines = places("edge", 72), places("engine", 24)
+        nodes, engines = members("edge", 72), members("engine", 24)
         before, after = subsets(nodes, engines[:23]), subsets(nodes, engines)
-        self.assertGreaterEqual(preferences(after, engines)[23], 9)
-        self.assertLess(self.moved(before, after), 0.15 * self.pairs(before))
+        self.assertGreaterEqual(preference_counts(after, engines)[23], 9)
+        self.assertLess(self.changed_pairs(before, after), 0.15 * self.count_pairs(before))
 
     def test_a_node_that_comes_or_goes_moves_few_pairs(self) -> None:
-        nodes, engines = places("edge", 72), places("engine", 600)
+        nodes, engines = members("edge", 72), members("engine", 600)
         before, after = subsets(nodes[:71], engines), subsets(nodes, engines)
-        self.assertLess(self.moved(before, after), 0.1 * self.pairs(before))
+        self.assertLess(self.changed_pairs(before, after), 0.1 * self.count_pairs(before))
