--- a/src/yokeline/scheduling/passing_over.py
+++ b/src/yokeline/scheduling/passing_over.py
@@ -13,12 +13,12 @@
 
 from yokeline.fading import FadingAverage
 
-LEAST_PART = 1 / 3
+MIN_SERVICE_RATIO = 1 / 3
 """How often a tenant is served at least, as a part of how often all are."""
-MOST_AHEAD = 4.0
+MAX_SURPLUS = 4.0
 """Places beyond that part that count towards it later; more of them are forgotten, so that a long
 time with room for all does not let a tenant be passed over for as long afterwards."""
-MOST_OWED = 16.0
+MAX_DEFICIT = 16.0
 """Places owed at most: a tenant that competes as an equal and gets none for long, since others are
 more urgent, is not let by for as long once that has changed."""
 MAX_TENANTS = 4096
@@ -32,25 +32,27 @@
 class PassingOver(msgspec.Struct):
     """Counts, for one node, the places that each tenant got and those that it is owed."""
 
-    _owed: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
-    _served: FadingAverage = msgspec.field(
+    _deficits: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
+    _service_rate: FadingAverage = msgspec.field(
         default_factory=lambda: FadingAverage(1.0, SERVED_WEIGHT, SERVED_FADE_SECONDS)
     )
 
     def __len__(self) -> int:
         """Return how many tenants are counted."""
-        return len(self._owed)
+        return len(self._deficits)
 
     def is_owed(self, tenant: str) -> bool:
         """Return whether a tenant's programs must not be held back."""
-        return self._owed.get(tenant, 0.0) >= 1.0
+        return self._deficits.get(tenant, 0.0) >= 1.0
 
     def note(self, tenant: str, now: float, *, is_served: bool) -> None:
         """Count a new program that got a place, or ceased to wait without one."""
-        self._served.observe(float(is_served), now)
-        owed = self._owed.pop(tenant, 0.0) + LEAST_PART * self._served.value(now)
+        self._service_rate.observe(float(is_served), now)
+        deficit = self._deficits.pop(tenant, 0.0) + MIN_SERVICE_RATIO * self._service_rate.value(
+            now
+        )
         if is_served:
-            owed -= 1.0
-        self._owed[tenant] = min(MOST_OWED, max(-MOST_AHEAD, owed))
-        if len(self._owed) > MAX_TENANTS:
-            self._owed.popitem(last=False)
+            deficit -= 1.0
+        self._deficits[tenant] = min(MAX_DEFICIT, max(-MAX_SURPLUS, deficit))
+        if len(self._deficits) > MAX_TENANTS:
+            self._deficits.popitem(last=False)
--- a/src/yokeline/scheduling/tenant_shares.py
+++ b/src/yokeline/scheduling/tenant_shares.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-LEAST_SHARE = 1.0
+MIN_SHARE = 1.0
 """Places that a tenant may hold at least, however small its weight."""
-LEAST_EXCESS = 1.0
+MIN_EXCESS = 1.0
 """Places beyond its share from which a tenant counts as beyond it: shares are fractions, and a
 tenant that holds the next whole number of places has taken none from others."""
 MAX_BEYOND = 8
@@ -57,7 +57,7 @@
 
     def share_of(self, demand: TenantDemand) -> float:
         """Return the places that a tenant is entitled to."""
-        return min(demand.wanted, max(LEAST_SHARE, self.level * demand.weight))
+        return min(demand.wanted, max(MIN_SHARE, self.level * demand.weight))
 
 
 def shares_of(demands: Collection[TenantDemand], places: float) -> Shares:
@@ -70,12 +70,9 @@
         return shares
     # Who holds more than these places wants more as well, so they are its whole share.
     excesses = (
-        (item.running - max(LEAST_SHARE, level * item.weight), item.tenant, item)
-        for item in demands
-    )
-    beyond = (
-        (-excess, tenant, item) for excess, tenant, item in excesses if excess >= LEAST_EXCESS
+        (item.running - max(MIN_SHARE, level * item.weight), item.tenant, item) for item in demands
     )
+    beyond = ((-excess, tenant, item) for excess, tenant, item in excesses if excess >= MIN_EXCESS)
     largest = heapq.nsmallest(MAX_BEYOND, beyond, key=lambda entry: entry[:2])
     return Shares(level, tuple(item for _, _, item in largest))
 
@@ -86,14 +83,16 @@
     It is infinite if there are places for all that is wanted (water filling: the tenants that
     want least for their weight are served whole, and the others share what is left).
     """
-    wants = [(item.running + item.waiting, item.weight) for item in demands]
-    if sum(wanted for wanted, _ in wants) <= places:
+    demanded = [(item.running + item.waiting, item.weight) for item in demands]
+    if sum(wanted for wanted, _ in demanded) <= places:
         return math.inf
-    left = places
-    weights = math.fsum(weight for _, weight in wants)
-    for _, wanted, weight in sorted((wanted / weight, wanted, weight) for wanted, weight in wants):
-        if wanted * weights > left * weight:
-            return max(0.0, left / weights)
-        left -= wanted
-        weights -= weight
+    remaining = places
+    total_weight = math.fsum(weight for _, weight in demanded)
+    for _, wanted, weight in sorted(
+        (wanted / weight, wanted, weight) for wanted, weight in demanded
+    ):
+        if wanted * total_weight > remaining * weight:
+            return max(0.0, remaining / total_weight)
+        remaining -= wanted
+        total_weight -= weight
     return math.inf
--- a/tests/property/test_tenant_shares.py
+++ b/tests/property/test_tenant_shares.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yokeline.scheduling.passing_over import LEAST_PART, PassingOver
+from yokeline.scheduling.passing_over import MIN_SERVICE_RATIO, PassingOver
 from yokeline.scheduling.tenant_shares import (
-    LEAST_EXCESS,
-    LEAST_SHARE,
     MAX_BEYOND,
+    MIN_EXCESS,
+    MIN_SHARE,
     TenantDemand,
     fair_level,
     shares_of,
@@ -38,7 +38,7 @@
 place_counts = st.integers(min_value=0, max_value=400)
 
 
-def cut(demands: list[TenantDemand], level: float) -> list[float]:
+def allocations(demands: list[TenantDemand], level: float) -> list[float]:
     return [min(item.wanted, level * item.weight) if item.wanted else 0.0 for item in demands]
 
 
@@ -48,7 +48,7 @@
     def test_the_shares_add_up_to_the_places_or_to_all_that_is_wanted(
         self, demands: list[TenantDemand], places: int
     ) -> None:
-        total = sum(cut(demands, fair_level(demands, places)))
+        total = sum(allocations(demands, fair_level(demands, places)))
         wanted = sum(item.wanted for item in demands)
         self.assertAlmostEqual(total, min(places, wanted), delta=ROUNDING * (1 + wanted))
 
@@ -58,7 +58,7 @@
         self, demands: list[TenantDemand], places: int
     ) -> None:
         """Max-min: to give more to one that lacks, one with no more for its weight must lose."""
-        shares = cut(demands, fair_level(demands, places))
+        shares = allocations(demands, fair_level(demands, places))
         for item, share in zip(demands, shares, strict=True):
             if share >= item.wanted - ROUNDING:
                 continue
@@ -102,7 +102,7 @@
         shares = shares_of(demands, places)
         lacking = [item for item in demands if item.waiting and item.running < item.wanted]
         for item in shares.beyond:
-            self.assertGreaterEqual(item.running, shares.share_of(item) + LEAST_EXCESS)
+            self.assertGreaterEqual(item.running, shares.share_of(item) + MIN_EXCESS)
             self.assertTrue(any(other.tenant != item.tenant for other in lacking))
 
     @EXAMPLES
@@ -115,7 +115,7 @@
         excesses = [item.running - shares.share_of(item) for item in shares.beyond]
         self.assertEqual(excesses, sorted(excesses, reverse=True))
         for item in shares.beyond:
-            self.assertGreater(item.running, min(LEAST_SHARE, item.wanted))
+            self.assertGreater(item.running, min(MIN_SHARE, item.wanted))
 
     @EXAMPLES
     @given(st.integers(0, 500), st.integers(0, 500), place_counts)
@@ -159,5 +159,5 @@
             passing.note(tenant, 0.01 * step, is_served=is_served)
         for tenant in "abc":
             own = [is_served for name, is_served in ends if name == tenant]
-            if sum(own) >= LEAST_PART * len(own):
+            if sum(own) >= MIN_SERVICE_RATIO * len(own):
                 self.assertFalse(passing.is_owed(tenant))
--- a/tests/unit/scheduling/test_tenant_shares.py
+++ b/tests/unit/scheduling/test_tenant_shares.py
@@ -5,7 +5,7 @@
 import math
 import unittest
 
-from yokeline.scheduling.passing_over import MAX_TENANTS, MOST_OWED, PassingOver
+from yokeline.scheduling.passing_over import MAX_DEFICIT, MAX_TENANTS, PassingOver
 from yokeline.scheduling.tenant_shares import MAX_BEYOND, Shares, TenantDemand, shares_of
 
 
@@ -79,7 +79,7 @@
         for _ in range(2000):
             passing.note("calm", 0.0, is_served=True)
             passing.note("hot", 0.0, is_served=False)
-        for _ in range(int(1.5 * MOST_OWED)):
+        for _ in range(int(1.5 * MAX_DEFICIT)):
             passing.note("hot", 0.0, is_served=True)
         self.assertFalse(passing.is_owed("hot"))
 
