--- a/src/yokeline/scheduling/program_admission.py
+++ b/src/yokeline/scheduling/program_admission.py
@@ -18,10 +18,10 @@
 
 from yokeline.scheduling.program_sizes import ProgramSize
 
-ERROR_MULTIPLE = 1.25
+STD_DEVIATIONS_PER_MEAN_DEVIATION = 1.25
 """Standard deviations per mean deviation (of a normal distribution): the claims together exceed
 what is expected by more than that in one case of six."""
-TIME_STEPS = 8
+BISECTION_STEPS = 8
 """Halvings in the search for the time of return: to 1 part in 256 of the longest one."""
 
 
@@ -104,8 +104,8 @@
     margin = _margin(sum(item.count * item.deviation**2 for item in held) + size.deviation**2)
     retry_after = 0.0
     if held and total + margin > supply.level:
-        most_wait = (total + margin - supply.level) / supply.rate
-        retry_after = _earliest(_Slack(supply, held, size), size, most_wait)
+        upper_bound = (total + margin - supply.level) / supply.rate
+        retry_after = _earliest_start(_Slack(supply, held, size), size, upper_bound)
     return Admission(
         is_let_in=retry_after <= 0.0,
         retry_after=retry_after,
@@ -117,7 +117,7 @@
 
 def _margin(variance: float) -> float:
     """Return by how much claims may exceed what is expected; errors of many partly cancel out."""
-    return ERROR_MULTIPLE * math.sqrt(variance)
+    return STD_DEVIATIONS_PER_MEAN_DEVIATION * math.sqrt(variance)
 
 
 class _Slack:
@@ -128,57 +128,57 @@
     """
 
     def __init__(self, supply: Supply, claims: list[Claims], new: ProgramSize) -> None:
-        pace = sum(item.count * item.requests / item.seconds for item in claims)
-        spread = sum(item.count * item.deviation**2 / item.seconds for item in claims)
-        at, due, variance = 0.0, 0.0, new.deviation**2
+        due_rate = sum(item.count * item.requests / item.seconds for item in claims)
+        variance_rate = sum(item.count * item.deviation**2 / item.seconds for item in claims)
+        time, due, variance = 0.0, 0.0, new.deviation**2
         self._rate = supply.rate
-        self.times = [at]
+        self.times = [time]
         self.requests = [supply.level - _margin(variance)]
         for item in sorted(claims, key=lambda item: item.seconds):
-            passed = item.seconds - at
-            at = item.seconds
-            due += pace * passed
-            variance += spread * passed
-            pace -= item.count * item.requests / at
-            spread -= item.count * item.deviation**2 / at
-            self.times.append(at)
-            self.requests.append(supply.level + supply.rate * at - due - _margin(variance))
-
-    def at(self, time: float) -> float:
+            elapsed = item.seconds - time
+            time = item.seconds
+            due += due_rate * elapsed
+            variance += variance_rate * elapsed
+            due_rate -= item.count * item.requests / time
+            variance_rate -= item.count * item.deviation**2 / time
+            self.times.append(time)
+            self.requests.append(supply.level + supply.rate * time - due - _margin(variance))
+
+    def value_at(self, time: float) -> float:
         """Return the slack at a time."""
-        after = bisect_right(self.times, time)
-        begin, slack = self.times[after - 1], self.requests[after - 1]
-        if after == len(self.times):
-            return slack + self._rate * (time - begin)
-        share = (time - begin) / (self.times[after] - begin)
-        return slack + share * (self.requests[after] - slack)
-
-    def carries(self, new: ProgramSize, begin: float) -> bool:
+        next_index = bisect_right(self.times, time)
+        start, slack = self.times[next_index - 1], self.requests[next_index - 1]
+        if next_index == len(self.times):
+            return slack + self._rate * (time - start)
+        fraction = (time - start) / (self.times[next_index] - start)
+        return slack + fraction * (self.requests[next_index] - slack)
+
+    def can_start_at(self, new: ProgramSize, start: float) -> bool:
         """Return whether a program that begins at a time has what it asks for at each moment."""
-        if self.at(begin) < 0 or self.at(begin + new.seconds) < new.requests:
+        if self.value_at(start) < 0 or self.value_at(start + new.seconds) < new.requests:
             return False
-        first = bisect_right(self.times, begin)
+        first = bisect_right(self.times, start)
         ends = zip(self.times[first:], self.requests[first:], strict=True)
         return all(
-            new.requests <= slack or new.rate * (time - begin) <= slack for time, slack in ends
+            new.requests <= slack or new.rate * (time - start) <= slack for time, slack in ends
         )
 
 
-def _earliest(slack: _Slack, new: ProgramSize, most: float) -> float:
+def _earliest_start(slack: _Slack, new: ProgramSize, upper_bound: float) -> float:
     """Return the seconds after which a new program can begin; 0 if it can now.
 
     Args:
         slack: What is left to it.
         new: Its size.
-        most: Seconds after which there is room in any case.
+        upper_bound: Seconds after which there is room in any case.
     """
-    if slack.carries(new, 0.0):
+    if slack.can_start_at(new, 0.0):
         return 0.0
-    too_early, early_enough = 0.0, most
-    for _ in range(TIME_STEPS):
-        middle = (too_early + early_enough) / 2
-        if slack.carries(new, middle):
-            early_enough = middle
+    low, high = 0.0, upper_bound
+    for _ in range(BISECTION_STEPS):
+        middle = (low + high) / 2
+        if slack.can_start_at(new, middle):
+            high = middle
         else:
-            too_early = middle
-    return early_enough
+            low = middle
+    return high
