--- a/src/yokeline/scheduling/program_admission.py
+++ b/src/yokeline/scheduling/program_admission.py
@@ -80,7 +80,7 @@
     One that asks for more than expected goes on to claim what programs deviate by, until it has
     asked for so much that it loops.
     """
-    if used > size.most_requests:
+    if used > size.max_requests:
         return None
     requests = max(size.requests - used, size.deviation)
     if requests <= 0:
--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -17,12 +17,12 @@
 LEAST_PROGRAMS = 5
 """Programs that must have ended before a size is known: of five the median is that of whole
 programs even if two of them looped."""
-REMEMBERED_PROGRAMS = 40
+AVERAGING_PROGRAMS = 40
 """Programs after which an earlier one counts for a third of what it did; until there are so many,
 all count alike, so that the first few do not decide for long."""
-MOST_COUNTED = 4.0
+OUTLIER_FACTOR = 4.0
 """A program counts for no more than this multiple of the usual one."""
-LEAST_SECONDS = 0.05
+MIN_DURATION_SECONDS = 0.05
 """Shortest span of a program: one that sends all its requests at once has no pace."""
 
 
@@ -45,9 +45,9 @@
         return self.requests / self.seconds
 
     @property
-    def most_requests(self) -> float:
+    def max_requests(self) -> float:
         """Requests beyond which a program is not what was expected: it loops."""
-        return MOST_COUNTED * max(1.0, self.requests)
+        return OUTLIER_FACTOR * max(1.0, self.requests)
 
 
 class _Sample(msgspec.Struct, frozen=True):
@@ -62,8 +62,8 @@
 
     def __init__(self) -> None:
         """Know nothing."""
-        self._ended = 0
-        self._first: list[_Sample] = []
+        self._ended_programs = 0
+        self._initial_samples: list[_Sample] = []
         self._size: ProgramSize | None = None
 
     @property
@@ -78,39 +78,39 @@
             requests: That it sent in all.
             seconds: From its first request to its last activity.
         """
-        sample = _Sample(float(requests), max(LEAST_SECONDS, seconds))
-        self._ended += 1
+        sample = _Sample(float(requests), max(MIN_DURATION_SECONDS, seconds))
+        self._ended_programs += 1
         if self._size is not None:
-            weight = 1.0 / min(self._ended, REMEMBERED_PROGRAMS)
-            self._size = _moved(self._size, sample, weight)
+            weight = 1.0 / min(self._ended_programs, AVERAGING_PROGRAMS)
+            self._size = _updated(self._size, sample, weight)
             return
-        self._first.append(sample)
-        if len(self._first) >= LEAST_PROGRAMS:
-            self._size = _size_of(self._first)
-            self._first.clear()
+        self._initial_samples.append(sample)
+        if len(self._initial_samples) >= LEAST_PROGRAMS:
+            self._size = _initial_size(self._initial_samples)
+            self._initial_samples.clear()
 
 
-def _size_of(samples: list[_Sample]) -> ProgramSize:
+def _initial_size(samples: list[_Sample]) -> ProgramSize:
     """Return the size that a few programs tell; medians first, so that loops do not set the cap."""
-    most_requests = MOST_COUNTED * median([item.requests for item in samples])
-    most_seconds = MOST_COUNTED * median([item.seconds for item in samples])
-    counted = [min(item.requests, most_requests) for item in samples]
-    requests = _mean(counted)
+    max_requests = OUTLIER_FACTOR * median([item.requests for item in samples])
+    max_seconds = OUTLIER_FACTOR * median([item.seconds for item in samples])
+    capped = [min(item.requests, max_requests) for item in samples]
+    requests = _mean(capped)
     return ProgramSize(
         requests=requests,
-        deviation=_mean([abs(item - requests) for item in counted]),
-        seconds=_mean([min(item.seconds, most_seconds) for item in samples]),
+        deviation=_mean([abs(item - requests) for item in capped]),
+        seconds=_mean([min(item.seconds, max_seconds) for item in samples]),
     )
 
 
-def _moved(size: ProgramSize, sample: _Sample, weight: float) -> ProgramSize:
+def _updated(size: ProgramSize, sample: _Sample, weight: float) -> ProgramSize:
     """Return a size after one more program, which counts for ``weight``."""
-    requests = min(sample.requests, size.most_requests)
-    seconds = min(sample.seconds, MOST_COUNTED * size.seconds)
-    off = abs(requests - size.requests)
+    requests = min(sample.requests, size.max_requests)
+    seconds = min(sample.seconds, OUTLIER_FACTOR * size.seconds)
+    deviation = abs(requests - size.requests)
     return ProgramSize(
         requests=size.requests + weight * (requests - size.requests),
-        deviation=size.deviation + weight * (off - size.deviation),
+        deviation=size.deviation + weight * (deviation - size.deviation),
         seconds=size.seconds + weight * (seconds - size.seconds),
     )
 
--- a/tests/unit/scheduling/test_program_admission.py
+++ b/tests/unit/scheduling/test_program_admission.py
@@ -9,7 +9,7 @@
     claims_of,
     decide,
 )
-from yokeline.scheduling.program_sizes import MOST_COUNTED, ProgramSize
+from yokeline.scheduling.program_sizes import OUTLIER_FACTOR, ProgramSize
 
 SIZE = ProgramSize(requests=10.0, deviation=0.0, seconds=2.0)
 UNSURE = ProgramSize(requests=10.0, deviation=3.0, seconds=2.0)
@@ -36,7 +36,7 @@
         self.assertEqual(claims.requests, UNSURE.deviation)
 
     def test_a_program_that_loops_holds_nothing(self) -> None:
-        self.assertEqual(held(1, used=int(MOST_COUNTED * 10) + 1, size=UNSURE), [])
+        self.assertEqual(held(1, used=int(OUTLIER_FACTOR * 10) + 1, size=UNSURE), [])
 
 
 class Decisions(unittest.TestCase):
--- a/tests/unit/scheduling/test_program_sizes.py
+++ b/tests/unit/scheduling/test_program_sizes.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from yokeline.scheduling.program_sizes import LEAST_PROGRAMS, MOST_COUNTED, SizeEstimate
+from yokeline.scheduling.program_sizes import LEAST_PROGRAMS, OUTLIER_FACTOR, SizeEstimate
 
 
 def learned(*requests: int, seconds: float = 2.0) -> SizeEstimate:
@@ -36,7 +36,7 @@
     def test_programs_that_loop_do_not_distort_it_neither_at_first_nor_later(self) -> None:
         first = learned(1000, 1000, 10, 10, 10).size
         assert first is not None
-        self.assertLessEqual(first.requests, 10 * (3 + 2 * MOST_COUNTED) / 5)
+        self.assertLessEqual(first.requests, 10 * (3 + 2 * OUTLIER_FACTOR) / 5)
         later = learned(*([10] * 19 + [5000]) * 20).size
         assert later is not None
         self.assertLess(later.requests, 13.0)
