--- a/src/yokeline/scheduling/program_lateness.py
+++ b/src/yokeline/scheduling/program_lateness.py
@@ -10,7 +10,7 @@
 
 WEIGHT = 0.05
 """Weight of one program in the learned share."""
-MOST_SHARE = 0.95
+MAX_SHARE = 0.95
 """Where programs take all the time that they are given, one that has just come still counts as one
 that can end in time."""
 
@@ -26,14 +26,14 @@
         """Know nothing."""
         self._share: float | None = None
 
-    def observe(self, seconds: float, given: float) -> None:
+    def observe(self, seconds: float, time_limit: float) -> None:
         """Learn from a program that took ``seconds`` of those that it was given."""
-        if given <= 0:
+        if time_limit <= 0:
             return
-        observed = min(MOST_SHARE, seconds / given)
-        known = observed if self._share is None else self._share
-        self._share = known + WEIGHT * (observed - known)
+        observed = min(MAX_SHARE, seconds / time_limit)
+        mean = observed if self._share is None else self._share
+        self._share = mean + WEIGHT * (observed - mean)
 
-    def is_late(self, left: float, given: float) -> bool:
+    def is_late(self, time_left: float, time_limit: float) -> bool:
         """Return whether what is left of the time given is less than such programs take."""
-        return self._share is not None and left < self._share * given
+        return self._share is not None and time_left < self._share * time_limit
--- a/src/yokeline/scheduling/program_times.py
+++ b/src/yokeline/scheduling/program_times.py
@@ -17,20 +17,20 @@
 
 import msgspec
 
-START_SHARE = 0.7
+INITIAL_SHARE = 0.7
 """Share before anything was seen: a program that is given 1.4 times what it takes on idle engines
 takes that."""
-LEAST_SHARE = 0.1
+MIN_SHARE = 0.1
 """Bound below the learned share, so that a few short programs do not let a first turn wait for all
 its time."""
-MOST_SHARE = 0.9
+MAX_SHARE = 0.9
 """A first turn always bears a little: a program that ends somewhat late is worth more than one
 that never begins."""
 QUANTILE = 0.8
-STEP = 0.05
+QUANTILE_STEP = 0.05
 """By how much an observation moves the learned share; one moves it by this times the quantile, or
 by this times the rest."""
-SILENT_SHARE = 1.0
+IDLE_TIMEOUT_SHARE = 1.0
 """Time without a request after which a program has ended, as a share of what it was given."""
 MAX_PROGRAMS = 4096
 """Programs that are followed at once; the one that was silent for longest counts as ended."""
@@ -38,13 +38,13 @@
 """Routes of which a share is kept; the oldest gives way."""
 
 
-class _Followed(msgspec.Struct):
+class _TrackedProgram(msgspec.Struct):
     """A program whose first turn this node sent."""
 
     route: str
-    given: float
-    began: float
-    seen: float
+    time_limit: float
+    started_at: float
+    last_answer_at: float
 
 
 class ProgramTimes:
@@ -52,51 +52,51 @@
 
     def __init__(self) -> None:
         """Know nothing yet."""
-        self._followed: OrderedDict[str, _Followed] = OrderedDict()
+        self._tracked: OrderedDict[str, _TrackedProgram] = OrderedDict()
         self._shares: OrderedDict[str, float] = OrderedDict()
 
     def share(self, route: str) -> float:
         """Return which share of their time programs that begin on a route take."""
-        return self._shares.get(route, START_SHARE)
+        return self._shares.get(route, INITIAL_SHARE)
 
-    def begin(self, program: str, route: str, given: float, now: float) -> None:
+    def begin(self, program: str, route: str, time_limit: float, now: float) -> None:
         """Follow a program whose first turn is sent.
 
         Args:
             program: Its name.
             route: Of its first turn.
-            given: Seconds in which it should be over, from its arrival.
+            time_limit: Seconds in which it should be over, from its arrival.
             now: Time of the send (monotonic seconds).
         """
-        self._close_silent(now)
-        if given <= 0 or program in self._followed:
+        self._close_idle(now)
+        if time_limit <= 0 or program in self._tracked:
             return
-        self._followed[program] = _Followed(route, given, now, now)
-        if len(self._followed) > MAX_PROGRAMS:
-            self._close(next(iter(self._followed)))
+        self._tracked[program] = _TrackedProgram(route, time_limit, now, now)
+        if len(self._tracked) > MAX_PROGRAMS:
+            self._close(next(iter(self._tracked)))
 
     def answered(self, program: str, now: float) -> None:
         """Note that a request of a program got its whole answer."""
-        followed = self._followed.get(program)
-        if followed is not None:
-            followed.seen = now
-            self._followed.move_to_end(program)
+        tracked = self._tracked.get(program)
+        if tracked is not None:
+            tracked.last_answer_at = now
+            self._tracked.move_to_end(program)
 
-    def _close_silent(self, now: float) -> None:
+    def _close_idle(self, now: float) -> None:
         """Count the programs that were silent for so long that they have ended."""
-        while self._followed:
-            program, followed = next(iter(self._followed.items()))
-            if now - followed.seen < SILENT_SHARE * followed.given:
+        while self._tracked:
+            program, tracked = next(iter(self._tracked.items()))
+            if now - tracked.last_answer_at < IDLE_TIMEOUT_SHARE * tracked.time_limit:
                 return
             self._close(program)
 
     def _close(self, program: str) -> None:
-        followed = self._followed.pop(program)
-        if followed.seen <= followed.began:
+        tracked = self._tracked.pop(program)
+        if tracked.last_answer_at <= tracked.started_at:
             return
-        observed = (followed.seen - followed.began) / followed.given
-        share = self.share(followed.route)
-        share += STEP * QUANTILE if observed > share else -STEP * (1.0 - QUANTILE)
-        self._shares[followed.route] = min(max(share, LEAST_SHARE), MOST_SHARE)
+        observed = (tracked.last_answer_at - tracked.started_at) / tracked.time_limit
+        share = self.share(tracked.route)
+        share += QUANTILE_STEP * QUANTILE if observed > share else -QUANTILE_STEP * (1.0 - QUANTILE)
+        self._shares[tracked.route] = min(max(share, MIN_SHARE), MAX_SHARE)
         if len(self._shares) > MAX_ROUTES:
             self._shares.popitem(last=False)
--- a/tests/unit/scheduling/test_program_times.py
+++ b/tests/unit/scheduling/test_program_times.py
@@ -6,63 +6,63 @@
 import unittest
 
 from yokeline.scheduling.program_times import (
-    LEAST_SHARE,
+    INITIAL_SHARE,
     MAX_PROGRAMS,
-    MOST_SHARE,
-    START_SHARE,
+    MAX_SHARE,
+    MIN_SHARE,
     ProgramTimes,
 )
 from yokeline.scheduling.wait_errors import MOST_RATIO, WaitErrors
 
-GIVEN = 2.0
+TIME_LIMIT = 2.0
 
 
-def learn(share: float, stays: float, programs: int = 400) -> float:
+def learn(share: float, stay_probability: float, programs: int = 400) -> float:
     """Play programs that take a share of their time, some of which end at other nodes."""
     times, source, now = ProgramTimes(), random.Random(1), 0.0
     for number in range(programs):
         name = f"p{number}"
-        times.begin(name, "route", GIVEN, now)
-        taken = GIVEN * source.gauss(share, 0.05)
-        moves_at = 1.0 if source.random() < stays else source.random()
+        times.begin(name, "route", TIME_LIMIT, now)
+        taken = TIME_LIMIT * source.gauss(share, 0.05)
+        moves_at = 1.0 if source.random() < stay_probability else source.random()
         times.answered(name, now + moves_at * taken)
-        now += 2 * GIVEN
+        now += 2 * TIME_LIMIT
     return times.share("route")
 
 
 class Shares(unittest.TestCase):
     def test_before_anything_was_seen_the_start_holds(self) -> None:
-        self.assertEqual(ProgramTimes().share("route"), START_SHARE)
+        self.assertEqual(ProgramTimes().share("route"), INITIAL_SHARE)
 
     def test_it_is_learned_where_programs_stay(self) -> None:
-        self.assertAlmostEqual(learn(0.5, stays=1.0), 0.55, delta=0.08)
+        self.assertAlmostEqual(learn(0.5, stay_probability=1.0), 0.55, delta=0.08)
 
     def test_it_is_learned_where_most_programs_end_at_other_nodes(self) -> None:
-        for stays in (0.34, 0.5, 0.75):
-            self.assertAlmostEqual(learn(0.5, stays=stays), 0.5, delta=0.1)
+        for stay_probability in (0.34, 0.5, 0.75):
+            self.assertAlmostEqual(learn(0.5, stay_probability=stay_probability), 0.5, delta=0.1)
 
     def test_it_stays_within_bounds(self) -> None:
-        self.assertLessEqual(learn(3.0, stays=1.0), MOST_SHARE)
-        self.assertGreaterEqual(learn(0.01, stays=1.0), LEAST_SHARE)
+        self.assertLessEqual(learn(3.0, stay_probability=1.0), MAX_SHARE)
+        self.assertGreaterEqual(learn(0.01, stay_probability=1.0), MIN_SHARE)
 
     def test_a_program_under_way_does_not_count_yet(self) -> None:
         times = ProgramTimes()
-        times.begin("p", "route", GIVEN, 0.0)
+        times.begin("p", "route", TIME_LIMIT, 0.0)
         times.answered("p", 0.1)
-        times.begin("q", "route", GIVEN, 0.5)
-        self.assertEqual(times.share("route"), START_SHARE)
+        times.begin("q", "route", TIME_LIMIT, 0.5)
+        self.assertEqual(times.share("route"), INITIAL_SHARE)
 
     def test_what_it_follows_is_bounded(self) -> None:
         times = ProgramTimes()
         for number in range(MAX_PROGRAMS + 10):
-            times.begin(f"p{number}", "route", GIVEN, 0.0)
-        self.assertEqual(len(times._followed), MAX_PROGRAMS)
+            times.begin(f"p{number}", "route", TIME_LIMIT, 0.0)
+        self.assertEqual(len(times._tracked), MAX_PROGRAMS)
 
     def test_without_a_time_given_nothing_is_learned(self) -> None:
         times = ProgramTimes()
         times.begin("p", "route", 0.0, 0.0)
         times.answered("p", 1.0)
-        self.assertEqual(times.share("route"), START_SHARE)
+        self.assertEqual(times.share("route"), INITIAL_SHARE)
 
 
 class Errors(unittest.TestCase):
