--- a/src/yokeline/scheduling/return_times.py
+++ b/src/yokeline/scheduling/return_times.py
@@ -10,25 +10,25 @@
 import msgspec
 import xxhash
 
-LEAST_SECONDS = 0.2
+MIN_DELAY_SECONDS = 0.2
 """Least time after which a caller returns: about a turn, in which places come free."""
-BEGUN_LEAST_SECONDS = 0.1
+BEGUN_MIN_DELAY_SECONDS = 0.1
 """The same for a program that has begun: its pause counts against its time."""
-MOST_SECONDS = 2.0
+MAX_DELAY_SECONDS = 2.0
 """Greatest time: what is known of the load now says little about a later time."""
 HONOURED_SHARE = 1 / 3
 """Share of the time that a caller has left up to which it honours what it is told."""
-SPREAD = 1.0
+JITTER = 1.0
 """Width of the span in which callers return, as a share of the earliest time."""
-LATEST_BEGIN_SHARE = 0.5
+MAX_START_SHARE = 0.5
 """Latest begin of the span as a share of its end, so that callers are spread also where what they
 honour cuts it short."""
-OUTAGE_SECONDS = 0.3
+OUTAGE_DELAY_SECONDS = 0.3
 """Earliest return to a node that cannot serve for a while: it looks again about as soon, and the
 caller comes to another node as likely as not."""
-BEGUN_OUTAGE_SECONDS = 0.15
+BEGUN_OUTAGE_DELAY_SECONDS = 0.15
 """The same for a program that has begun."""
-OUTAGE_SPREAD = 2.0
+OUTAGE_JITTER = 2.0
 """Width of that span as a share of the earliest time: all callers of the fleet return in it."""
 LIMIT_SPREAD = 0.25
 """Width of the span in which callers return that were refused for their tenant's limit: the least
@@ -57,14 +57,14 @@
         caller: Who was refused.
         expected_wait: Seconds until the queue before it will be gone; 0 if not known.
     """
-    least = BEGUN_LEAST_SECONDS if caller.has_begun else LEAST_SECONDS
-    return _spread(caller, max(least, expected_wait), SPREAD)
+    earliest = BEGUN_MIN_DELAY_SECONDS if caller.has_begun else MIN_DELAY_SECONDS
+    return _with_jitter(caller, max(earliest, expected_wait), JITTER)
 
 
 def return_after_outage(caller: Returning) -> float:
     """Return after how many seconds to come back to a node that cannot serve anybody yet."""
-    earliest = BEGUN_OUTAGE_SECONDS if caller.has_begun else OUTAGE_SECONDS
-    return _spread(caller, earliest, OUTAGE_SPREAD)
+    earliest = BEGUN_OUTAGE_DELAY_SECONDS if caller.has_begun else OUTAGE_DELAY_SECONDS
+    return _with_jitter(caller, earliest, OUTAGE_JITTER)
 
 
 def return_after_limit(request_id: str, seconds: float) -> float:
@@ -74,17 +74,17 @@
         request_id: The request's id.
         seconds: From now until the request could be let in.
     """
-    return seconds * (1.0 + LIMIT_SPREAD * _position(request_id))
+    return seconds * (1.0 + LIMIT_SPREAD * _hash_fraction(request_id))
 
 
-def _spread(caller: Returning, earliest: float, spread: float) -> float:
+def _with_jitter(caller: Returning, earliest: float, jitter: float) -> float:
     """Return a time of the caller's own between the earliest one and what it honours."""
     honoured = max(0.0, HONOURED_SHARE * caller.time_left)
-    latest = min(earliest * (1.0 + spread), MOST_SECONDS, honoured)
-    first = min(earliest, LATEST_BEGIN_SHARE * latest)
-    return first + _position(caller.request_id) * (latest - first)
+    latest = min(earliest * (1.0 + jitter), MAX_DELAY_SECONDS, honoured)
+    start = min(earliest, MAX_START_SHARE * latest)
+    return start + _hash_fraction(caller.request_id) * (latest - start)
 
 
-def _position(request_id: str) -> float:
+def _hash_fraction(request_id: str) -> float:
     """Return the same number from 0 to 1 for an id each time."""
     return xxhash.xxh32_intdigest(request_id.encode()) / _HASH_SPAN
--- a/tests/property/test_room_waits.py
+++ b/tests/property/test_room_waits.py
@@ -10,7 +10,7 @@
 
 from yokeline.scheduling.return_times import (
     HONOURED_SHARE,
-    MOST_SECONDS,
+    MAX_DELAY_SECONDS,
     Returning,
     return_after,
     return_after_outage,
@@ -94,7 +94,7 @@
         honoured = max(0.0, HONOURED_SHARE * caller.time_left)
         for seconds in (return_after(caller, expected), return_after_outage(caller)):
             self.assertGreaterEqual(seconds, 0.0)
-            self.assertLessEqual(seconds, min(MOST_SECONDS, honoured) + ROUNDING)
+            self.assertLessEqual(seconds, min(MAX_DELAY_SECONDS, honoured) + ROUNDING)
 
     @EXAMPLES
     @given(CALLERS, st.floats(0.0, 1000.0), st.floats(0.0, 1000.0))
--- a/tests/unit/scheduling/test_return_times.py
+++ b/tests/unit/scheduling/test_return_times.py
@@ -5,9 +5,9 @@
 import unittest
 
 from yokeline.scheduling.return_times import (
-    BEGUN_LEAST_SECONDS,
-    LEAST_SECONDS,
-    MOST_SECONDS,
+    BEGUN_MIN_DELAY_SECONDS,
+    MAX_DELAY_SECONDS,
+    MIN_DELAY_SECONDS,
     Returning,
     return_after,
     return_after_outage,
@@ -31,12 +31,12 @@
     def test_they_follow_the_queue(self) -> None:
         for caller in callers(has_begun=False)[:20]:
             self.assertGreaterEqual(return_after(caller, 0.5), 0.5)
-            self.assertGreaterEqual(return_after(caller, 0.0), LEAST_SECONDS)
+            self.assertGreaterEqual(return_after(caller, 0.0), MIN_DELAY_SECONDS)
             self.assertLessEqual(return_after(caller, 100.0), 1.0)
 
     def test_they_are_never_beyond_the_greatest_time(self) -> None:
         for caller in callers(has_begun=False, time_left=60.0):
-            self.assertLessEqual(return_after(caller, 100.0), MOST_SECONDS)
+            self.assertLessEqual(return_after(caller, 100.0), MAX_DELAY_SECONDS)
 
     def test_callers_that_were_refused_together_do_not_return_together(self) -> None:
         for expected in (0.0, 0.3, 5.0):
@@ -46,7 +46,7 @@
     def test_begun_programs_return_sooner(self) -> None:
         begun = [return_after(item, 0.0) for item in callers(has_begun=True)]
         first = [return_after(item, 0.0) for item in callers(has_begun=False)]
-        self.assertGreaterEqual(min(begun), BEGUN_LEAST_SECONDS)
+        self.assertGreaterEqual(min(begun), BEGUN_MIN_DELAY_SECONDS)
         self.assertLessEqual(max(begun), min(first))
 
     def test_the_same_request_gets_the_same_time(self) -> None:
