--- a/src/yokeline/scheduling/room_waits.py
+++ b/src/yokeline/scheduling/room_waits.py
@@ -12,15 +12,15 @@
 
 import msgspec
 
-PLAIN_WAIT_SHARE = 0.25
+STANDALONE_WAIT_SHARE = 0.25
 """Share of the target latency for which a request without a program waits: the rest is for its
 answer, which is of full worth within the target only."""
-PLAIN_BEGUN_WAIT_SHARE = 1.0
+STANDALONE_BEGUN_WAIT_SHARE = 1.0
 """The same for one that continues an earlier turn, which is of little use without it."""
-SLACK_SHARE = 0.5
+MAX_SLACK_SHARE = 0.5
 """Share of a program's slack that its first turn may wait: its later turns meet the same load, and
 need the rest."""
-LIKELY_SHARE = 0.6
+EXPECTED_WAIT_SHARE = 0.6
 """A first turn waits if a place is expected within this share of what it bears: an expectation errs
 both ways, and a wait that ends without a place has cost its caller that time."""
 HOPELESS_FACTOR = 2.0
@@ -126,13 +126,13 @@
     A request without a program waits for its share of the target in any case, and a stream that
     broke off for as long as its caller does.
     """
-    bears = longest_wait(need)
+    max_wait = longest_wait(need)
     expected = expected_wait(room)
-    is_weighed = need.has_program and not need.is_interrupted
-    within = bears if need.has_begun else LIKELY_SHARE * bears
-    is_refused = is_weighed and (expected > within or bears <= 0)
+    has_limit = need.has_program and not need.is_interrupted
+    limit = max_wait if need.has_begun else EXPECTED_WAIT_SHARE * max_wait
+    is_refused = has_limit and (expected > limit or max_wait <= 0)
     refusal = RoomRefusal.EXPECTED_WAIT if is_refused else None
-    return RoomDecision(bears=bears, expected=expected, refusal=refusal)
+    return RoomDecision(bears=max_wait, expected=expected, refusal=refusal)
 
 
 def longest_wait(need: RoomNeed) -> float:
@@ -147,13 +147,13 @@
     if need.is_interrupted:
         return max(0.0, need.time_left)
     if not need.has_program or (need.program_left is None and not need.has_begun):
-        share = PLAIN_BEGUN_WAIT_SHARE if need.has_begun else PLAIN_WAIT_SHARE
+        share = STANDALONE_BEGUN_WAIT_SHARE if need.has_begun else STANDALONE_WAIT_SHARE
         return max(0.0, min(share * need.target_latency, need.time_left))
-    within_time = max(0.0, need.time_left - need.own_seconds)
+    time_for_wait = max(0.0, need.time_left - need.own_seconds)
     if need.has_begun or need.program_left is None:
-        return within_time
+        return time_for_wait
     slack = need.program_left * (1.0 - need.program_share)
-    return max(0.0, min(SLACK_SHARE * slack, within_time))
+    return max(0.0, min(MAX_SLACK_SHARE * slack, time_for_wait))
 
 
 def expected_wait(room: PoolRoom) -> float:
--- a/src/yokeline/scheduling/wait_errors.py
+++ b/src/yokeline/scheduling/wait_errors.py
@@ -8,12 +8,12 @@
 
 RATIO_WEIGHT = 0.1
 """Weight of a wait in the learned ratio."""
-LEAST_RATIO = 0.5
-MOST_RATIO = 4.0
+MIN_RATIO = 0.5
+MAX_RATIO = 4.0
 """A wait counts within these ratios of what was expected."""
 CENSORED_FACTOR = 1.5
 """A wait that ended without a place would have lasted longer; it counts as this multiple."""
-LEAST_EXPECTED_SECONDS = 0.01
+MIN_EXPECTED_SECONDS = 0.01
 """Shorter waits are ruled by when events come, and tell nothing."""
 
 
@@ -37,11 +37,11 @@
             waited: Seconds that it lasted.
             got_place: It ended with a place.
         """
-        if expected < LEAST_EXPECTED_SECONDS:
+        if expected < MIN_EXPECTED_SECONDS:
             return
         ratio = self.ratio(pool)
         observed = waited / expected
         if not got_place:
             observed = max(ratio, CENSORED_FACTOR * observed)
-        observed = min(max(observed, LEAST_RATIO), MOST_RATIO)
+        observed = min(max(observed, MIN_RATIO), MAX_RATIO)
         self._ratios[pool] = ratio + RATIO_WEIGHT * (observed - ratio)
--- a/tests/unit/scheduling/test_program_times.py
+++ b/tests/unit/scheduling/test_program_times.py
@@ -12,7 +12,7 @@
     MIN_SHARE,
     ProgramTimes,
 )
-from yokeline.scheduling.wait_errors import MOST_RATIO, WaitErrors
+from yokeline.scheduling.wait_errors import MAX_RATIO, WaitErrors
 
 TIME_LIMIT = 2.0
 
@@ -81,6 +81,6 @@
         errors = WaitErrors()
         for _ in range(100):
             errors.note("pool", 0.1, 100.0, got_place=False)
-        self.assertLessEqual(errors.ratio("pool"), MOST_RATIO)
+        self.assertLessEqual(errors.ratio("pool"), MAX_RATIO)
         errors.note("other", 0.001, 1.0, got_place=True)
         self.assertEqual(errors.ratio("other"), 1.0)
--- a/tests/unit/scheduling/test_room_waits.py
+++ b/tests/unit/scheduling/test_room_waits.py
@@ -7,8 +7,8 @@
 import msgspec
 
 from yokeline.scheduling.room_waits import (
-    PLAIN_WAIT_SHARE,
-    SLACK_SHARE,
+    MAX_SLACK_SHARE,
+    STANDALONE_WAIT_SHARE,
     PoolRoom,
     RoomNeed,
     RoomRefusal,
@@ -29,13 +29,13 @@
 )
 BEGUN = msgspec.structs.replace(FIRST, has_begun=True)
 LATE = msgspec.structs.replace(FIRST, program_left=-0.5)
-PLAIN = msgspec.structs.replace(FIRST, has_program=False, program_left=None)
+STANDALONE = msgspec.structs.replace(FIRST, has_program=False, program_left=None)
 ROOM = PoolRoom(places=20, ahead=0, place_seconds=0.2, share=0.25)
 
 
 class LongestWait(unittest.TestCase):
     def test_a_first_turn_bears_its_share_of_the_slack(self) -> None:
-        self.assertAlmostEqual(longest_wait(FIRST), SLACK_SHARE * 2.0 * 0.3)
+        self.assertAlmostEqual(longest_wait(FIRST), MAX_SLACK_SHARE * 2.0 * 0.3)
 
     def test_a_begun_program_bears_all_but_the_turn_itself(self) -> None:
         self.assertAlmostEqual(longest_wait(BEGUN), 2.8)
@@ -46,12 +46,12 @@
         self.assertAlmostEqual(longest_wait(late_begun), 2.8)
 
     def test_a_request_without_a_program_waits_for_its_share_of_the_target(self) -> None:
-        self.assertAlmostEqual(longest_wait(PLAIN), PLAIN_WAIT_SHARE * 0.2)
-        begun = msgspec.structs.replace(PLAIN, has_begun=True)
+        self.assertAlmostEqual(longest_wait(STANDALONE), STANDALONE_WAIT_SHARE * 0.2)
+        begun = msgspec.structs.replace(STANDALONE, has_begun=True)
         self.assertAlmostEqual(longest_wait(begun), 0.2)
 
     def test_a_stream_that_broke_off_waits_as_long_as_its_caller(self) -> None:
-        broken = msgspec.structs.replace(PLAIN, is_interrupted=True)
+        broken = msgspec.structs.replace(STANDALONE, is_interrupted=True)
         self.assertAlmostEqual(longest_wait(broken), 3.0)
 
 
@@ -87,7 +87,7 @@
 
     def test_requests_without_a_program_wait_whatever_is_expected(self) -> None:
         full = msgspec.structs.replace(ROOM, ahead=200)
-        self.assertIsNone(decide(PLAIN, full).refusal)
+        self.assertIsNone(decide(STANDALONE, full).refusal)
 
     def test_unknown_room_is_waited_for_within_the_slack(self) -> None:
         unknown = msgspec.structs.replace(ROOM, place_seconds=None, ahead=200)
