--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -49,8 +49,8 @@
 
     node: int
     engine: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     first_event: float
     unread: int
     beside: int
@@ -65,7 +65,7 @@
         self.speeds = {f"e{number:02}": SPEEDS[number % 3] for number in range(ENGINES)}
         self._spells: dict[tuple[str, int], bool] = {}
 
-    def replace(self, share: float) -> None:
+    def restart_engines(self, share: float) -> None:
         """Start some engines anew, under other names, the slowest first."""
         names = sorted(self.speeds, key=lambda name: -self.speeds[name])
         for name in names[: round(share * len(names))]:
@@ -88,36 +88,36 @@
         return Turn(node, engine, now, at, first - now, unread, beside)
 
 
-def served(turn: Turn) -> ServedTurn:
+def served_turn(turn: Turn) -> ServedTurn:
     return ServedTurn(
         engine_id=turn.engine,
         unread=turn.unread,
         beside=turn.beside,
         first_event_seconds=turn.first_event,
-        event_seconds=(turn.ended - turn.began - turn.first_event) / (EVENTS - 1),
+        event_seconds=(turn.ended_at - turn.started_at - turn.first_event) / (EVENTS - 1),
         events=EVENTS,
     )
 
 
-class Way:
+class Predictor:
     """One way to predict: nodes, and a leader that can fall silent."""
 
     def __init__(self) -> None:
         self.errors: list[tuple[float, float]] = []
-        self.silent_leader = False
+        self.leader_is_silent = False
 
     def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
         raise NotImplementedError
 
-    def learn(self, turn: Turn) -> None:
+    def observe(self, turn: Turn) -> None:
         raise NotImplementedError
 
-    def error(self, since: float = 0.0, until: float = float("inf")) -> float:
+    def mean_error(self, since: float = 0.0, until: float = float("inf")) -> float:
         """Return the mean share by which turns that began in a time were predicted wrong."""
         return statistics.fmean(error for at, error in self.errors if since <= at < until)
 
 
-class OwnFactors(Way):
+class OwnFactorPredictor(Predictor):
     """Each node's own factors, and a told slowness that fades in 4 s."""
 
     def __init__(self) -> None:
@@ -129,14 +129,14 @@
 
     def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
         told = 1.0
-        if engine in self.slowness and not self.silent_leader:
+        if engine in self.slowness and not self.leader_is_silent:
             told = self.slowness[engine].value(now)
         factor = max(self.factors[node].get(engine, 1.0), told if told > 1 else 0.0)
         between = (EVENTS - 1) * self.pace[node].predict(beside)
         return factor * (self.reading[node].predict(unread) + between)
 
-    def learn(self, turn: Turn) -> None:
-        observed = served(turn)
+    def observe(self, turn: Turn) -> None:
+        observed = served_turn(turn)
         assert observed.event_seconds is not None
         self.reading[turn.node].observe(turn.unread, turn.first_event)
         ratio = observed.event_seconds / self.pace[turn.node].predict(turn.beside)
@@ -145,10 +145,10 @@
         factor = self.factors[turn.node].get(turn.engine, 1.0)
         self.factors[turn.node][turn.engine] = factor + 0.1 * (ratio - factor)
         average = self.slowness.setdefault(turn.engine, FadingAverage(1.0, 0.15, 4.0))
-        average.observe(ratio, turn.ended)
+        average.observe(ratio, turn.ended_at)
 
 
-class ToldProfiles(Way):
+class ToldProfilePredictor(Predictor):
     """The lasting pace that the leader tells, weighed by counts; with the spell or without."""
 
     def __init__(self, *, with_spell: bool) -> None:
@@ -159,9 +159,9 @@
         self.told: list[dict[str, ToldProfile]] = [{} for _ in range(NODES)]
         self._sequence = 0
 
-    def hear(self, node: int, now: float) -> None:
+    def receive_leader_report(self, node: int, now: float) -> None:
         """Let a node hear the leader."""
-        if self.silent_leader:
+        if self.leader_is_silent:
             return
         for item in self.leader.engines(now):
             if item.pace:
@@ -178,50 +178,50 @@
         )
 
     def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
-        self.hear(node, now)
+        self.receive_leader_report(node, now)
         told = self.told[node].get(engine)
         model = self.models[node]
         return model.predict(
             engine, unread=unread, beside=beside, now=now, told=told, hinted_events=EVENTS - 1
         ).seconds
 
-    def learn(self, turn: Turn) -> None:
+    def observe(self, turn: Turn) -> None:
         model, told = self.models[turn.node], self.told[turn.node].get(turn.engine)
-        observed = model.observe(served(turn), turn.ended, told)
+        observed = model.observe(served_turn(turn), turn.ended_at, told)
         self._sequence += 1
         pace = round(observed.alone_seconds / PACE_UNIT_SECONDS)
         report = NodeTurns(
             self._sequence, (), (TurnServed(turn.engine, False, observed.slowness, pace=pace),)
         )
-        self.leader.take(ReplicaId(f"n{turn.node}"), report, turn.ended)
+        self.leader.take(ReplicaId(f"n{turn.node}"), report, turn.ended_at)
 
 
 def replay(
     fleet: Fleet,
-    ways: dict[str, Way],
+    predictors: dict[str, Predictor],
     seconds: float,
     *,
     begin: float = 0.0,
     before_turn: Callable[[float], None] = lambda now: None,
 ) -> None:
     """Serve turns for some seconds, and let each way predict each of them."""
-    ends: list[tuple[float, int, Turn]] = []
+    under_way: list[tuple[float, int, Turn]] = []
     running = dict.fromkeys(fleet.speeds, 0)
     now, number = begin, 0
     while now < begin + seconds:
         now += fleet.random.expovariate(TURNS_PER_SECOND)
         before_turn(now)
-        while ends and ends[0][0] <= now:
-            _, _, turn = heapq.heappop(ends)
+        while under_way and under_way[0][0] <= now:
+            _, _, turn = heapq.heappop(under_way)
             running[turn.engine] -= 1
-            for way in ways.values():
-                way.learn(turn)
+            for predictor in predictors.values():
+                predictor.observe(turn)
         node, engine = fleet.random.randrange(NODES), fleet.random.choice(sorted(fleet.speeds))
         turn = fleet.serve(node, engine, now, running.get(engine, 0))
         running[engine] = running.get(engine, 0) + 1
         number += 1
-        heapq.heappush(ends, (turn.ended, number, turn))
-        for way in ways.values():
-            predicted = way.predict(node, engine, turn.unread, turn.beside, now)
-            real = turn.ended - turn.began
-            way.errors.append((now, abs(predicted - real) / real))
+        heapq.heappush(under_way, (turn.ended_at, number, turn))
+        for predictor in predictors.values():
+            predicted = predictor.predict(node, engine, turn.unread, turn.beside, now)
+            actual = turn.ended_at - turn.started_at
+            predictor.errors.append((now, abs(predicted - actual) / actual))
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -13,23 +13,23 @@
 )
 from yokeline.scheduling.engine_profiles import ToldProfile
 
-READING = 1 / 40_000
+PREFILL_SECONDS_PER_TOKEN = 1 / 40_000
 PACE = 0.015
-PER_TURN = 0.0005
+SLOWDOWN_PER_TURN = 0.0005
 
 
-def served(
+def served_turn(
     source: random.Random, engine_id: str = "e", *, speed: float = 1.0, noise: float = 0.1
 ) -> ServedTurn:
     unread = source.choice((300, 600, 1500, 4000))
     beside = source.randint(0, 12)
-    wobble = 1 + noise * (2 * source.random() - 1)
+    noise_factor = 1 + noise * (2 * source.random() - 1)
     return ServedTurn(
         engine_id=engine_id,
         unread=unread,
         beside=beside,
-        first_event_seconds=wobble * speed * (0.02 + unread * READING),
-        event_seconds=wobble * speed * (PACE + PER_TURN * beside),
+        first_event_seconds=noise_factor * speed * (0.02 + unread * PREFILL_SECONDS_PER_TOKEN),
+        event_seconds=noise_factor * speed * (PACE + SLOWDOWN_PER_TURN * beside),
         events=source.randint(4, 16),
     )
 
@@ -90,13 +90,17 @@
         model = Observer()
         for _ in range(turns):
             for engine_id, speed in (speeds or {"e": 1.0}).items():
-                model.observe(served(source, engine_id, speed=speed))
+                model.observe(served_turn(source, engine_id, speed=speed))
         return model
 
     def test_known_paces_are_found_in_noise(self) -> None:
         model = self.trained()
-        self.assertAlmostEqual(model.prefill_seconds_per_token / READING, 1.0, delta=0.1)
-        expected = 0.02 + 1000 * READING + model.events * (PACE + 6 * PER_TURN)
+        self.assertAlmostEqual(
+            model.prefill_seconds_per_token / PREFILL_SECONDS_PER_TOKEN, 1.0, delta=0.1
+        )
+        expected = (
+            0.02 + 1000 * PREFILL_SECONDS_PER_TOKEN + model.events * (PACE + 6 * SLOWDOWN_PER_TURN)
+        )
         predicted = model.predict("e", unread=1000, beside=6).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.1)
 
@@ -104,14 +108,14 @@
         model = self.trained(speeds={"a": 1.0, "b": 1.0, "c": 1.0})
         source = random.Random(2)
         for _ in range(20):
-            model.observe(served(source, "a"))
-            model.observe(served(source, "b", speed=4.0))
-            model.observe(served(source, "c"))
+            model.observe(served_turn(source, "a"))
+            model.observe(served_turn(source, "b", speed=4.0))
+            model.observe(served_turn(source, "c"))
         slow, usual = (model.predict(name, unread=0, beside=2).seconds for name in ("b", "a"))
         self.assertGreater(slow, 1.8 * usual)
         for _ in range(30):
             for name in ("a", "b", "c"):
-                model.observe(served(source, name))
+                model.observe(served_turn(source, name))
         self.assertLess(model.slowdown_factor("b"), 1.2)
 
     def test_a_slower_kind_in_a_pool_costs_more(self) -> None:
@@ -128,7 +132,7 @@
         model = self.trained()
         before = model.predict("e", unread=1000, beside=3).seconds
         source = random.Random(3)
-        model.observe(served(source, speed=200.0))
+        model.observe(served_turn(source, speed=200.0))
         after = model.predict("e", unread=1000, beside=3).seconds
         self.assertLess(after, 1.3 * before)
 
@@ -167,8 +171,8 @@
         model = self.trained()
         source = random.Random(4)
         for _ in range(150):
-            model.observe(served(source, speed=3.0))
-        expected = 3.0 * (0.02 + model.events * (PACE + 2 * PER_TURN))
+            model.observe(served_turn(source, speed=3.0))
+        expected = 3.0 * (0.02 + model.events * (PACE + 2 * SLOWDOWN_PER_TURN))
         predicted = model.predict("other", unread=0, beside=2).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.25)
 
@@ -195,8 +199,8 @@
         observer.model.take_usual(PACE)
         source = random.Random(6)
         for _ in range(10):
-            observer.observe(served(source, "known"))
-        observer.observe(served(source, "e", speed=2.5))
+            observer.observe(served_turn(source, "known"))
+        observer.observe(served_turn(source, "e", speed=2.5))
         much, little = (
             observer.model.slowdown_factor("e", observer.now, observer.told(PACE, samples=samples))
             for samples in (15, 0.2)
@@ -221,15 +225,15 @@
         for speed in (0.7, 1.7):
             observer, source = Observer(), random.Random(7)
             for _ in range(60):
-                observer.observe(served(source, "others", speed=speed))
-            observed = [observer.observe(served(source, "e", noise=0.0)) for _ in range(9)]
+                observer.observe(served_turn(source, "others", speed=speed))
+            observed = [observer.observe(served_turn(source, "e", noise=0.0)) for _ in range(9)]
             told.append(sorted(item.alone_seconds for item in observed)[4])
         self.assertAlmostEqual(told[0] / told[1], 1.0, delta=0.05)
         self.assertAlmostEqual(told[0] / PACE, 1.0, delta=0.1)
 
     def test_a_node_that_has_seen_too_little_tells_no_pace(self) -> None:
         observer = Observer()
-        self.assertEqual(observer.observe(served(random.Random(8))).alone_seconds, 0.0)
+        self.assertEqual(observer.observe(served_turn(random.Random(8))).alone_seconds, 0.0)
 
 
 class Lines(unittest.TestCase):
