--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -32,7 +32,7 @@
 POOL = "models"
 BEGUN_HEADROOM = 1.4
 """Most turns of begun programs at the engines, as a multiple of their places."""
-WAY_SECONDS = 0.004
+ONE_WAY_SECONDS = 0.004
 """From a node to the leader, and back."""
 HOT = "hot"
 ROUTE = Route(
@@ -146,42 +146,42 @@
         self.queue = WaitingRequests()
         self.shares = PlaceShares()
         self.running: Counter[str] = Counter()
-        self.told_running = 0
-        self.sent_since = 0
+        self.reported_running = 0
+        self.sent_since_report = 0
         self.sequence = 0
         self.is_alive = True
-        self.told_changes = 0
-        self.rows_at = -math.inf
-        self.lacks_rows = False
-        self._virtual: dict[str, float] = {}
-        self._virtual_now = 0.0
+        self.reported_changes = 0
+        self.last_report_at = -math.inf
+        self.is_report_scheduled = False
+        self._virtual_starts: dict[str, float] = {}
+        self._virtual_time = 0.0
 
     def in_order(self, now: float) -> list[Exchange]:
         """Return what waits, in the order of this way of sharing, without what is held back."""
         waiting = self.queue.in_order()
         if self.way is Way.VIRTUAL_TIME:
-            waiting.sort(key=lambda item: (not item.begun, self._start_of(item), item.started))
+            waiting.sort(key=lambda item: (not item.begun, self._virtual_start(item), item.started))
             return waiting
         if self.way is Way.FIRST_COME:
             return waiting
         self.queue.hold_back(self.shares.held_back(POOL, now))
         return self.queue.in_order()
 
-    def may_take(self, exchange: Exchange, now: float) -> bool:
+    def may_place(self, exchange: Exchange, now: float) -> bool:
         """Return whether a request need not leave its place to others."""
         return self.way is not Way.SHARES or not self.shares.is_held_back(exchange, now)
 
-    def note_taken(self, exchange: Exchange, weight: float, now: float) -> None:
+    def record_placement(self, exchange: Exchange, weight: float, now: float) -> None:
         """Count a request that got a place."""
         self.running[exchange.tenant_name] += 1
-        self.sent_since += 1
-        self._virtual_now = max(self._virtual_now, self._start_of(exchange))
-        self._virtual[exchange.tenant_name] = self._start_of(exchange) + 1 / weight
+        self.sent_since_report += 1
+        self._virtual_time = max(self._virtual_time, self._virtual_start(exchange))
+        self._virtual_starts[exchange.tenant_name] = self._virtual_start(exchange) + 1 / weight
         exchange.sends = 1
         self.shares.note_served(exchange, now)
 
-    def _start_of(self, exchange: Exchange) -> float:
-        return max(self._virtual_now, self._virtual.get(exchange.tenant_name, 0.0))
+    def _virtual_start(self, exchange: Exchange) -> float:
+        return max(self._virtual_time, self._virtual_starts.get(exchange.tenant_name, 0.0))
 
 
 class Replay:
@@ -205,15 +205,15 @@
         """Play the whole load."""
         for number in range(self._load.calm_tenants):
             calm = Tenant(name=f"calm-{number}", rate=self._load.calm_weight)
-            self._plan_arrivals(calm, self._load.calm_rate, 0.0, self._load.seconds)
+            self._schedule_arrivals(calm, self._load.calm_rate, 0.0, self._load.seconds)
         hot = Tenant(name=HOT, rate=self._load.hot_weight)
-        self._plan_arrivals(hot, self._load.usual_rate, 0.0, self._hot_from)
-        self._plan_arrivals(hot, self._load.hot_rate, self._hot_from, self._hot_until)
-        self._plan_arrivals(hot, self._load.usual_rate, self._hot_until, self._load.seconds)
+        self._schedule_arrivals(hot, self._load.usual_rate, 0.0, self._hot_from)
+        self._schedule_arrivals(hot, self._load.hot_rate, self._hot_from, self._hot_until)
+        self._schedule_arrivals(hot, self._load.usual_rate, self._hot_until, self._load.seconds)
         for node in self._nodes:
-            self._at(REFRESH_SECONDS, lambda node=node: self._refresh(node))
+            self._schedule(REFRESH_SECONDS, lambda node=node: self._refresh(node))
         if math.isfinite(self._load.node_dies_at):
-            self._at(self._load.node_dies_at, lambda: self._die(self._nodes[0]))
+            self._schedule(self._load.node_dies_at, lambda: self._crash(self._nodes[0]))
         while self._events:
             self.now, _, action = heapq.heappop(self._events)
             action()
@@ -233,37 +233,41 @@
     def _is_hot(self) -> bool:
         return self._hot_from <= self.now < self._hot_until
 
-    def _at(self, when: float, action: Callable[[], None]) -> None:
+    def _schedule(self, when: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (when, next(self._numbers), action))
 
-    def _plan_arrivals(self, tenant: Tenant, rate: float, start: float, end: float) -> None:
+    def _schedule_arrivals(self, tenant: Tenant, rate: float, start: float, end: float) -> None:
         when = start + self._random.expovariate(rate)
         while when < end:
             node = self._random.choice(self._nodes)
-            self._at(when, lambda node=node: self._begin(node, tenant))
+            self._schedule(when, lambda node=node: self._start_program(node, tenant))
             when += self._random.expovariate(rate)
 
-    def _begin(self, node: _Node, tenant: Tenant) -> None:
+    def _start_program(self, node: _Node, tenant: Tenant) -> None:
         if not node.is_alive:
             return
         program = _Program(tenant, self._load.turns, self._is_hot)
         if program.is_counted:
             self.result.asked[tenant.name] += 1
-        self._ask(node, program, has_begun=False)
+        self._query_leader(node, program, has_begun=False)
 
-    def _ask(self, node: _Node, program: _Program, *, has_begun: bool) -> None:
+    def _query_leader(self, node: _Node, program: _Program, *, has_begun: bool) -> None:
         """Ask the leader, as each turn does; the answer tells of the load of all."""
         exchange = self._exchange(program, has_begun=has_begun)
         if self.now < self._load.leader_silent_from:
-            self._at(self.now + WAY_SECONDS, lambda: self._answer(node))
-        self._at(self.now + 2 * WAY_SECONDS, lambda: self._wait(node, exchange))
+            self._schedule(self.now + ONE_WAY_SECONDS, lambda: self._leader_reply(node))
+        self._schedule(self.now + 2 * ONE_WAY_SECONDS, lambda: self._enqueue(node, exchange))
 
-    def _answer(self, node: _Node) -> None:
+    def _leader_reply(self, node: _Node) -> None:
         running, told = self._running, self._leader.shares(self.now)
-        self._at(self.now + WAY_SECONDS, lambda: self._take_told(node, running, told))
+        self._schedule(
+            self.now + ONE_WAY_SECONDS, lambda: self._leader_reply_received(node, running, told)
+        )
 
-    def _take_told(self, node: _Node, running: int, told: tuple[PoolShares, ...]) -> None:
-        node.told_running, node.sent_since = running, 0
+    def _leader_reply_received(
+        self, node: _Node, running: int, told: tuple[PoolShares, ...]
+    ) -> None:
+        node.reported_running, node.sent_since_report = running, 0
         node.shares.take_told(told, self.now)
 
     def _exchange(self, program: _Program, *, has_begun: bool) -> Exchange:
@@ -271,7 +275,7 @@
         call = Call(request_id=name, deadline=ROUTE.timeout, program=name)
         exchange = Exchange(
             exchange=ExchangeId(name),
-            arrived=_NOTHING,
+            arrived=_EMPTY_REQUEST,
             call=call,
             route=ROUTE,
             attempts=Attempts(allowed=1),
@@ -287,11 +291,11 @@
 
     # ------------------------------------------------------------ waits and turns
 
-    def _wait(self, node: _Node, exchange: Exchange) -> None:
+    def _enqueue(self, node: _Node, exchange: Exchange) -> None:
         if not node.is_alive:
             return
         node.queue.add(exchange)
-        self._at(self.now + self._load.longest_wait, lambda: self._give_up(node, exchange))
+        self._schedule(self.now + self._load.longest_wait, lambda: self._give_up(node, exchange))
         self._dispatch(node)
 
     def _give_up(self, node: _Node, exchange: Exchange) -> None:
@@ -304,25 +308,25 @@
     def _dispatch(self, node: _Node) -> None:
         """Give places to what waits at a node, as far as it believes that there are any."""
         for exchange in node.in_order(self.now):
-            believed = node.told_running + node.sent_since
+            believed = node.reported_running + node.sent_since_report
             headroom = BEGUN_HEADROOM if exchange.begun else 1.0
             if believed >= self._load.places * headroom:
                 continue
-            if node.may_take(exchange, self.now):
+            if node.may_place(exchange, self.now):
                 self._take_place(node, exchange)
-        if node.queue.tenant_changes != node.told_changes:
+        if node.queue.tenant_changes != node.reported_changes:
             self._report(node)
 
     def _take_place(self, node: _Node, exchange: Exchange) -> None:
         program = self._programs.pop(exchange.exchange)
         node.queue.remove(exchange)
-        node.note_taken(exchange, program.tenant.rate, self.now)
+        node.record_placement(exchange, program.tenant.rate, self.now)
         if program.is_counted and not exchange.begun:
             self._count_begun(exchange)
         self._running += 1
         crowd = max(1.0, self._running / self._load.places)
         seconds = self._load.turn_seconds * crowd * self._work_random.uniform(0.5, 1.5)
-        self._at(self.now + seconds, lambda: self._end(node, program))
+        self._schedule(self.now + seconds, lambda: self._end_turn(node, program))
         self._report(node)
 
     def _count_begun(self, exchange: Exchange) -> None:
@@ -330,40 +334,42 @@
         if exchange.tenant_name != HOT:
             self.result.waits.append(self.now - exchange.started)
 
-    def _end(self, node: _Node, program: _Program) -> None:
+    def _end_turn(self, node: _Node, program: _Program) -> None:
         self._running -= 1
         if not node.is_alive:
             return
         self.result.turns += self._is_hot and self.now >= self._load.turns_from
         node.running[program.tenant.name] -= 1
-        node.sent_since -= 1
+        node.sent_since_report -= 1
         self._report(node)
         program.turns_left -= 1
         if program.turns_left:
             pause = self._load.pause_seconds
-            self._at(self.now + pause, lambda: self._ask(node, program, has_begun=True))
+            self._schedule(
+                self.now + pause, lambda: self._query_leader(node, program, has_begun=True)
+            )
         self._dispatch(node)
 
     # ------------------------------------------------------------ what the leader is told
 
     def _report(self, node: _Node) -> None:
         """Tell the leader of the node's tenants, at once or as soon as the next rows are due."""
-        due = node.rows_at + ROWS_SECONDS
-        if node.lacks_rows:
+        due = node.last_report_at + ROWS_SECONDS
+        if node.is_report_scheduled:
             return
         if self.now >= due:
             self._send_rows(node)
             return
-        node.lacks_rows = True
-        self._at(due, lambda: self._send_rows(node))
+        node.is_report_scheduled = True
+        self._schedule(due, lambda: self._send_rows(node))
 
     def _send_rows(self, node: _Node) -> None:
         if not node.is_alive:
             return
-        node.lacks_rows = False
-        node.rows_at = self.now
+        node.is_report_scheduled = False
+        node.last_report_at = self.now
         node.sequence += 1
-        node.told_changes = node.queue.tenant_changes
+        node.reported_changes = node.queue.tenant_changes
         waiting = node.queue.first_turns
         names = sorted({*+node.running, *waiting})
         rows = tuple(
@@ -372,31 +378,33 @@
         )
         loads = (PoolLoad(POOL, self._load.places, rows),)
         sequence = node.sequence
-        self._at(self.now + WAY_SECONDS, lambda: self._take_report(node, sequence, loads))
+        self._schedule(
+            self.now + ONE_WAY_SECONDS, lambda: self._report_received(node, sequence, loads)
+        )
 
-    def _take_report(self, node: _Node, sequence: int, loads: tuple[PoolLoad, ...]) -> None:
+    def _report_received(self, node: _Node, sequence: int, loads: tuple[PoolLoad, ...]) -> None:
         self._leader.take(node.process, sequence, loads, self.now)
 
     def _refresh(self, node: _Node) -> None:
         if not node.is_alive or self.now > self._load.seconds:
             return
         if self.now >= self._load.leader_silent_from:
-            self._hear_peers(node)
+            self._peer_reports_received(node)
         self._report(node)
         self._dispatch(node)
-        self._at(self.now + REFRESH_SECONDS, lambda: self._refresh(node))
+        self._schedule(self.now + REFRESH_SECONDS, lambda: self._refresh(node))
 
-    def _hear_peers(self, node: _Node) -> None:
+    def _peer_reports_received(self, node: _Node) -> None:
         """Learn of the load from the other nodes' reports, which say nothing of shares."""
-        node.told_running, node.sent_since = self._running, 0
+        node.reported_running, node.sent_since_report = self._running, 0
 
     def _weight(self, tenant: str) -> float:
         return self._load.hot_weight if tenant == HOT else self._load.calm_weight
 
-    def _die(self, node: _Node) -> None:
+    def _crash(self, node: _Node) -> None:
         """Let a node die; its turns still take their places at engines until they end."""
         node.is_alive = False
 
 
-_NOTHING = HttpArrived(exchange=ExchangeId(""), method="POST", path="/", headers={}, body=b"")
+_EMPTY_REQUEST = HttpArrived(exchange=ExchangeId(""), method="POST", path="/", headers={}, body=b"")
 _NAMES = StateNames(operation="", turn="", program="", session="", previous_turn="")
--- a/tests/unit/scheduling/test_share_replay.py
+++ b/tests/unit/scheduling/test_share_replay.py
@@ -10,9 +10,9 @@
 from yokeline.forwarding.engines import TOLD_FRESH_SECONDS
 
 LOAD = Load(seconds=12.0)
-STARVED_PART = 0.25
+STARVATION_RATIO = 0.25
 """A tenant served less often than this part of how often all are counts as starved."""
-LEAST_USE = 0.97
+MIN_TURN_RATIO = 0.97
 """Part of the turns served first come, first served that the engines must serve at least."""
 SEEDS = range(4)
 """Summed up where turns are compared: one seed alone gives 0.96 to 1.01 of them."""
@@ -39,7 +39,7 @@
     def test_no_place_is_left_empty_for_it(self) -> None:
         first_come = [replay(Way.FIRST_COME, LOAD, seed) for seed in SEEDS]
         shares = [replay(Way.SHARES, LOAD, seed) for seed in SEEDS]
-        self.assertGreater(turns_of(shares), LEAST_USE * turns_of(first_come))
+        self.assertGreater(turns_of(shares), MIN_TURN_RATIO * turns_of(first_come))
 
     def test_nobody_is_starved_whatever_the_weights_and_the_excess(self) -> None:
         for changes in (
@@ -49,7 +49,9 @@
         ):
             result = replay(Way.SHARES, msgspec.structs.replace(LOAD, **changes))
             self.assertGreater(
-                result.least_served, STARVED_PART * result.all_served, f"{changes}: {result.asked}"
+                result.least_served,
+                STARVATION_RATIO * result.all_served,
+                f"{changes}: {result.asked}",
             )
 
     def test_a_tenant_that_is_alone_gets_everything(self) -> None:
@@ -57,8 +59,8 @@
         first_come = replay(Way.FIRST_COME, alone)
         shares = replay(Way.SHARES, alone)
         self.assertEqual(shares.asked, first_come.asked)
-        self.assertGreater(shares.begun[HOT], LEAST_USE * first_come.begun[HOT])
-        self.assertGreater(shares.turns, LEAST_USE * first_come.turns)
+        self.assertGreater(shares.begun[HOT], MIN_TURN_RATIO * first_come.begun[HOT])
+        self.assertGreater(shares.turns, MIN_TURN_RATIO * first_come.turns)
 
 
 class Faults(unittest.TestCase):
@@ -75,13 +77,13 @@
         silent = msgspec.structs.replace(LOAD, leader_silent_from=5.0, turns_from=lapses_at)
         first_come = [replay(Way.FIRST_COME, silent, seed) for seed in SEEDS]
         shares = [replay(Way.SHARES, silent, seed) for seed in SEEDS]
-        self.assertGreater(turns_of(shares), LEAST_USE * turns_of(first_come))
+        self.assertGreater(turns_of(shares), MIN_TURN_RATIO * turns_of(first_come))
         for result in shares:
-            self.assertGreater(result.served(HOT), STARVED_PART * result.all_served)
+            self.assertGreater(result.served(HOT), STARVATION_RATIO * result.all_served)
 
     def test_a_node_that_dies_takes_no_places_with_it(self) -> None:
         dies = msgspec.structs.replace(LOAD, node_dies_at=5.0)
         first_come = replay(Way.FIRST_COME, dies)
         shares = replay(Way.SHARES, dies)
-        self.assertGreater(shares.turns, LEAST_USE * first_come.turns)
+        self.assertGreater(shares.turns, MIN_TURN_RATIO * first_come.turns)
         self.assertGreater(shares.calm_served, first_come.calm_served)
