--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -46,19 +46,19 @@
 WINDOW = 5.0
 SECONDS = 40.0
 STEP_SECONDS = 0.05
-ASK_AGAIN_SECONDS = 0.3
+RESEND_SECONDS = 0.3
 SIZES = {"small": 3, "large": 24}
 SMALL_CALLERS = 14
 LARGE_CALLERS = 2
-STARVED_SECONDS = 20.0
+STARVATION_SECONDS = 20.0
 """A kind that asks is next after 2 s, once claims are given back: those of programs that hang or
 loop after 10 s, of others 2 s after their end. Its callers come back up to 4 s later, and a pause
 takes 2 s. A new leader begins anew, as it does not know who was passed over."""
-CHANGE_SHARES = (0.0, 0.002, 0.01)
+LEADER_CHANGE_PROBABILITIES = (0.0, 0.002, 0.01)
 """Of steps in which the leader changes, by world."""
 ROUNDING = 1e-6
 TRANSITION_DRAW = TenantQuotas.transition_draw
-_ASKER = Address("10.0.9.1", 1)
+_CLIENT = Address("10.0.9.1", 1)
 
 
 class _Group:
@@ -121,12 +121,12 @@
         self.programs = 0
         self.tries = 0
         self.due = source.uniform(0.0, 2.0)
-        self.asked: Reserve | Draw | None = None
-        self.asked_at = 0.0
+        self.outstanding: Reserve | Draw | None = None
+        self.sent_at = 0.0
         self.is_over = False
-        self.begin()
+        self.start_program()
 
-    def begin(self) -> None:
+    def start_program(self) -> None:
         self.programs += 1
         self.program = f"{self.name}.{self.programs}"
         self.sent = 0
@@ -134,7 +134,7 @@
         self.size = self.source.randint(max(1, usual // 2), usual + usual // 2)
         if self.source.random() < 0.05:
             self.size *= 10  # it loops, and is left in its midst
-        self.leaves_at = self.source.randint(1, 60)
+        self.abandoned_at = self.source.randint(1, 60)
 
     def next_operation(self) -> Reserve | Draw:
         self.tries += 1
@@ -150,27 +150,27 @@
             kind=self.kind,
         )
 
-    def take(self, result: OperationResult, now: float) -> Settle | None:
+    def handle_result(self, result: OperationResult, now: float) -> Settle | None:
         """Take an answer; return what is to be settled."""
-        asked, self.asked = self.asked, None
+        outstanding, self.outstanding = self.outstanding, None
         if isinstance(result, QuotaSpent):
             self.due = now + max(STEP_SECONDS, result.retry_after)
             return None
         assert isinstance(result, Granted | Drawn)
         self.sent += 1
         self.due = now + 0.1
-        is_left = self.sent == self.leaves_at
-        if is_left or self.sent >= self.size:
-            self.begin()
-        if is_left or not isinstance(asked, Reserve):
+        is_abandoned = self.sent == self.abandoned_at
+        if is_abandoned or self.sent >= self.size:
+            self.start_program()
+        if is_abandoned or not isinstance(outstanding, Reserve):
             return None
-        return Settle(request_id=asked.request_id, program=asked.program, tokens=1)
+        return Settle(request_id=outstanding.request_id, program=outstanding.program, tokens=1)
 
 
-class _World:
+class _Simulation:
     def __init__(self, seed: int) -> None:
         self.source = random.Random(seed)
-        self.change_share = self.source.choice(CHANGE_SHARES)
+        self.leader_change_probability = self.source.choice(LEADER_CHANGE_PROBABILITIES)
         self.now = 0.0
         self.log: list[LedgerCommand] = []
         self.proposed_at: list[float] = []
@@ -179,11 +179,11 @@
             for kind, count in (("small", SMALL_CALLERS), ("large", LARGE_CALLERS))
             for number in range(count)
         ]
-        self.offset = 0.0
-        self.numbers = 0
-        self.asks: dict[int, _Caller] = {}
-        self.began: dict[str, int] = dict.fromkeys(SIZES, 0)
-        self.waits_since: dict[str, float] = {}
+        self.clock_offset = 0.0
+        self.last_request_number = 0
+        self.pending_requests: dict[int, _Caller] = {}
+        self.started_programs: dict[str, int] = dict.fromkeys(SIZES, 0)
+        self.waiting_since: dict[str, float] = {}
         """For each kind of which a program waits: since when none was let in."""
         self.longest_wait = 0.0
         self.wrongly_refused: list[str] = []
@@ -191,16 +191,16 @@
 
     def elect(self, term: int, applied: int) -> None:
         self.replica = _Replica(term, self.log, applied)
-        self.offset = self.source.uniform(0.0, 1e6)
+        self.clock_offset = self.source.uniform(0.0, 1e6)
         batches: Any = RequestBatches(
             self.replica,  # type: ignore[arg-type]
             lambda: 1e9 + self.now,
-            self.local(),
+            self.local_time(),
         )
         self.batches: RequestBatches = batches
 
-    def local(self) -> float:
-        return self.now + self.offset
+    def local_time(self) -> float:
+        return self.now + self.clock_offset
 
     def run(self) -> None:
         while self.now < SECONDS:
@@ -209,12 +209,12 @@
     def step(self) -> None:
         is_pause = self.source.random() < 0.005
         self.now += 2.0 if is_pause else self.source.uniform(0.2, 1.0) * STEP_SECONDS
-        if self.source.random() < self.change_share:
+        if self.source.random() < self.leader_change_probability:
             self.change_leader()
         self.commit()
         for caller in self.callers:
-            self.drive(caller)
-        self.take(self.batches.tick(self.local()))
+            self.step_caller(caller)
+        self.handle_effects(self.batches.tick(self.local_time()))
         self.note_proposals()
 
     def change_leader(self) -> None:
@@ -226,65 +226,65 @@
         is_restart = self.source.random() < 0.3
         applied = 0 if is_restart else self.source.randint(max(0, kept - 5), kept)
         self.elect(self.replica.group.term + 1, applied)
-        for kind in list(self.waits_since):
-            self.waits_since[kind] = self.now
+        for kind in list(self.waiting_since):
+            self.waiting_since[kind] = self.now
         for caller in self.callers:
-            caller.asked_at = -ASK_AGAIN_SECONDS  # nodes ask a new leader at once
+            caller.sent_at = -RESEND_SECONDS  # nodes ask a new leader at once
 
     def commit(self) -> None:
         upto = self.source.randint(self.replica.applied, len(self.log))
         if self.replica.pending or self.source.random() < 0.5:
-            self.take(self.replica.apply(upto))
+            self.handle_effects(self.replica.apply(upto))
 
-    def drive(self, caller: _Caller) -> None:
-        if caller.asked is None and self.now >= caller.due:
-            caller.asked = caller.next_operation()
+    def step_caller(self, caller: _Caller) -> None:
+        if caller.outstanding is None and self.now >= caller.due:
+            caller.outstanding = caller.next_operation()
             if not caller.sent:
-                self.waits_since.setdefault(caller.kind, self.now)
-            self.ask(caller)
-        elif caller.asked is not None and self.now >= caller.asked_at + ASK_AGAIN_SECONDS:
-            self.ask(caller)
-
-    def ask(self, caller: _Caller) -> None:
-        assert caller.asked is not None
-        caller.asked_at = self.now
-        self.numbers += 1
-        self.asks[self.numbers] = caller
-        self.hand(self.numbers, caller.asked)
-
-    def hand(self, number: int, operation: Operation) -> None:
-        request = LedgerRequest(number=number, asker=_ASKER, operations=(operation,))
+                self.waiting_since.setdefault(caller.kind, self.now)
+            self.send_request(caller)
+        elif caller.outstanding is not None and self.now >= caller.sent_at + RESEND_SECONDS:
+            self.send_request(caller)
+
+    def send_request(self, caller: _Caller) -> None:
+        assert caller.outstanding is not None
+        caller.sent_at = self.now
+        self.last_request_number += 1
+        self.pending_requests[self.last_request_number] = caller
+        self.submit(self.last_request_number, caller.outstanding)
+
+    def submit(self, number: int, operation: Operation) -> None:
+        request = LedgerRequest(number=number, asker=_CLIENT, operations=(operation,))
         refused = self.batches.gate.refused[BY_CLAIMS]
-        effects = self.batches.take(ReplicaId("edge~1"), request, self.local())
-        if self.batches.gate.refused[BY_CLAIMS] > refused and self.is_granted(operation):
+        effects = self.batches.take(ReplicaId("edge~1"), request, self.local_time())
+        if self.batches.gate.refused[BY_CLAIMS] > refused and self.is_granted_by_log(operation):
             self.wrongly_refused.append(operation.request_id)
         self.note_proposals()
-        self.take(effects)
+        self.handle_effects(effects)
 
     def note_proposals(self) -> None:
         while len(self.proposed_at) < len(self.log):
             self.proposed_at.append(self.now)
 
-    def take(self, effects: list[Effect]) -> None:
+    def handle_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendPeer) and isinstance(effect.message, LedgerReply):
-                self.answer(effect.message)
+                self.deliver_reply(effect.message)
 
-    def answer(self, reply: LedgerReply) -> None:
-        caller = self.asks.pop(reply.number, None)
-        if caller is None or caller.asked is None or not reply.results:
+    def deliver_reply(self, reply: LedgerReply) -> None:
+        caller = self.pending_requests.pop(reply.number, None)
+        if caller is None or caller.outstanding is None or not reply.results:
             return
         if self.source.random() < 0.02:
             return  # the answer is lost on its way
         result = reply.results[0]
         if caller.sent == 0 and isinstance(result, Granted):
-            self.began[caller.kind] += 1
-            self.note_wait(caller.kind)
-        settle = caller.take(result, self.now)
+            self.started_programs[caller.kind] += 1
+            self.record_wait(caller.kind)
+        settle = caller.handle_result(result, self.now)
         if settle is not None:
-            self.hand(0, settle)
+            self.submit(0, settle)
 
-    def is_granted(self, operation: Operation) -> bool:
+    def is_granted_by_log(self, operation: Operation) -> bool:
         """Return whether the log as it stands grants an operation, once it is applied."""
         state = LedgerState()
         for command in self.log:
@@ -295,37 +295,37 @@
 
     # ------------------------------------------------------------ what must hold
 
-    def worst_excess(self) -> float:
+    def largest_excess(self) -> float:
         """Return by how much the worst window exceeds what the limit gives."""
         state = LedgerState()
         times: list[float] = []
         for command, at in zip(self.log, self.proposed_at, strict=True):
             results = state.transition_apply(command)
             times.extend([at] * sum(isinstance(item, Granted | Drawn) for item in results))
-        worst = -float("inf")
+        largest = -float("inf")
         end = 0
         for begin, first in enumerate(times):
             while end < len(times) and times[end] <= first + WINDOW:
                 end += 1
-            worst = max(worst, end - begin - (LIMIT.rate * WINDOW + LIMIT.burst))
-        return worst
+            largest = max(largest, end - begin - (LIMIT.rate * WINDOW + LIMIT.burst))
+        return largest
 
-    def note_wait(self, kind: str) -> None:
+    def record_wait(self, kind: str) -> None:
         """Note for how long no program of a kind was let in while one waited."""
-        since = self.waits_since.pop(kind, self.now)
+        since = self.waiting_since.pop(kind, self.now)
         self.longest_wait = max(self.longest_wait, self.now - since)
 
-    def claims_after_rest(self) -> int:
+    def claims_after_idle(self) -> int:
         """Return the claims that are held when nobody has asked for a while."""
         self.commit_all()
         self.now += LONGEST_TURN_SECONDS + 1.0
-        self.batches.tick(self.local())
+        self.batches.tick(self.local_time())
         return self.batches.gate.claims
 
     def commit_all(self) -> None:
         for _ in range(100):
             self.replica.apply(len(self.log))
-            self.batches.tick(self.local())
+            self.batches.tick(self.local_time())
 
     def differs_from_earlier_build(self) -> bool:
         """Return whether a replica that knows none of the new fields answers otherwise."""
@@ -351,22 +351,22 @@
     )
 
 
-def faults(seed: int) -> list[str]:
+def violations(seed: int) -> list[str]:
     """Play a world; return what did not hold."""
-    world = _World(seed)
-    world.run()
+    simulation = _Simulation(seed)
+    simulation.run()
     found = []
-    if world.worst_excess() > ROUNDING:
+    if simulation.largest_excess() > ROUNDING:
         found.append("bound")
-    if world.wrongly_refused:
+    if simulation.wrongly_refused:
         found.append("repetition refused")
     for kind in SIZES:
-        world.note_wait(kind)
-    if world.longest_wait > STARVED_SECONDS:
+        simulation.record_wait(kind)
+    if simulation.longest_wait > STARVATION_SECONDS:
         found.append("starved")
-    if world.claims_after_rest():
+    if simulation.claims_after_idle():
         found.append("claims held")
-    if world.differs_from_earlier_build():
+    if simulation.differs_from_earlier_build():
         found.append("builds differ")
     return found
 
@@ -375,36 +375,36 @@
     @settings(derandomize=True, deadline=None, max_examples=20)
     @given(st.integers(0, 2**32))
     def test_what_must_hold_does(self, seed: int) -> None:
-        self.assertEqual(faults(seed), [])
+        self.assertEqual(violations(seed), [])
 
     def test_programs_are_refused_by_claims_in_them(self) -> None:
-        world = _World(1)
-        world.run()
-        self.assertGreater(world.batches.gate.refused[BY_CLAIMS], 0)
-        self.assertGreater(world.began["small"], 30)
-        self.assertGreater(world.began["large"], 3)
+        simulation = _Simulation(1)
+        simulation.run()
+        self.assertGreater(simulation.batches.gate.refused[BY_CLAIMS], 0)
+        self.assertGreater(simulation.started_programs["small"], 30)
+        self.assertGreater(simulation.started_programs["large"], 3)
 
 
 class PlantedFaults(unittest.TestCase):
     """Faults that would break what must hold are caught."""
 
     def caught(self, expected: str) -> bool:
-        return any(expected in faults(seed) for seed in range(10))
+        return any(expected in violations(seed) for seed in range(10))
 
     def test_a_bucket_that_new_programs_do_not_draw_from(self) -> None:
         def drawn(
-            quotas: TenantQuotas, limit: RateLimit, *, is_new: bool, honest: Any = TRANSITION_DRAW
+            quotas: TenantQuotas, limit: RateLimit, *, is_new: bool, original: Any = TRANSITION_DRAW
         ) -> QuotaSpent | None:
-            return None if is_new else honest(quotas, limit, is_new=is_new)
+            return None if is_new else original(quotas, limit, is_new=is_new)
 
         with patch.object(TenantQuotas, "transition_draw", drawn):
             self.assertTrue(self.caught("bound"))
 
     def test_a_kind_that_is_never_let_in(self) -> None:
         def decided(
-            book: ClaimBook, tenant: str, kind: str, *others: Any, honest: Any = ClaimBook.decide
+            book: ClaimBook, tenant: str, kind: str, *others: Any, original: Any = ClaimBook.decide
         ) -> Admission | None:
-            found: Admission | None = honest(book, tenant, kind, *others)
+            found: Admission | None = original(book, tenant, kind, *others)
             if found is None or kind == "small":
                 return found
             return msgspec.structs.replace(found, is_let_in=False, retry_after=1.0)
