--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -4,10 +4,10 @@
 
 from yokeline.scheduling.interface import CallDemand, EngineView
 
-UNKNOWN_ANSWER_SHARE = 0.25
+DEFAULT_COMPLETION_FRACTION = 0.25
 """Share of ``completion_tokens`` that an answer is taken to use while nothing is known."""
 
-CROWDING_WEIGHT = 1.0
+FULL_BATCH_SLOWDOWN = 1.0
 """How much a full batch slows decoding, relative to a call that runs alone."""
 
 EVICTION_WEIGHT = 0.5
@@ -19,27 +19,27 @@
 """A prefill stalls every call that decodes beside it: how much their delay counts."""
 
 
-def expected_answer(demand: CallDemand) -> float:
+def expected_completion_tokens(demand: CallDemand) -> float:
     """Return the expected tokens of the call's answer."""
     if demand.expected_completion_tokens:
         return float(demand.expected_completion_tokens)
-    return demand.completion_tokens * UNKNOWN_ANSWER_SHARE
+    return demand.completion_tokens * DEFAULT_COMPLETION_FRACTION
 
 
 def memory_tokens(demand: CallDemand) -> float:
     """Return the tokens of cache that the call is expected to need."""
-    return demand.prompt_tokens + expected_answer(demand)
+    return demand.prompt_tokens + expected_completion_tokens(demand)
 
 
-def missing_tokens(demand: CallDemand, engine: EngineView) -> int:
+def uncached_tokens(demand: CallDemand, engine: EngineView) -> int:
     """Return the tokens of the call's context that the engine would have to prefill."""
     return max(0, demand.prompt_tokens - engine.cached_tokens)
 
 
 def decode_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of decoding, in a batch as full as it is now."""
-    crowding = 1.0 + CROWDING_WEIGHT * min(1.0, engine.running / engine.slots)
-    return expected_answer(demand) * engine.decode_seconds * crowding
+    batch_factor = 1.0 + FULL_BATCH_SLOWDOWN * min(1.0, engine.running / engine.slots)
+    return expected_completion_tokens(demand) * engine.decode_seconds * batch_factor
 
 
 def queue_seconds(demand: CallDemand, engine: EngineView) -> float:
@@ -50,8 +50,8 @@
 
 def eviction_seconds(demand: CallDemand, engine: EngineView) -> float:
     """Return the expected seconds of prefill that others will have to repeat."""
-    needed = missing_tokens(demand, engine) + expected_answer(demand)
-    evicted = max(0.0, engine.active_tokens + needed - engine.cache_tokens)
+    added_tokens = uncached_tokens(demand, engine) + expected_completion_tokens(demand)
+    evicted = max(0.0, engine.active_tokens + added_tokens - engine.cache_tokens)
     return EVICTION_WEIGHT * evicted / engine.prefill_rate
 
 
@@ -61,8 +61,10 @@
     Queue wait, prefill of the missing tokens behind the prefill already sent, decoding, and
     a share of the cost of rebuilding what would be evicted.
     """
-    missing = missing_tokens(demand, engine) / engine.prefill_rate
-    prefill = engine.pending_prefill / engine.prefill_rate + missing
-    harm = STALL_WEIGHT * missing * engine.running + eviction_seconds(demand, engine)
-    waiting = queue_seconds(demand, engine)
-    return waiting + prefill + decode_seconds(demand, engine) + harm
+    uncached_seconds = uncached_tokens(demand, engine) / engine.prefill_rate
+    prefill = engine.pending_prefill / engine.prefill_rate + uncached_seconds
+    cost_to_others = STALL_WEIGHT * uncached_seconds * engine.running + eviction_seconds(
+        demand, engine
+    )
+    queueing = queue_seconds(demand, engine)
+    return queueing + prefill + decode_seconds(demand, engine) + cost_to_others
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -6,11 +6,11 @@
 
 from tests.unit.scheduling.support import RUN, demand, facts
 from yokeline.identifiers import RunId
-from yokeline.scheduling import pace
+from yokeline.scheduling import engine_speed
 from yokeline.scheduling.account import LoadState
 from yokeline.scheduling.cache_types import CacheAction, CacheCause, CacheDecision, ProgramPause
 from yokeline.scheduling.interface import CallDemand, EngineView, PauseKind
-from yokeline.scheduling.ledger import UNKNOWN_PAUSE_SECONDS, CallEnd, EngineLedger
+from yokeline.scheduling.ledger import DEFAULT_PAUSE_SECONDS, CallEnd, EngineLedger
 from yokeline.scheduling.pauses import MIN_SAMPLES, PausePredictor
 
 ENGINE = "pool/e1"
@@ -70,7 +70,7 @@
         self.assertEqual(self.view(2.0).pending_prefill, 0)
 
     def test_pace_is_observed(self) -> None:
-        self.assertEqual(self.view(0.0).prefill_rate, pace.DEFAULT_PREFILL_RATE)
+        self.assertEqual(self.view(0.0).prefill_rate, engine_speed.DEFAULT_PREFILL_RATE)
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.ledger.text_received("a", 1.2)
         self.ledger.call_ended("a", ENDED, 6.2)
@@ -83,7 +83,7 @@
         self.ledger.call_sent(ENGINE, demand(run=RunId("run-2")), "b", 1.0)
         self.ledger.text_received("b", 9.0)
         self.ledger.call_ended("b", ENDED, 9.0)
-        self.assertEqual(self.view(9.0).prefill_rate, pace.DEFAULT_PREFILL_RATE)
+        self.assertEqual(self.view(9.0).prefill_rate, engine_speed.DEFAULT_PREFILL_RATE)
 
 
 class ContextTest(LedgerTest):
@@ -104,7 +104,7 @@
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.ledger.call_ended("a", ENDED, 2.0)
         self.assertEqual(self.ledger.idle_contexts_at(ENGINE), (RUN,))
-        self.ledger.context_lost(ENGINE, RUN)
+        self.ledger.context_removed(ENGINE, RUN)
         call = demand(previous_engine=ENGINE, previous_tokens=4100)
         self.assertEqual(self.view(2.0, call).cached_tokens, 0)
 
@@ -122,12 +122,14 @@
     def test_program_is_active_during_calls_and_tool_pauses(self) -> None:
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
         self.assertEqual(self.view(1.0).active_tokens, 4100)
-        self.assertTrue(self.view(1.0).member)
+        self.assertTrue(self.view(1.0).program_is_active)
         self.ledger.call_ended("a", ENDED, 2.0)
         self.pause(PauseKind.TOOL, 2.0, CacheAction.LEAVE)
         self.assertEqual(self.view(3.0).active_tokens, 4100)
-        after = 2.0 + UNKNOWN_PAUSE_SECONDS
-        self.assertEqual((self.view(after).active_tokens, self.view(after).member), (0, False))
+        after = 2.0 + DEFAULT_PAUSE_SECONDS
+        self.assertEqual(
+            (self.view(after).active_tokens, self.view(after).program_is_active), (0, False)
+        )
 
     def test_conversation_between_turns_is_not_active(self) -> None:
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
@@ -170,7 +172,7 @@
             predictor.observe(PauseKind.TOOL, "roster", seconds)
         forecast = predictor.forecast(PauseKind.TOOL, "roster")
         assert forecast is not None
-        self.assertLess(forecast.share_within(2.0), 0.01)
+        self.assertLess(forecast.probability_within(2.0), 0.01)
 
 
 if __name__ == "__main__":
