--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -16,7 +16,6 @@
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.answer_times import AnswerTimes
 from yokeline.ledger.client_report import ClientCounts
 from yokeline.ledger.leader_search import LeaderSearch
 from yokeline.ledger.messages import (
@@ -34,12 +33,13 @@
 )
 from yokeline.ledger.operations import Granted, Operation, OperationResult, Settle
 from yokeline.ledger.own_turns import OwnTurns
+from yokeline.ledger.response_times import ResponseTimeEstimator
 from yokeline.ledger.text_copies import LEAST_TEXT_BYTES
 
-QUERY_PATIENCES = 0.5
+QUERY_TIMEOUT_FACTOR = 0.5
 """Silence after which the node asks who leads, in patiences: a leader that lives and is reached
 answers that before it is doubted."""
-REPEAT_PATIENCES = 2.0
+RETRY_TIMEOUT_FACTOR = 2.0
 """Silence after which an operation is sent to the same leader again, in patiences (it may be lost
 with a connection); doubled each time."""
 MAX_REPEAT_SECONDS = 1.2
@@ -118,7 +118,7 @@
         """Ask from ``own_address``, where answers are to be sent."""
         self._own_address = own_address
         self._search = LeaderSearch(own_address)
-        self._times = AnswerTimes()
+        self._response_times = ResponseTimeEstimator()
         self._next_peer = 0
         self._asked: dict[int, _Asked] = {}
         self._passed_on: set[tuple[ReplicaId, int]] = set()
@@ -214,10 +214,10 @@
         dues = [min(item.repeat_at, item.give_up_at) for item in self._asked.values()]
         silent_since = self._silent_since()
         if silent_since is not None:
-            query_at = silent_since + QUERY_PATIENCES * self._times.patience
+            query_at = silent_since + QUERY_TIMEOUT_FACTOR * self._response_times.timeout
             dues.append(max(query_at, self._search.query_due()))
             if not self._is_path_lost:
-                dues.append(silent_since + self._times.patience)
+                dues.append(silent_since + self._response_times.timeout)
         report_due = self.turns.report_due()
         if report_due is not None and self._search.leader is not None:
             dues.append(report_due)
@@ -257,11 +257,11 @@
         if silent_since is None:
             return []
         silence = now - silent_since
-        patience = self._times.patience
+        timeout = self._response_times.timeout
         effects: list[Effect] = []
-        if silence >= QUERY_PATIENCES * patience or self._search.leader is None:
+        if silence >= QUERY_TIMEOUT_FACTOR * timeout or self._search.leader is None:
             effects.extend(self._search.queries(now))
-        if silence >= patience and not self._is_path_lost:
+        if silence >= timeout and not self._is_path_lost:
             effects.extend(self._doubt_path(silence, now))
         return effects
 
@@ -270,7 +270,7 @@
         self._is_path_lost = True
         fields: dict[str, str | int | float | bool | None] = {
             "silent": round(silence, 3),
-            "patience": round(self._times.patience, 3),
+            "patience": round(self._response_times.timeout, 3),
             "under_way": len(self._asked),
         }
         effects: list[Effect] = [
@@ -310,7 +310,7 @@
             now,
             under_way=len(self._asked),
             oldest_seconds=oldest,
-            patience=self._times.patience,
+            timeout=self._response_times.timeout,
         )
 
     # ------------------------------------------------------------ answers
@@ -359,7 +359,7 @@
                 self._copies_to = reply.copies_to
             effects.extend(self._note_path_found())
             if asked is not None and asked.sent_to is not None and not is_news:
-                self._times.observe(now - asked.sent_at)
+                self._response_times.observe(now - asked.sent_at)
         if is_news:
             effects.extend(self._follow_leader(now))
         elif asked is not None and not reply.results:
@@ -396,7 +396,7 @@
         leader = self._search.leader
         assert leader is not None
         self.turns.leader_changed()
-        self._times = AnswerTimes()
+        self._response_times = ResponseTimeEstimator()
         self._copies_to = ()
         fields: dict[str, str | int | float | bool | None] = {
             "leader": leader.replica,
@@ -466,7 +466,7 @@
         ]
 
     def _plan_repetition(self, asked: _Asked, now: float) -> None:
-        pause = REPEAT_PATIENCES * self._times.patience * 2.0 ** min(asked.sends, 8)
+        pause = RETRY_TIMEOUT_FACTOR * self._response_times.timeout * 2.0 ** min(asked.sends, 8)
         asked.repeat_at = now + min(MAX_REPEAT_SECONDS, pause)
         asked.sends += 1
 
--- a/src/yokeline/ledger/client_report.py
+++ b/src/yokeline/ledger/client_report.py
@@ -38,7 +38,7 @@
         return now >= self._next_report
 
     def report(
-        self, now: float, *, under_way: int, oldest_seconds: float, patience: float
+        self, now: float, *, under_way: int, oldest_seconds: float, timeout: float
     ) -> list[LogRecord]:
         """Return a line if more than first questions was sent since the last one."""
         self._next_report = now + REPORT_SECONDS
@@ -55,6 +55,6 @@
             **{name: new[name] for name in sorted(new)},
             "under_way": under_way,
             "oldest_seconds": round(oldest_seconds, 3),
-            "patience": round(patience, 3),
+            "patience": round(timeout, 3),
         }
         return [LogRecord(event="ledger_repetitions", fields=fields)]
--- a/src/yokeline/ledger/answer_times.py
+++ b/src/yokeline/ledger/response_times.py
@@ -10,15 +10,15 @@
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
 """Weights of one answer, from RFC 6298."""
-DEVIATIONS = 4.0
+DEVIATION_FACTOR = 4.0
 """Deviations above the mean after which an answer is late, from RFC 6298."""
-LEAST_PATIENCE_SECONDS = 0.15
+MIN_TIMEOUT_SECONDS = 0.15
 """An idle ledger answers in 0.02 s and a busy one in 0.05; an election takes 0.3 s."""
-MOST_PATIENCE_SECONDS = 0.8
+MAX_TIMEOUT_SECONDS = 0.8
 """Beyond it a reservation (2 s in all) has no time left for another way."""
 
 
-class AnswerTimes:
+class ResponseTimeEstimator:
     """The times of one leader's answers."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._mean += MEAN_WEIGHT * (seconds - self._mean)
 
     @property
-    def patience(self) -> float:
+    def timeout(self) -> float:
         """Seconds of silence after which the leader is doubted."""
-        expected = self._mean + DEVIATIONS * self._deviation
-        return min(MOST_PATIENCE_SECONDS, max(LEAST_PATIENCE_SECONDS, expected))
+        expected = self._mean + DEVIATION_FACTOR * self._deviation
+        return min(MAX_TIMEOUT_SECONDS, max(MIN_TIMEOUT_SECONDS, expected))
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -6,7 +6,6 @@
 
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.answer_times import LEAST_PATIENCE_SECONDS
 from yokeline.ledger.client import MAX_PASSED_ON, LedgerClient, PeerNode
 from yokeline.ledger.messages import (
     LeaderAnswer,
@@ -19,6 +18,7 @@
     TurnServed,
 )
 from yokeline.ledger.operations import Granted, Operation, OperationResult, Reserve, Settle, Settled
+from yokeline.ledger.response_times import MIN_TIMEOUT_SECONDS
 from yokeline.ledger.state import LedgerCommand, LedgerState
 from yokeline.ledger.turns_under_way import TurnsUnderWay
 
@@ -167,7 +167,7 @@
             self.assertIsInstance(fleet.ask(edge, reserve("b", 1000)), Granted)
             began = fleet.now
             self.assertIsInstance(fleet.ask(edge, reserve("c", 1000)), Granted)
-            self.assertLess(fleet.now - began, LEAST_PATIENCE_SECONDS, "it knows the way by now")
+            self.assertLess(fleet.now - began, MIN_TIMEOUT_SECONDS, "it knows the way by now")
             self.assertIn("ledger_path_lost", edge.logged)
 
     def test_the_leader_goes_on_counting_its_turns(self) -> None:
@@ -272,7 +272,7 @@
     def test_a_leader_that_goes_on_answering_gets_nothing_twice(self) -> None:
         fleet = Fleet(1)
         edge = fleet.edges[0]
-        fleet.answer_seconds = 2.5 * LEAST_PATIENCE_SECONDS
+        fleet.answer_seconds = 2.5 * MIN_TIMEOUT_SECONDS
         for number in range(40):
             operation = reserve(f"r{number}", 10_000)
             effects = edge.client.ask(operation, lambda result, now: [], fleet.now, fleet.now + 5)
@@ -321,7 +321,7 @@
         fleet = Fleet(1)
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("first", 10_000))
-        fleet.answer_seconds = 3 * LEAST_PATIENCE_SECONDS
+        fleet.answer_seconds = 3 * MIN_TIMEOUT_SECONDS
         for number in range(60):
             operation = reserve(f"r{number}", 10_000)
             fleet.carry_out(
