--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -42,10 +42,10 @@
 RETRY_TIMEOUT_FACTOR = 2.0
 """Silence after which an operation is sent to the same leader again, in patiences (it may be lost
 with a connection); doubled each time."""
-MAX_REPEAT_SECONDS = 1.2
-PAUSE_SECONDS = 0.03
+MAX_RETRY_DELAY_SECONDS = 1.2
+NOT_LEADING_RETRY_SECONDS = 0.03
 """Pause after the answer of a leader that takes nothing, since it hands over; doubled likewise."""
-MAX_PAUSE_SECONDS = 0.1
+MAX_NOT_LEADING_RETRY_SECONDS = 0.1
 PASSED_ON_SECONDS = 1.0
 """How long an operation of another node is repeated; its asker repeats it too."""
 ENGINES_SECONDS = 0.05
@@ -75,7 +75,7 @@
 """Returns the nodes that say they reach the ledger, the nearest first."""
 
 
-class _Asked(msgspec.Struct, kw_only=True):
+class _PendingOperation(msgspec.Struct, kw_only=True):
     """An operation without a result yet.
 
     Attributes:
@@ -89,11 +89,11 @@
     operation: Operation
     done: OperationDone
     give_up_at: float
-    asked_at: float
+    submitted_at: float
     sent_to: ReplicaId | None = None
     sent_at: float = 0.0
-    repeat_at: float = float("inf")
-    sends: int = 0
+    retry_at: float = float("inf")
+    attempts: int = 0
     is_passed_on: bool = False
     passed_turns: PassedTurns | UnsetType = UNSET
 
@@ -120,17 +120,17 @@
         self._search = LeaderSearch(own_address)
         self._response_times = ResponseTimeEstimator()
         self._next_peer = 0
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingOperation] = {}
         self._passed_on: set[tuple[ReplicaId, int]] = set()
-        self._numbers = 0
+        self._last_number = 0
         self._is_path_lost = False
-        self._copies_to: tuple[LeaderHint, ...] = ()
+        self._copy_targets: tuple[LeaderHint, ...] = ()
         self.turns = OwnTurns()
         self.helpful_peers: HelpfulPeers = list
         self.engines_told: EnginesTold = _nobody
         self.engines: tuple[EngineTurns, ...] = ()
         self.wants_engines = False
-        self._engines_due = float("-inf")
+        self._engines_query_due = float("-inf")
         self.shares_told: SharesTold = _no_shares
         self.answer_seconds = Histogram()
         self.counts = ClientCounts()
@@ -153,7 +153,7 @@
     @property
     def under_way(self) -> int:
         """Operations without an answer yet."""
-        return len(self._asked)
+        return len(self._pending)
 
     # ------------------------------------------------------------ operations
 
@@ -161,8 +161,10 @@
         self, operation: Operation, done: OperationDone, now: float, give_up_at: float
     ) -> list[Effect]:
         """Send an operation; ``done`` is called once."""
-        asked = _Asked(operation=operation, done=done, give_up_at=give_up_at, asked_at=now)
-        return self._begin(asked, now)
+        pending = _PendingOperation(
+            operation=operation, done=done, give_up_at=give_up_at, submitted_at=now
+        )
+        return self._add(pending, now)
 
     def pass_on(
         self, sender: ReplicaId, request: PassedOnRequest, done: OperationDone, now: float
@@ -179,30 +181,30 @@
             self._passed_on.discard(key)
             return done(result, ended_at)
 
-        asked = _Asked(
+        pending = _PendingOperation(
             operation=request.operation,
             done=ended,
             give_up_at=now + PASSED_ON_SECONDS,
-            asked_at=now,
+            submitted_at=now,
             is_passed_on=True,
             passed_turns=_passed_turns(sender, request),
         )
         self.counts.for_peers += 1
         self._passed_on.add(key)
-        return self._begin(asked, now)
+        return self._add(pending, now)
 
     def forget(self, operation: Operation) -> None:
         """Stop asking; ``done`` is not called."""
-        for number, asked in list(self._asked.items()):
-            if asked.operation is operation:
-                del self._asked[number]
-
-    def _begin(self, asked: _Asked, now: float) -> list[Effect]:
-        self._numbers += 1
-        self._asked[self._numbers] = asked
-        effects = self._send(self._numbers, asked, now)
+        for number, pending in list(self._pending.items()):
+            if pending.operation is operation:
+                del self._pending[number]
+
+    def _add(self, pending: _PendingOperation, now: float) -> list[Effect]:
+        self._last_number += 1
+        self._pending[self._last_number] = pending
+        effects = self._send(self._last_number, pending, now)
         if self._is_path_lost:
-            effects.extend(self._send_through_peer(self._numbers, asked, now))
+            effects.extend(self._send_through_peer(self._last_number, pending, now))
         if self._search.leader is None:
             effects.extend(self._search.queries(now))
         return effects
@@ -211,7 +213,7 @@
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        dues = [min(item.repeat_at, item.give_up_at) for item in self._asked.values()]
+        dues = [min(item.retry_at, item.give_up_at) for item in self._pending.values()]
         silent_since = self._silent_since()
         if silent_since is not None:
             query_at = silent_since + QUERY_TIMEOUT_FACTOR * self._response_times.timeout
@@ -222,36 +224,36 @@
         if report_due is not None and self._search.leader is not None:
             dues.append(report_due)
         if self.wants_engines and self._search.leader is not None:
-            dues.append(self._engines_due)
+            dues.append(self._engines_query_due)
         return min(dues, default=None)
 
     def tick(self, now: float) -> list[Effect]:
         """Send again what went unanswered, give up what is late, and look for the leader."""
         effects: list[Effect] = []
-        for number, asked in list(self._asked.items()):
-            if now >= asked.give_up_at:
-                del self._asked[number]
-                effects.extend(asked.done(None, now))
-            elif now >= asked.repeat_at:
-                effects.extend(self._repeat(number, asked, now))
-        effects.extend(self._look_for_leader(now))
-        effects.extend(self._report_turns(now))
+        for number, pending in list(self._pending.items()):
+            if now >= pending.give_up_at:
+                del self._pending[number]
+                effects.extend(pending.done(None, now))
+            elif now >= pending.retry_at:
+                effects.extend(self._retry(number, pending, now))
+        effects.extend(self._check_leader(now))
+        effects.extend(self._send_turn_report(now))
         effects.extend(self._report_counts(now))
         return effects
 
     def _silent_since(self) -> float | None:
         """Return since when an operation has waited without a word of the leader."""
-        if not self._asked:
+        if not self._pending:
             return None
         if self._search.leader is None:
-            return min(item.asked_at for item in self._asked.values())
+            return min(item.submitted_at for item in self._pending.values())
         first = min(
-            item.sent_at if item.sent_to is not None else item.asked_at
-            for item in self._asked.values()
+            item.sent_at if item.sent_to is not None else item.submitted_at
+            for item in self._pending.values()
         )
         return max(first, self._search.heard_at)
 
-    def _look_for_leader(self, now: float) -> list[Effect]:
+    def _check_leader(self, now: float) -> list[Effect]:
         """Ask who leads while operations wait, and doubt the way there after a silence."""
         silent_since = self._silent_since()
         if silent_since is None:
@@ -271,26 +273,26 @@
         fields: dict[str, str | int | float | bool | None] = {
             "silent": round(silence, 3),
             "patience": round(self._response_times.timeout, 3),
-            "under_way": len(self._asked),
+            "under_way": len(self._pending),
         }
         effects: list[Effect] = [
             LogRecord(event="ledger_path_lost", fields=fields, level="warning")
         ]
-        for number, asked in self._asked.items():
-            effects.extend(self._send_through_peer(number, asked, now))
+        for number, pending in self._pending.items():
+            effects.extend(self._send_through_peer(number, pending, now))
         return effects
 
-    def _report_turns(self, now: float) -> list[Effect]:
+    def _send_turn_report(self, now: float) -> list[Effect]:
         """Tell the leader of turns that no operation took along, and ask for news of engines."""
         leader = self._search.leader
         if leader is None:
             return []
         report = self.turns.take_report(now)
-        wants_engines = self.wants_engines and now >= self._engines_due
+        wants_engines = self.wants_engines and now >= self._engines_query_due
         if report is None and not wants_engines:
             return []
         if wants_engines:
-            self._engines_due = now + ENGINES_SECONDS
+            self._engines_query_due = now + ENGINES_SECONDS
             self.counts.engine_asks += 1
         message = LedgerRequest(
             number=0,
@@ -298,17 +300,17 @@
             operations=(),
             turns=report,
             wants_engines=wants_engines or UNSET,
-            tenant_loads=self._rows(report, now),
+            tenant_loads=self._tenant_loads_due(report, now),
         )
         return [SendPeer(to=leader.replica, address=leader.address, message=message)]
 
     def _report_counts(self, now: float) -> list[LogRecord]:
         if not self.counts.is_due(now):
             return []
-        oldest = max((now - item.asked_at for item in self._asked.values()), default=0.0)
+        oldest = max((now - item.submitted_at for item in self._pending.values()), default=0.0)
         return self.counts.report(
             now,
-            under_way=len(self._asked),
+            under_way=len(self._pending),
             oldest_seconds=oldest,
             timeout=self._response_times.timeout,
         )
@@ -322,7 +324,7 @@
         if answer.leader is not None and answer.leader.replica == sender:
             effects.extend(self._note_path_found())
         if is_news:
-            effects.extend(self._follow_leader(now))
+            effects.extend(self._switch_leader(now))
         elif self._search.leader is None:
             self._unassign_all()
         return effects
@@ -330,25 +332,27 @@
     def take_reply(self, reply: LedgerReply, now: float) -> list[Effect]:
         """Take an answer in."""
         effects: list[Effect] = []
-        asked = self._asked.get(reply.number)
+        pending = self._pending.get(reply.number)
         if not reply.passed_on:
-            effects.extend(self._take_word(reply, asked, now))
+            effects.extend(self._take_word(reply, pending, now))
         if reply.engines:
-            self._engines_due = now + ENGINES_SECONDS
+            self._engines_query_due = now + ENGINES_SECONDS
             self.engines = reply.engines
             self.engines_told(reply.engines, now)
         if not isinstance(reply.shares, UnsetType):
             self.shares_told(reply.shares, now)
-        if asked is None:
+        if pending is None:
             self.counts.late_answers += bool(reply.results)
             return effects
         if reply.results:
-            del self._asked[reply.number]
-            self.answer_seconds.observe(now - asked.asked_at)
-            effects.extend(asked.done(reply.results[0], now))
+            del self._pending[reply.number]
+            self.answer_seconds.observe(now - pending.submitted_at)
+            effects.extend(pending.done(reply.results[0], now))
         return effects
 
-    def _take_word(self, reply: LedgerReply, asked: _Asked | None, now: float) -> list[Effect]:
+    def _take_word(
+        self, reply: LedgerReply, pending: _PendingOperation | None, now: float
+    ) -> list[Effect]:
         """Learn from a direct answer who leads, and how soon it answers."""
         effects: list[Effect] = []
         is_news = reply.leader is not None and self._search.believe(reply.leader, reply.term)
@@ -356,95 +360,102 @@
             self.has_answered = True
             self._search.heard_at = now
             if isinstance(reply.results[0], Granted):
-                self._copies_to = reply.copies_to
+                self._copy_targets = reply.copies_to
             effects.extend(self._note_path_found())
-            if asked is not None and asked.sent_to is not None and not is_news:
-                self._response_times.observe(now - asked.sent_at)
+            if pending is not None and pending.sent_to is not None and not is_news:
+                self._response_times.observe(now - pending.sent_at)
         if is_news:
-            effects.extend(self._follow_leader(now))
-        elif asked is not None and not reply.results:
-            effects.extend(self._take_refusal(reply, asked, now))
+            effects.extend(self._switch_leader(now))
+        elif pending is not None and not reply.results:
+            effects.extend(self._handle_not_leading(reply, pending, now))
         return effects
 
-    def _take_refusal(self, reply: LedgerReply, asked: _Asked, now: float) -> list[Effect]:
+    def _handle_not_leading(
+        self, reply: LedgerReply, pending: _PendingOperation, now: float
+    ) -> list[Effect]:
         """Nothing was done: another one leads, nobody does, or the leader hands over."""
         leader = self._search.leader
-        if reply.leader is None and leader is not None and leader.replica == asked.sent_to:
+        if reply.leader is None and leader is not None and leader.replica == pending.sent_to:
             self._search.forget()
             self._unassign_all()
             return list(self._search.queries(now))
-        if leader is None or leader.replica == asked.sent_to:
-            pause = min(MAX_PAUSE_SECONDS, PAUSE_SECONDS * 2.0 ** min(asked.sends, 8))
-            asked.repeat_at = min(asked.repeat_at, now + pause)
+        if leader is None or leader.replica == pending.sent_to:
+            delay = min(
+                MAX_NOT_LEADING_RETRY_SECONDS,
+                NOT_LEADING_RETRY_SECONDS * 2.0 ** min(pending.attempts, 8),
+            )
+            pending.retry_at = min(pending.retry_at, now + delay)
             return []
         self.counts.repetitions["redirected"] += 1
-        return self._send(reply.number, asked, now)
+        return self._send(reply.number, pending, now)
 
     def _unassign_all(self) -> None:
         """Let what the leader had wait for the next one."""
-        for asked in self._asked.values():
-            asked.sent_to = None
+        for pending in self._pending.values():
+            pending.sent_to = None
 
     def _note_path_found(self) -> list[Effect]:
         if not self._is_path_lost:
             return []
         self._is_path_lost = False
-        return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._asked)})]
+        return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._pending)})]
 
-    def _follow_leader(self, now: float) -> list[Effect]:
+    def _switch_leader(self, now: float) -> list[Effect]:
         """Send what waits to a leader that is new, once."""
         leader = self._search.leader
         assert leader is not None
         self.turns.leader_changed()
         self._response_times = ResponseTimeEstimator()
-        self._copies_to = ()
+        self._copy_targets = ()
         fields: dict[str, str | int | float | bool | None] = {
             "leader": leader.replica,
             "term": self._search.term,
-            "under_way": len(self._asked),
+            "under_way": len(self._pending),
         }
         effects: list[Effect] = [LogRecord(event="ledger_leader_known", fields=fields)]
-        for number, asked in self._asked.items():
-            self.counts.repetitions["new_leader"] += asked.sent_to is not None
-            asked.sends = 0
-            effects.extend(self._send(number, asked, now))
+        for number, pending in self._pending.items():
+            self.counts.repetitions["new_leader"] += pending.sent_to is not None
+            pending.attempts = 0
+            effects.extend(self._send(number, pending, now))
         return effects
 
     # ------------------------------------------------------------ sending
 
-    def _repeat(self, number: int, asked: _Asked, now: float) -> list[Effect]:
+    def _retry(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
         self.counts.repetitions["silence"] += self._search.leader is not None
-        effects = self._send(number, asked, now)
+        effects = self._send(number, pending, now)
         if self._is_path_lost:
-            effects.extend(self._send_through_peer(number, asked, now))
+            effects.extend(self._send_through_peer(number, pending, now))
         return effects
 
-    def _send(self, number: int, asked: _Asked, now: float) -> list[Effect]:
+    def _send(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
         """Send an operation to the leader; without one it waits."""
         leader = self._search.leader
         if leader is None:
-            asked.sent_to = None
-            self._plan_repetition(asked, now)
+            pending.sent_to = None
+            self._schedule_retry(pending, now)
             return []
-        if asked.sent_to != leader.replica or not asked.sends:
-            asked.sent_to = leader.replica
-            asked.sent_at = now
-        copies = self._copies(asked.operation) if not asked.sends else []
-        self._plan_repetition(asked, now)
+        if pending.sent_to != leader.replica or not pending.attempts:
+            pending.sent_to = leader.replica
+            pending.sent_at = now
+        copies = self._text_copies(pending.operation) if not pending.attempts else []
+        self._schedule_retry(pending, now)
         turns = self.turns.take_report(now)
         message = LedgerRequest(
             number=number,
             asker=self._own_address,
-            operations=(asked.operation,),
+            operations=(pending.operation,),
             turns=turns,
             is_copied=bool(copies),
-            passed_turns=asked.passed_turns,
-            tenant_loads=self._rows(turns, now),
+            passed_turns=pending.passed_turns,
+            tenant_loads=self._tenant_loads_due(turns, now),
         )
         # The copies go first, so that they arrive before the entry that leaves them out.
         return [*copies, SendPeer(to=leader.replica, address=leader.address, message=message)]
 
-    def _rows(self, turns: NodeTurns | None, now: float) -> tuple[PoolLoad, ...] | UnsetType:
+    def _tenant_loads_due(
+        self, turns: NodeTurns | None, now: float
+    ) -> tuple[PoolLoad, ...] | UnsetType:
         """Return the rows of tenants that go with a report of turns to the leader.
 
         While the leader is out of reach they are kept for operations that peers pass on.
@@ -453,36 +464,40 @@
             return UNSET
         return self.turns.take_rows(now)
 
-    def _copies(self, operation: Operation) -> list[Effect]:
+    def _text_copies(self, operation: Operation) -> list[Effect]:
         """Return the messages that bring a turn's text to the followers, if the leader asks."""
         turn = operation.turn if isinstance(operation, Settle) else None
         if turn is None or len(turn.text) < LEAST_TEXT_BYTES:
             return []
-        self.counts.texts_copied += bool(self._copies_to)
+        self.counts.texts_copied += bool(self._copy_targets)
         copy = TextCopy(turn_id=turn.turn_id, text=turn.text)
         return [
             SendPeer(to=item.replica, address=item.address, message=copy)
-            for item in self._copies_to
+            for item in self._copy_targets
         ]
 
-    def _plan_repetition(self, asked: _Asked, now: float) -> None:
-        pause = RETRY_TIMEOUT_FACTOR * self._response_times.timeout * 2.0 ** min(asked.sends, 8)
-        asked.repeat_at = now + min(MAX_REPEAT_SECONDS, pause)
-        asked.sends += 1
+    def _schedule_retry(self, pending: _PendingOperation, now: float) -> None:
+        delay = (
+            RETRY_TIMEOUT_FACTOR * self._response_times.timeout * 2.0 ** min(pending.attempts, 8)
+        )
+        pending.retry_at = now + min(MAX_RETRY_DELAY_SECONDS, delay)
+        pending.attempts += 1
 
-    def _send_through_peer(self, number: int, asked: _Asked, now: float) -> list[Effect]:
+    def _send_through_peer(
+        self, number: int, pending: _PendingOperation, now: float
+    ) -> list[Effect]:
         """Ask through the next of the nodes that reach the ledger; another one each time."""
-        peers = [] if asked.is_passed_on else self.helpful_peers()
+        peers = [] if pending.is_passed_on else self.helpful_peers()
         if not peers:
             return []
         peer = peers[self._next_peer % len(peers)]
-        if asked.sends > 1:
+        if pending.attempts > 1:
             self._next_peer += 1
         self.counts.through_peers += 1
         message = PassedOnRequest(
             number=number,
             asker=self._own_address,
-            operation=asked.operation,
+            operation=pending.operation,
             turns=self.turns.report_for_peer(now),
             tenant_loads=self.turns.take_rows(now),
         )
