--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -46,12 +46,12 @@
 NOT_LEADING_RETRY_SECONDS = 0.03
 """Pause after the answer of a leader that takes nothing, since it hands over; doubled likewise."""
 MAX_NOT_LEADING_RETRY_SECONDS = 0.1
-PASSED_ON_SECONDS = 1.0
+RELAY_TIMEOUT_SECONDS = 1.0
 """How long an operation of another node is repeated; its asker repeats it too."""
 ENGINES_SECONDS = 0.05
 """Age of what was told of engines after which a node with requests that wait for one asks anew. A
 turn takes some tenths of a second, so a place that falls free is known within a part of one."""
-MAX_PASSED_ON = 256
+MAX_RELAYED_OPERATIONS = 256
 """Operations of other nodes under way at once; more are dropped, and their askers ask again."""
 
 OperationDone = Callable[[OperationResult | None, float], list[Effect]]
@@ -94,8 +94,8 @@
     sent_at: float = 0.0
     retry_at: float = float("inf")
     attempts: int = 0
-    is_passed_on: bool = False
-    passed_turns: PassedTurns | UnsetType = UNSET
+    is_relayed: bool = False
+    relayed_turns: PassedTurns | UnsetType = UNSET
 
 
 class LedgerClient:
@@ -121,7 +121,7 @@
         self._response_times = ResponseTimeEstimator()
         self._next_peer = 0
         self._pending: dict[int, _PendingOperation] = {}
-        self._passed_on: set[tuple[ReplicaId, int]] = set()
+        self._relayed: set[tuple[ReplicaId, int]] = set()
         self._last_number = 0
         self._is_path_lost = False
         self._copy_targets: tuple[LeaderHint, ...] = ()
@@ -174,23 +174,23 @@
         Nothing is passed on twice: a node that gets no answer itself lets it be.
         """
         key = (sender, request.number)
-        if key in self._passed_on or len(self._passed_on) >= MAX_PASSED_ON:
+        if key in self._relayed or len(self._relayed) >= MAX_RELAYED_OPERATIONS:
             return []
 
         def ended(result: OperationResult | None, ended_at: float) -> list[Effect]:
-            self._passed_on.discard(key)
+            self._relayed.discard(key)
             return done(result, ended_at)
 
         pending = _PendingOperation(
             operation=request.operation,
             done=ended,
-            give_up_at=now + PASSED_ON_SECONDS,
+            give_up_at=now + RELAY_TIMEOUT_SECONDS,
             submitted_at=now,
-            is_passed_on=True,
-            passed_turns=_passed_turns(sender, request),
+            is_relayed=True,
+            relayed_turns=_relayed_turns(sender, request),
         )
         self.counts.for_peers += 1
-        self._passed_on.add(key)
+        self._relayed.add(key)
         return self._add(pending, now)
 
     def forget(self, operation: Operation) -> None:
@@ -204,7 +204,7 @@
         self._pending[self._last_number] = pending
         effects = self._send(self._last_number, pending, now)
         if self._is_path_lost:
-            effects.extend(self._send_through_peer(self._last_number, pending, now))
+            effects.extend(self._send_via_peer(self._last_number, pending, now))
         if self._search.leader is None:
             effects.extend(self._search.queries(now))
         return effects
@@ -279,7 +279,7 @@
             LogRecord(event="ledger_path_lost", fields=fields, level="warning")
         ]
         for number, pending in self._pending.items():
-            effects.extend(self._send_through_peer(number, pending, now))
+            effects.extend(self._send_via_peer(number, pending, now))
         return effects
 
     def _send_turn_report(self, now: float) -> list[Effect]:
@@ -425,7 +425,7 @@
         self.counts.repetitions["silence"] += self._search.leader is not None
         effects = self._send(number, pending, now)
         if self._is_path_lost:
-            effects.extend(self._send_through_peer(number, pending, now))
+            effects.extend(self._send_via_peer(number, pending, now))
         return effects
 
     def _send(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
@@ -447,7 +447,7 @@
             operations=(pending.operation,),
             turns=turns,
             is_copied=bool(copies),
-            passed_turns=pending.passed_turns,
+            passed_turns=pending.relayed_turns,
             tenant_loads=self._tenant_loads_due(turns, now),
         )
         # The copies go first, so that they arrive before the entry that leaves them out.
@@ -483,11 +483,9 @@
         pending.retry_at = now + min(MAX_RETRY_DELAY_SECONDS, delay)
         pending.attempts += 1
 
-    def _send_through_peer(
-        self, number: int, pending: _PendingOperation, now: float
-    ) -> list[Effect]:
+    def _send_via_peer(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
         """Ask through the next of the nodes that reach the ledger; another one each time."""
-        peers = [] if pending.is_passed_on else self.helpful_peers()
+        peers = [] if pending.is_relayed else self.helpful_peers()
         if not peers:
             return []
         peer = peers[self._next_peer % len(peers)]
@@ -504,7 +502,7 @@
         return [SendPeer(to=peer.process, address=peer.address, message=message)]
 
 
-def _passed_turns(sender: ReplicaId, request: PassedOnRequest) -> PassedTurns | UnsetType:
+def _relayed_turns(sender: ReplicaId, request: PassedOnRequest) -> PassedTurns | UnsetType:
     """Return what a node tells of its turns with an operation that is passed on."""
     if isinstance(request.turns, UnsetType):
         return UNSET
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -6,7 +6,7 @@
 
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.client import MAX_PASSED_ON, LedgerClient, PeerNode
+from yokeline.ledger.client import MAX_RELAYED_OPERATIONS, LedgerClient, PeerNode
 from yokeline.ledger.messages import (
     LeaderAnswer,
     LeaderHint,
@@ -297,12 +297,12 @@
 
     def test_operations_of_others_are_bounded(self) -> None:
         client = LedgerClient(Address("10.1.0.1", 1))
-        for number in range(2 * MAX_PASSED_ON):
+        for number in range(2 * MAX_RELAYED_OPERATIONS):
             request = PassedOnRequest(
                 number=number, asker=Address("10.1.0.2", 1), operation=reserve(str(number))
             )
             client.pass_on(ReplicaId("other"), request, lambda result, now: [], 100.0)
-        self.assertEqual(client.under_way, MAX_PASSED_ON)
+        self.assertEqual(client.under_way, MAX_RELAYED_OPERATIONS)
 
     def test_without_a_leader_nobody_is_helpful_and_all_go_on_afterwards(self) -> None:
         fleet = Fleet()
