--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -54,7 +54,7 @@
 MAX_RELAYED_OPERATIONS = 256
 """Operations of other nodes under way at once; more are dropped, and their askers ask again."""
 
-OperationDone = Callable[[OperationResult | None, float], list[Effect]]
+OperationCallback = Callable[[OperationResult | None, float], list[Effect]]
 """Told the result of an operation and the time; None if given up (it may have been taken)."""
 
 
@@ -65,13 +65,13 @@
     address: Address
 
 
-EnginesTold = Callable[[tuple[EngineTurns, ...], float], None]
+EnginesCallback = Callable[[tuple[EngineTurns, ...], float], None]
 """Told what the leader knows of engines, and the time."""
 
-SharesTold = Callable[[tuple[PoolShares, ...], float], None]
+SharesCallback = Callable[[tuple[PoolShares, ...], float], None]
 """Told how the places of pools are shared between tenants, and the time."""
 
-HelpfulPeers = Callable[[], list[PeerNode]]
+PeerProvider = Callable[[], list[PeerNode]]
 """Returns the nodes that say they reach the ledger, the nearest first."""
 
 
@@ -87,7 +87,7 @@
     """
 
     operation: Operation
-    done: OperationDone
+    done: OperationCallback
     give_up_at: float
     submitted_at: float
     sent_to: ReplicaId | None = None
@@ -123,15 +123,15 @@
         self._pending: dict[int, _PendingOperation] = {}
         self._relayed: set[tuple[ReplicaId, int]] = set()
         self._last_number = 0
-        self._is_path_lost = False
+        self._is_unreachable = False
         self._copy_targets: tuple[LeaderHint, ...] = ()
         self.turns = OwnTurns()
-        self.helpful_peers: HelpfulPeers = list
-        self.engines_told: EnginesTold = _nobody
+        self.helpful_peers: PeerProvider = list
+        self.engines_told: EnginesCallback = _ignore_engines
         self.engines: tuple[EngineTurns, ...] = ()
         self.wants_engines = False
         self._engines_query_due = float("-inf")
-        self.shares_told: SharesTold = _no_shares
+        self.shares_told: SharesCallback = _ignore_shares
         self.answer_seconds = Histogram()
         self.counts = ClientCounts()
         self.has_answered = False
@@ -148,7 +148,7 @@
     @property
     def reaches_ledger(self) -> bool:
         """Whether the last operations were answered, or there were none."""
-        return not self._is_path_lost
+        return not self._is_unreachable
 
     @property
     def under_way(self) -> int:
@@ -158,7 +158,7 @@
     # ------------------------------------------------------------ operations
 
     def ask(
-        self, operation: Operation, done: OperationDone, now: float, give_up_at: float
+        self, operation: Operation, done: OperationCallback, now: float, give_up_at: float
     ) -> list[Effect]:
         """Send an operation; ``done`` is called once."""
         pending = _PendingOperation(
@@ -167,7 +167,7 @@
         return self._add(pending, now)
 
     def pass_on(
-        self, sender: ReplicaId, request: PassedOnRequest, done: OperationDone, now: float
+        self, sender: ReplicaId, request: PassedOnRequest, done: OperationCallback, now: float
     ) -> list[Effect]:
         """Ask for another node; a repetition of a question under way changes nothing.
 
@@ -203,7 +203,7 @@
         self._last_number += 1
         self._pending[self._last_number] = pending
         effects = self._send(self._last_number, pending, now)
-        if self._is_path_lost:
+        if self._is_unreachable:
             effects.extend(self._send_via_peer(self._last_number, pending, now))
         if self._search.leader is None:
             effects.extend(self._search.queries(now))
@@ -218,7 +218,7 @@
         if silent_since is not None:
             query_at = silent_since + QUERY_TIMEOUT_FACTOR * self._response_times.timeout
             dues.append(max(query_at, self._search.query_due()))
-            if not self._is_path_lost:
+            if not self._is_unreachable:
                 dues.append(silent_since + self._response_times.timeout)
         report_due = self.turns.report_due()
         if report_due is not None and self._search.leader is not None:
@@ -263,13 +263,13 @@
         effects: list[Effect] = []
         if silence >= QUERY_TIMEOUT_FACTOR * timeout or self._search.leader is None:
             effects.extend(self._search.queries(now))
-        if silence >= timeout and not self._is_path_lost:
-            effects.extend(self._doubt_path(silence, now))
+        if silence >= timeout and not self._is_unreachable:
+            effects.extend(self._mark_unreachable(silence, now))
         return effects
 
-    def _doubt_path(self, silence: float, now: float) -> list[Effect]:
+    def _mark_unreachable(self, silence: float, now: float) -> list[Effect]:
         """Send all that waits through peers: nothing at all is heard, not even who leads."""
-        self._is_path_lost = True
+        self._is_unreachable = True
         fields: dict[str, str | int | float | bool | None] = {
             "silent": round(silence, 3),
             "patience": round(self._response_times.timeout, 3),
@@ -319,11 +319,11 @@
 
     def take_leader(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> list[Effect]:
         """Take a storage node's word on who leads."""
-        is_news = self._search.take(sender, answer, now)
+        is_new_leader = self._search.take(sender, answer, now)
         effects: list[Effect] = []
         if answer.leader is not None and answer.leader.replica == sender:
-            effects.extend(self._note_path_found())
-        if is_news:
+            effects.extend(self._mark_reachable())
+        if is_new_leader:
             effects.extend(self._switch_leader(now))
         elif self._search.leader is None:
             self._unassign_all()
@@ -334,7 +334,7 @@
         effects: list[Effect] = []
         pending = self._pending.get(reply.number)
         if not reply.passed_on:
-            effects.extend(self._take_word(reply, pending, now))
+            effects.extend(self._note_leader_reply(reply, pending, now))
         if reply.engines:
             self._engines_query_due = now + ENGINES_SECONDS
             self.engines = reply.engines
@@ -350,21 +350,21 @@
             effects.extend(pending.done(reply.results[0], now))
         return effects
 
-    def _take_word(
+    def _note_leader_reply(
         self, reply: LedgerReply, pending: _PendingOperation | None, now: float
     ) -> list[Effect]:
         """Learn from a direct answer who leads, and how soon it answers."""
         effects: list[Effect] = []
-        is_news = reply.leader is not None and self._search.believe(reply.leader, reply.term)
+        is_new_leader = reply.leader is not None and self._search.believe(reply.leader, reply.term)
         if reply.results:
             self.has_answered = True
             self._search.heard_at = now
             if isinstance(reply.results[0], Granted):
                 self._copy_targets = reply.copies_to
-            effects.extend(self._note_path_found())
-            if pending is not None and pending.sent_to is not None and not is_news:
+            effects.extend(self._mark_reachable())
+            if pending is not None and pending.sent_to is not None and not is_new_leader:
                 self._response_times.observe(now - pending.sent_at)
-        if is_news:
+        if is_new_leader:
             effects.extend(self._switch_leader(now))
         elif pending is not None and not reply.results:
             effects.extend(self._handle_not_leading(reply, pending, now))
@@ -394,10 +394,10 @@
         for pending in self._pending.values():
             pending.sent_to = None
 
-    def _note_path_found(self) -> list[Effect]:
-        if not self._is_path_lost:
+    def _mark_reachable(self) -> list[Effect]:
+        if not self._is_unreachable:
             return []
-        self._is_path_lost = False
+        self._is_unreachable = False
         return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._pending)})]
 
     def _switch_leader(self, now: float) -> list[Effect]:
@@ -424,7 +424,7 @@
     def _retry(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
         self.counts.repetitions["silence"] += self._search.leader is not None
         effects = self._send(number, pending, now)
-        if self._is_path_lost:
+        if self._is_unreachable:
             effects.extend(self._send_via_peer(number, pending, now))
         return effects
 
@@ -460,7 +460,7 @@
 
         While the leader is out of reach they are kept for operations that peers pass on.
         """
-        if turns is None or self._is_path_lost:
+        if turns is None or self._is_unreachable:
             return UNSET
         return self.turns.take_rows(now)
 
@@ -510,9 +510,9 @@
     return PassedTurns(sender, request.turns, rows)
 
 
-def _no_shares(shares: tuple[PoolShares, ...], now: float) -> None:
+def _ignore_shares(shares: tuple[PoolShares, ...], now: float) -> None:
     """Tell nobody."""
 
 
-def _nobody(engines: tuple[EngineTurns, ...], now: float) -> None:
+def _ignore_engines(engines: tuple[EngineTurns, ...], now: float) -> None:
     """Tell nobody."""
--- a/src/yokeline/ledger/history_fetches.py
+++ b/src/yokeline/ledger/history_fetches.py
@@ -21,13 +21,13 @@
 FETCH_SECONDS = 0.15
 """Longest wait for a replica, then the leader is asked: a replica holds a question for 0.1 s, and
 the text of a long chain takes a few hundredths on a link of 15 Mbit/s."""
-AVOID_SECONDS = 3.0
+SILENT_BACKOFF_SECONDS = 3.0
 """Time for which a replica that was silent is not asked: a machine that lost power is back in 2 to
 4 s."""
-OUTSIDE_SECONDS = 15.0
+NON_MEMBER_BACKOFF_SECONDS = 15.0
 """The same for one that is no member of the group: members change when a machine is lost."""
 
-HistoryDone = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
+HistoryCallback = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
 """Told the turns, the oldest first, and the time; none if the replica did not help."""
 
 
@@ -41,7 +41,7 @@
 
 class _Fetch(msgspec.Struct):
     replica: ReplicaId
-    done: HistoryDone
+    done: HistoryCallback
     give_up_at: float
 
 
@@ -60,11 +60,11 @@
         self._replicas: list[NearReplica] = []
         self._avoided_until: dict[ReplicaId, float] = {}
         self._fetches: dict[int, _Fetch] = {}
-        self._numbers = 0
+        self._last_number = 0
 
     def set_replicas(self, replicas: list[NearReplica]) -> None:
         """Note the storage replicas that are known."""
-        self._replicas = sorted(replicas, key=lambda item: (not item.is_near, self._lot(item)))
+        self._replicas = sorted(replicas, key=lambda item: (not item.is_near, self._rank(item)))
         known = {item.replica for item in replicas}
         self._avoided_until = {
             replica: until for replica, until in self._avoided_until.items() if replica in known
@@ -75,16 +75,18 @@
         last: str,
         known: str,
         leader: ReplicaId | None,
-        done: HistoryDone,
+        done: HistoryCallback,
         now: float,
     ) -> list[Effect] | None:
         """Ask for a chain from after ``known`` up to ``last``; None if there is nobody to ask."""
         chosen = self._choose(leader, now)
         if chosen is None:
             return None
-        self._numbers += 1
-        self._fetches[self._numbers] = _Fetch(chosen.replica, done, now + FETCH_SECONDS)
-        message = HistoryAsk(number=self._numbers, asker=self._own_address, last=last, known=known)
+        self._last_number += 1
+        self._fetches[self._last_number] = _Fetch(chosen.replica, done, now + FETCH_SECONDS)
+        message = HistoryAsk(
+            number=self._last_number, asker=self._own_address, last=last, known=known
+        )
         return [SendPeer(to=chosen.replica, address=chosen.address, message=message)]
 
     def take_reply(self, reply: HistoryReply, now: float) -> list[Effect]:
@@ -99,7 +101,7 @@
             self.counts["lacking"] += 1
         else:
             self.counts["outside"] += 1
-            self._avoided_until[fetch.replica] = now + OUTSIDE_SECONDS
+            self._avoided_until[fetch.replica] = now + NON_MEMBER_BACKOFF_SECONDS
         return fetch.done(reply.turns, now)
 
     def next_deadline(self) -> float | None:
@@ -114,7 +116,7 @@
                 continue
             del self._fetches[number]
             self.counts["silent"] += 1
-            self._avoided_until[fetch.replica] = now + AVOID_SECONDS
+            self._avoided_until[fetch.replica] = now + SILENT_BACKOFF_SECONDS
             effects.extend(fetch.done((), now))
         return effects
 
@@ -124,5 +126,5 @@
                 return item
         return None
 
-    def _lot(self, item: NearReplica) -> int:
+    def _rank(self, item: NearReplica) -> int:
         return xxhash.xxh32_intdigest(f"{self._node}/{item.replica}".encode())
--- a/src/yokeline/ledger/history_service.py
+++ b/src/yokeline/ledger/history_service.py
@@ -10,14 +10,14 @@
 from yokeline.ledger.operations import KeptTurn
 from yokeline.ledger.replica import LedgerReplica
 
-HOLD_SECONDS = 0.1
+MISSING_TURN_WAIT_SECONDS = 0.1
 """Time for which a replica waits for a turn that it does not have yet: it hears what is committed
 with the next message of its leader, 0.06 s later at most."""
-MAX_HELD = 512
+MAX_PENDING_REQUESTS = 512
 """Questions held at once; more are answered at once that the turn is not there."""
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _PendingRequest(msgspec.Struct, frozen=True):
     sender: ReplicaId
     ask: HistoryAsk
     until: float
@@ -29,34 +29,34 @@
     def __init__(self, replica: LedgerReplica) -> None:
         """Read from ``replica``."""
         self._replica = replica
-        self._held: list[_Held] = []
+        self._pending: list[_PendingRequest] = []
 
-    def take(self, sender: ReplicaId, ask: HistoryAsk, now: float) -> list[Effect]:
+    def handle_request(self, sender: ReplicaId, ask: HistoryAsk, now: float) -> list[Effect]:
         """Answer a question, or hold it while the turn may still be on its way here."""
         turns = self._replica.state().chain(ask.last, ask.known)
-        may_come = self._replica.is_member and len(self._held) < MAX_HELD
+        may_come = self._replica.is_member and len(self._pending) < MAX_PENDING_REQUESTS
         if turns or not may_come:
             return [self._reply(sender, ask, turns)]
-        self._held.append(_Held(sender, ask, now + HOLD_SECONDS))
+        self._pending.append(_PendingRequest(sender, ask, now + MISSING_TURN_WAIT_SECONDS))
         return []
 
     def tick(self, now: float) -> list[Effect]:
         """Answer what was held and has come, or has waited long enough."""
-        if not self._held:
+        if not self._pending:
             return []
         effects: list[Effect] = []
-        held, self._held = self._held, []
-        for item in held:
+        pending, self._pending = self._pending, []
+        for item in pending:
             turns = self._replica.state().chain(item.ask.last, item.ask.known)
             if turns or now >= item.until:
                 effects.append(self._reply(item.sender, item.ask, turns))
             else:
-                self._held.append(item)
+                self._pending.append(item)
         return effects
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        return min((item.until for item in self._held), default=None)
+        return min((item.until for item in self._pending), default=None)
 
     def _reply(self, sender: ReplicaId, ask: HistoryAsk, turns: tuple[KeptTurn, ...]) -> Effect:
         reply = HistoryReply(number=ask.number, turns=turns, is_member=self._replica.is_member)
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -80,7 +80,7 @@
 NOW = float("-inf")
 """A time that has always come."""
 
-ResultsReady = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
+ResultsCallback = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
 """Told the results of proposed operations; None if they may not have been taken."""
 
 
@@ -95,7 +95,7 @@
     """Operations proposed in a term, waiting for their entry to be committed."""
 
     term: int
-    ready: ResultsReady
+    ready: ResultsCallback
 
 
 class LedgerReplica:
@@ -291,7 +291,7 @@
     def propose(
         self,
         operations: tuple[Operation, ...],
-        ready: ResultsReady,
+        ready: ResultsCallback,
         now: float,
         wall: float,
         copied: tuple[KeptTurn, ...] = (),
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -158,7 +158,7 @@
             self.replica.texts_lacking(event.sender, now)
             return []
         if isinstance(message, HistoryAsk):
-            return self._histories.take(event.sender, message, now)
+            return self._histories.handle_request(event.sender, message, now)
         if isinstance(message, LeaderQuery):
             return [self._tell_leader(event.sender, message)]
         if isinstance(message, LeaderAnswer):
--- a/tests/unit/ledger/test_histories.py
+++ b/tests/unit/ledger/test_histories.py
@@ -9,13 +9,13 @@
 from yokeline.effects import Address, Effect, PeerMessage, SendPeer
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.history_fetches import (
-    AVOID_SECONDS,
     FETCH_SECONDS,
-    OUTSIDE_SECONDS,
+    NON_MEMBER_BACKOFF_SECONDS,
+    SILENT_BACKOFF_SECONDS,
     HistoryFetches,
     NearReplica,
 )
-from yokeline.ledger.history_service import HOLD_SECONDS
+from yokeline.ledger.history_service import MISSING_TURN_WAIT_SECONDS
 from yokeline.ledger.messages import HistoryAsk, HistoryReply
 from yokeline.ledger.operations import KeptTurn
 
@@ -69,10 +69,10 @@
         self.fetches.tick(0.03 + FETCH_SECONDS)
         self.assertEqual(self.got, [(), ()])
         self.assertIsNone(self.fetch(0.2))
-        third = self.fetch(0.03 + FETCH_SECONDS + AVOID_SECONDS)
+        third = self.fetch(0.03 + FETCH_SECONDS + SILENT_BACKOFF_SECONDS)
         assert third is not None
         self.assertEqual(third.to, "far")
-        fourth = self.fetch(0.01 + OUTSIDE_SECONDS)
+        fourth = self.fetch(0.01 + NON_MEMBER_BACKOFF_SECONDS)
         assert fourth is not None
         self.assertEqual(fourth.to, "near")
 
@@ -119,13 +119,13 @@
         self.ask(cluster, follower, "t1")
         self.assertEqual(self.texts(cluster), [])
         cluster.ask(turn("t1"))
-        cluster.run(HOLD_SECONDS)
+        cluster.run(MISSING_TURN_WAIT_SECONDS)
         self.assertEqual(self.texts(cluster), [[b"text"]])
 
     def test_a_turn_that_does_not_come_is_answered_as_lacking(self) -> None:
         cluster = self.cluster()
         self.ask(cluster, self.followers(cluster)[0], "never")
-        cluster.run(HOLD_SECONDS + 0.05)
+        cluster.run(MISSING_TURN_WAIT_SECONDS + 0.05)
         self.assertEqual(self.texts(cluster), [[]])
 
     def test_a_replica_that_is_no_member_answers_at_once(self) -> None:
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -9,7 +9,7 @@
 
 from tests.unit.ledger.cluster import Asker, Cluster
 from yokeline.effects import Effect
-from yokeline.ledger.client import OperationDone
+from yokeline.ledger.client import OperationCallback
 from yokeline.ledger.messages import TurnServed
 from yokeline.ledger.operations import Granted, KeptTurn, OperationResult, Reserve, Settle
 
@@ -98,7 +98,7 @@
 
         self._ask(asker, operation, done)
 
-    def _ask(self, asker: Asker, operation: Reserve | Settle, done: OperationDone) -> None:
+    def _ask(self, asker: Asker, operation: Reserve | Settle, done: OperationCallback) -> None:
         now = self.cluster.now
         effects = asker.client.ask(operation, done, now, now + ANSWER_LIMIT)
         self.cluster.carry_out_asker(asker.process, effects)
