--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -206,7 +206,7 @@
         if self._is_unreachable:
             effects.extend(self._send_via_peer(self._last_number, pending, now))
         if self._search.leader is None:
-            effects.extend(self._search.queries(now))
+            effects.extend(self._search.send_queries(now))
         return effects
 
     # ------------------------------------------------------------ time
@@ -217,7 +217,7 @@
         silent_since = self._silent_since()
         if silent_since is not None:
             query_at = silent_since + QUERY_TIMEOUT_FACTOR * self._response_times.timeout
-            dues.append(max(query_at, self._search.query_due()))
+            dues.append(max(query_at, self._search.next_query_at()))
             if not self._is_unreachable:
                 dues.append(silent_since + self._response_times.timeout)
         report_due = self.turns.report_due()
@@ -262,7 +262,7 @@
         timeout = self._response_times.timeout
         effects: list[Effect] = []
         if silence >= QUERY_TIMEOUT_FACTOR * timeout or self._search.leader is None:
-            effects.extend(self._search.queries(now))
+            effects.extend(self._search.send_queries(now))
         if silence >= timeout and not self._is_unreachable:
             effects.extend(self._mark_unreachable(silence, now))
         return effects
@@ -319,7 +319,7 @@
 
     def take_leader(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> list[Effect]:
         """Take a storage node's word on who leads."""
-        is_new_leader = self._search.take(sender, answer, now)
+        is_new_leader = self._search.take_answer(sender, answer, now)
         effects: list[Effect] = []
         if answer.leader is not None and answer.leader.replica == sender:
             effects.extend(self._mark_reachable())
@@ -355,7 +355,9 @@
     ) -> list[Effect]:
         """Learn from a direct answer who leads, and how soon it answers."""
         effects: list[Effect] = []
-        is_new_leader = reply.leader is not None and self._search.believe(reply.leader, reply.term)
+        is_new_leader = reply.leader is not None and self._search.update_leader(
+            reply.leader, reply.term
+        )
         if reply.results:
             self.has_answered = True
             self._search.heard_at = now
@@ -378,7 +380,7 @@
         if reply.leader is None and leader is not None and leader.replica == pending.sent_to:
             self._search.forget()
             self._unassign_all()
-            return list(self._search.queries(now))
+            return list(self._search.send_queries(now))
         if leader is None or leader.replica == pending.sent_to:
             delay = min(
                 MAX_NOT_LEADING_RETRY_SECONDS,
--- a/src/yokeline/ledger/leader_search.py
+++ b/src/yokeline/ledger/leader_search.py
@@ -14,9 +14,9 @@
 QUERY_SECONDS = 0.1
 """Pause between two rounds of queries while a leader is known but silent: a third of the election
 timeout, so a new leader is found soon after its election."""
-SEARCH_SECONDS = 0.03
+NO_LEADER_QUERY_SECONDS = 0.03
 """The same while none is known."""
-QUERIED_REPLICAS = 3
+REPLICAS_PER_QUERY = 3
 """Replicas asked in one round beside the believed leader: of eight, of which five are members, one
 that knows is among them; all are asked in a few rounds."""
 
@@ -44,40 +44,40 @@
         """Note the storage replicas that are known."""
         self._storage = storage
 
-    def believe(self, leader: LeaderHint, term: int) -> bool:
+    def update_leader(self, leader: LeaderHint, term: int) -> bool:
         """Take in who leads; return whether that is another leader, or one elected anew."""
         if term < self.term:
             return False
-        is_news = leader != self.leader or term > self.term
+        is_new_leader = leader != self.leader or term > self.term
         self.leader = leader
         self.term = term
-        return is_news
+        return is_new_leader
 
     def forget(self) -> None:
         """Note that the believed leader does not lead any more."""
         self.leader = None
         self._next_query = float("-inf")
 
-    def take(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> bool:
+    def take_answer(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> bool:
         """Take the answer to a query in; return whether another leader is believed in."""
         if answer.leader is None:
             if self.leader is not None and self.leader.replica == sender:
                 self.forget()
             return False
-        is_news = self.believe(answer.leader, answer.term)
+        is_new_leader = self.update_leader(answer.leader, answer.term)
         if answer.leader.replica == sender:
             self.heard_at = now
-        return is_news
+        return is_new_leader
 
-    def query_due(self) -> float:
+    def next_query_at(self) -> float:
         """Return when the next round of queries may be sent."""
         return self._next_query
 
-    def queries(self, now: float) -> list[SendPeer]:
+    def send_queries(self, now: float) -> list[SendPeer]:
         """Ask the believed leader and a few others who leads, unless asked a moment ago."""
         if now < self._next_query:
             return []
-        self._next_query = now + (SEARCH_SECONDS if self.leader is None else QUERY_SECONDS)
+        self._next_query = now + (NO_LEADER_QUERY_SECONDS if self.leader is None else QUERY_SECONDS)
         asked = [self.leader] if self.leader is not None else []
         asked.extend(self._candidates())
         query = LeaderQuery(asker=self._own_address)
@@ -87,7 +87,7 @@
         """Return the next replicas that are not the believed leader, in turn."""
         leader = self.leader.replica if self.leader is not None else None
         replicas = [replica for replica in sorted(self._storage) if replica != leader]
-        count = min(QUERIED_REPLICAS, len(replicas))
+        count = min(REPLICAS_PER_QUERY, len(replicas))
         first, self._next_candidate = self._next_candidate, self._next_candidate + count
         chosen = [replicas[(first + number) % len(replicas)] for number in range(count)]
         return [LeaderHint(replica, self._storage[replica]) for replica in chosen]
