--- a/src/yokeline/ledger/joining.py
+++ b/src/yokeline/ledger/joining.py
@@ -10,19 +10,19 @@
 from yokeline.registry.nodes import NODE_PREFIX, NodeRecord, storage_nodes
 
 JOIN_PERIOD_SECONDS = 0.25
-PROMPT_JOIN_SECONDS = 5.0
+EAGER_JOIN_SECONDS = 5.0
 """Time after the start in which a node that is no member asks all others, and often: its earlier
 replica may be a member, and who knows that its disk is lost counts it in no majority."""
-PATIENT_JOIN_SECONDS = 0.7
+STANDBY_JOIN_PERIOD_SECONDS = 0.7
 """Pause between its requests after that: the group is probably full, and it stands by."""
 LEADER_SILENCE_SECONDS = 1.0
 """A member that knows no leader for this long asks to join, in case it was removed."""
-TOLD_SECONDS = 2.0
+LEADER_HINT_TTL_SECONDS = 2.0
 """Time for which a node that stands by believes who leads after it was told: it is told again
 with each of its requests, so this is two that went unanswered."""
 
 
-class Joining:
+class JoinRequester:
     """Asks to join while the node is no member, or knows no leader.
 
     Attributes:
@@ -37,28 +37,28 @@
         self._record = record
         self._replica = replica
         self._registry = registry
-        self._began_at = now
+        self._started_at = now
         self._next_request = now
-        self._told: LeaderHint | None = None
-        self._told_term = 0
-        self._told_at = float("-inf")
+        self._leader_hint: LeaderHint | None = None
+        self._leader_hint_term = 0
+        self._leader_hint_at = float("-inf")
 
     def knows_leader(self, now: float) -> bool:
         """Whether this node knows a leader, as a member of its group or as one that stands by."""
         if self._replica.is_member:
             return self._replica.group.leader is not None
-        return self._told_lately(now) is not None
+        return self._recent_leader_hint(now) is not None
 
-    def take_told(self, answer: LeaderAnswer, now: float) -> None:
+    def take_leader_answer(self, answer: LeaderAnswer, now: float) -> None:
         """Note who leads, as a member tells a node that asked."""
-        if answer.leader is None or answer.term < self._told_term:
+        if answer.leader is None or answer.term < self._leader_hint_term:
             return
-        if answer.leader != self._told:
+        if answer.leader != self._leader_hint:
             # A new leader does not know yet who stands by, and may need a member now.
             self._next_request = now
-        self._told = answer.leader
-        self._told_term = answer.term
-        self._told_at = now
+        self._leader_hint = answer.leader
+        self._leader_hint_term = answer.term
+        self._leader_hint_at = now
 
     def tick(self, now: float) -> list[Effect]:
         """Ask, if it is time."""
@@ -67,19 +67,21 @@
         has_leader = now - self.leader_seen_at < LEADER_SILENCE_SECONDS
         if now < self._next_request or (self._replica.is_member and has_leader):
             return []
-        is_new = now - self._began_at < PROMPT_JOIN_SECONDS or self._replica.is_member
-        self._next_request = now + (JOIN_PERIOD_SECONDS if is_new else PATIENT_JOIN_SECONDS)
+        is_eager = now - self._started_at < EAGER_JOIN_SECONDS or self._replica.is_member
+        self._next_request = now + (
+            JOIN_PERIOD_SECONDS if is_eager else STANDBY_JOIN_PERIOD_SECONDS
+        )
         record = self._record
         message = Join(node=record.name, replica=record.replica, address=record.address)
-        told = None if is_new else self._told_lately(now)
-        asked = self._storage_addresses() if told is None else {told.replica: told.address}
+        hint = None if is_eager else self._recent_leader_hint(now)
+        recipients = self._storage_addresses() if hint is None else {hint.replica: hint.address}
         return [
             SendPeer(to=replica, address=address, message=message)
-            for replica, address in asked.items()
+            for replica, address in recipients.items()
         ]
 
-    def _told_lately(self, now: float) -> LeaderHint | None:
-        return self._told if now - self._told_at < TOLD_SECONDS else None
+    def _recent_leader_hint(self, now: float) -> LeaderHint | None:
+        return self._leader_hint if now - self._leader_hint_at < LEADER_HINT_TTL_SECONDS else None
 
     def _storage_addresses(self) -> dict[ReplicaId, Address]:
         """Return every storage replica known from the registry or from messages."""
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -20,7 +20,7 @@
 from yokeline.identifiers import NodeName, ReplicaId, node_name_of
 from yokeline.ledger.founding import Founding
 from yokeline.ledger.history_service import HistoryService
-from yokeline.ledger.joining import Joining
+from yokeline.ledger.joining import JoinRequester
 from yokeline.ledger.members import (
     LOST_SILENCE_SECONDS,
     AddMember,
@@ -89,7 +89,7 @@
         self._claimed: set[str] = set()
         self._next_members = now
         self._founding = Founding(record, replica, registry)
-        self._joining = Joining(record, replica, registry, now)
+        self._join_requester = JoinRequester(record, replica, registry, now)
         self._retire_written: dict[NodeName, bool] = {}
         self._stop_at: float | None = None
         self.batches = RequestBatches(replica, wall, now)
@@ -113,7 +113,7 @@
         effects.extend(self.batches.tick(now))
         effects.extend(self._histories.tick(now))
         effects.extend(self._found(now))
-        effects.extend(self._joining.tick(now))
+        effects.extend(self._join_requester.tick(now))
         effects.extend(self._go_on_alone(now))
         effects.extend(self._tend_members(now))
         if self.replica.group.leader is not None:
@@ -162,7 +162,7 @@
         if isinstance(message, LeaderQuery):
             return [self._tell_leader(event.sender, message)]
         if isinstance(message, LeaderAnswer):
-            self._joining.take_told(message, now)
+            self._join_requester.take_leader_answer(message, now)
             return []
         if isinstance(message, Join):
             return [*self._tell_newcomer(message), *self._take_join(message, now)]
@@ -202,12 +202,14 @@
         they know no leader. Each watching call is paid for, and two dozen storage nodes made
         more of them than all forwarding nodes together.
         """
-        return not self.replica.leads and self._joining.knows_leader(now)
+        return not self.replica.leads and self._join_requester.knows_leader(now)
 
     def _found(self, now: float) -> list[Effect]:
         effects = self._founding.tick(now)
         if effects:
-            self._joining.leader_seen_at = now  # nobody led before: no silence says anything yet
+            self._join_requester.leader_seen_at = (
+                now  # nobody led before: no silence says anything yet
+            )
         return effects
 
     def _take_join(self, request: Join, now: float) -> list[Effect]:
@@ -260,7 +262,10 @@
         group = self.replica.group
         if len(group.members) != 2 or not self.replica.is_member or group.membership_pending:
             return []
-        if now - self._joining.leader_seen_at < SURVIVOR_SECONDS or not self._registry.complete:
+        if (
+            now - self._join_requester.leader_seen_at < SURVIVOR_SECONDS
+            or not self._registry.complete
+        ):
             return []
         other = next(item for item in group.members if item != self.replica.replica)
         if other in self._lost:
