--- a/src/yokeline/ledger/founding.py
+++ b/src/yokeline/ledger/bootstrap.py
@@ -18,15 +18,15 @@
 )
 from yokeline.registry.protocol import StoredItem
 
-FOUNDING_SECONDS = 0.5
+REGISTRATION_WAIT_SECONDS = 0.5
 """Time for storage nodes to register before founders are named; most start within it."""
-FOUNDERS_AWAITED = 3
+MIN_FOUNDERS = 3
 """Registered nodes that make waiting longer needless: a group that bears a lost disk."""
-FOUNDING_PATIENCE_SECONDS = 3.0
+MAX_REGISTRATION_WAIT_SECONDS = 3.0
 """Time after which fewer are named: callers come some 10 s after the first start."""
 
 
-class Founding:
+class Bootstrap:
     """Registers a storage node, and begins the group if the node is one of its founders."""
 
     def __init__(
@@ -38,7 +38,7 @@
         self._registry = registry
         self._registered = False
         self._proposed = False
-        self._read_at: float | None = None
+        self._waits_since: float | None = None
 
     def register(self) -> None:
         """Tell the others of this node once a restart would keep its replica's id.
@@ -60,12 +60,12 @@
             return []
         item = self._registry.item(FOUNDERS_KEY)
         if item is not None:
-            return self._found(item, now)
-        if self._may_propose(now):
-            self._propose(now)
+            return self._bootstrap(item, now)
+        if self._may_propose_founders(now):
+            self._propose_founders(now)
         return []
 
-    def _found(self, item: StoredItem, now: float) -> list[Effect]:
+    def _bootstrap(self, item: StoredItem, now: float) -> list[Effect]:
         founders = decode_founders(item.value or b"")
         if self._record.replica not in founders:
             return []
@@ -79,23 +79,23 @@
             "revision": item.revision,
         }
         log = LogRecord(event="ledger_founded", fields=fields)
-        return [log, *self._replica.found(founders, now)]
+        return [log, *self._replica.bootstrap(founders, now)]
 
-    def _may_propose(self, now: float) -> bool:
+    def _may_propose_founders(self, now: float) -> bool:
         """Return whether there was time for the other nodes to register."""
         if not self._replica.first_start or self._proposed:
             return False
-        if self._read_at is None:
-            self._read_at = now
-        waited = now - self._read_at
-        if waited < FOUNDING_SECONDS:
+        if self._waits_since is None:
+            self._waits_since = now
+        waited = now - self._waits_since
+        if waited < REGISTRATION_WAIT_SECONDS:
             return False
         registered = {node.replica for node in self._storage_nodes()}
         if self._record.replica not in registered:
             return False
-        return len(registered) >= FOUNDERS_AWAITED or waited >= FOUNDING_PATIENCE_SECONDS
+        return len(registered) >= MIN_FOUNDERS or waited >= MAX_REGISTRATION_WAIT_SECONDS
 
-    def _propose(self, now: float) -> None:
+    def _propose_founders(self, now: float) -> None:
         self._proposed = True
         value = encode_founders(choose_founders(self._storage_nodes()))
         self._registry.write(FOUNDERS_KEY, value, now, expected=0)
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -72,9 +72,9 @@
     prompt_retry_seconds=0.04,
 )
 
-FOUNDING_INDEX = 1
+BOOTSTRAP_INDEX = 1
 """Index of the snapshot that all founders begin with."""
-FOUNDING_TERM = 1
+BOOTSTRAP_TERM = 1
 """Its term, in which nobody is elected: the first leader's is higher."""
 
 NOW = float("-inf")
@@ -212,21 +212,21 @@
 
     # ------------------------------------------------------------ events
 
-    def found(self, founders: tuple[ReplicaId, ...], now: float) -> list[Effect]:
+    def bootstrap(self, founders: tuple[ReplicaId, ...], now: float) -> list[Effect]:
         """Begin the group with ``founders``, of which this replica is one.
 
         All founders begin with the same snapshot, before any of them can lead, so that one that
         is late gets it from a leader with the members in it. What this replica has voted
         before stays.
         """
-        snapshot = Snapshot(FOUNDING_INDEX, FOUNDING_TERM, founders, encode_state(self._state))
+        snapshot = Snapshot(BOOTSTRAP_INDEX, BOOTSTRAP_TERM, founders, encode_state(self._state))
         hard_state = self.group.hard_state
-        if hard_state.term < FOUNDING_TERM:
-            hard_state = HardState(FOUNDING_TERM)
+        if hard_state.term < BOOTSTRAP_TERM:
+            hard_state = HardState(BOOTSTRAP_TERM)
         recovered = RecoveredLog(snapshot=snapshot, hard_state=hard_state)
         self.group = self._new_group(recovered, now)
         self.group.set_lost(self._lost)
-        self._applied = FOUNDING_INDEX
+        self._applied = BOOTSTRAP_INDEX
         self._write([SnapshotRecord(snapshot), HardStateRecord(hard_state)], [])
         return self._absorb(self.group.tick(now))
 
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -18,7 +18,7 @@
     StopRequested,
 )
 from yokeline.identifiers import NodeName, ReplicaId, node_name_of
-from yokeline.ledger.founding import Founding
+from yokeline.ledger.bootstrap import Bootstrap
 from yokeline.ledger.history_service import HistoryService
 from yokeline.ledger.joining import JoinRequester
 from yokeline.ledger.members import (
@@ -88,7 +88,7 @@
         self._tenure = Tenure()
         self._claimed: set[str] = set()
         self._next_members = now
-        self._founding = Founding(record, replica, registry)
+        self._bootstrap = Bootstrap(record, replica, registry)
         self._join_requester = JoinRequester(record, replica, registry, now)
         self._retire_written: dict[NodeName, bool] = {}
         self._stop_at: float | None = None
@@ -105,14 +105,14 @@
         effects.extend(log)
         if not ours:
             effects.extend(self._take(event, now))
-        self._founding.register()
+        self._bootstrap.register()
         self._registry.follow(self._may_rest(now))
         effects.extend(self._registry.tick(now))
         if now >= self.replica.next_deadline():
             effects.extend(self.replica.tick(now))
         effects.extend(self.batches.tick(now))
         effects.extend(self._histories.tick(now))
-        effects.extend(self._found(now))
+        effects.extend(self._tick_bootstrap(now))
         effects.extend(self._join_requester.tick(now))
         effects.extend(self._go_on_alone(now))
         effects.extend(self._tend_members(now))
@@ -204,8 +204,8 @@
         """
         return not self.replica.leads and self._join_requester.knows_leader(now)
 
-    def _found(self, now: float) -> list[Effect]:
-        effects = self._founding.tick(now)
+    def _tick_bootstrap(self, now: float) -> list[Effect]:
+        effects = self._bootstrap.tick(now)
         if effects:
             self._join_requester.leader_seen_at = (
                 now  # nobody led before: no silence says anything yet
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -86,7 +86,7 @@
             self.assertIsInstance(found, Granted, f"turn {name} is lost")
 
 
-class Founding(StorageCase):
+class GroupBootstrap(StorageCase):
     def test_one_founder_is_chosen_and_all_join(self) -> None:
         for seed in range(5):
             cluster = self.cluster(4, seed)
@@ -99,7 +99,7 @@
         self.assertTrue(machine.node is not None and machine.node.replica.is_empty)
 
 
-class FoundersDisk(StorageCase):
+class BootstrapFaults(StorageCase):
     def test_the_founder_loses_its_disk_before_it_has_founded(self) -> None:
         """The key in the store names a replica that nobody will ever be again."""
         for number in range(3):
@@ -144,7 +144,7 @@
         replica.step(
             candidate, ReplicaMessage(sender_address=Address("10.0.0.2", 1), message=vote), 0.1
         )
-        replica.found((replica.replica, candidate), 0.2)
+        replica.bootstrap((replica.replica, candidate), 0.2)
         self.assertEqual(replica.group.hard_state, HardState(4, candidate))
 
     def test_a_replica_whose_id_is_not_on_its_disk_is_not_registered(self) -> None:
@@ -337,7 +337,7 @@
             now=0.0,
             compact_bytes=compact_bytes,
         )
-        self.finish(replica, replica.found((replica.replica,), 0.0))
+        self.finish(replica, replica.bootstrap((replica.replica,), 0.0))
         self.finish(replica, replica.tick(1.0))
         return replica
 
