--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -21,6 +21,7 @@
 from yokeline.ledger.bootstrap import Bootstrap
 from yokeline.ledger.history_service import HistoryService
 from yokeline.ledger.joining import JoinRequester
+from yokeline.ledger.leadership import LeadershipTracker
 from yokeline.ledger.members import (
     LOST_SILENCE_SECONDS,
     AddMember,
@@ -43,7 +44,6 @@
 from yokeline.ledger.program_gate import CAUSES
 from yokeline.ledger.replica import LedgerReplica
 from yokeline.ledger.request_batches import RequestBatches
-from yokeline.ledger.tenure import Tenure
 from yokeline.registry.client import RegistryClient
 from yokeline.registry.formats import DeploymentFormats
 from yokeline.registry.nodes import (
@@ -85,7 +85,7 @@
         self._joins: dict[NodeName, JoinRequest] = {}
         self._lost: frozenset[ReplicaId] = frozenset()
         self._superseded: set[ReplicaId] = set()
-        self._tenure = Tenure()
+        self._leadership = LeadershipTracker()
         self._claimed: set[str] = set()
         self._next_members = now
         self._bootstrap = Bootstrap(record, replica, registry)
@@ -290,11 +290,13 @@
             return []
         self._next_members = now + MEMBERS_PERIOD_SECONDS
         group = self.replica.group
-        leads = self.replica.leads
-        self._tenure.note(leads=leads, term=group.term, members=group.members, now=now)
+        is_leader = self.replica.leads
+        self._leadership.update(
+            is_leader=is_leader, term=group.term, members=group.members, now=now
+        )
         if not group.membership_pending:
             self._forget_removed()
-        if not leads or not group.may_change_members():
+        if not is_leader or not group.may_change_members():
             return []
         if self.replica.wants_to_compact:
             return self._let_another_lead(now)
@@ -308,10 +310,10 @@
             retiring=frozenset(retiring),
             lost=self._lost,
             caught_up=frozenset(item for item in group.members if group.has_caught_up(item)),
-            leads_since=self._tenure.since,
+            leads_since=self._leadership.since,
             knows_orders=self._registry.complete
-            and self._registry.heard_at() >= self._tenure.since,
-            former=self._tenure.former_members,
+            and self._registry.heard_at() >= self._leadership.since,
+            former=self._leadership.former_members,
             zones=self._zones(),
         )
         step = next_step(view, now)
--- /dev/null
+++ b/tests/unit/ledger/test_leadership.py
@@ -0,0 +1,37 @@
+from __future__ import annotations
+
+import unittest
+
+from yokeline.identifiers import ReplicaId
+from yokeline.ledger.leadership import MAX_FORMER_MEMBERS, LeadershipTracker
+
+A, B, C = ReplicaId("a"), ReplicaId("b"), ReplicaId("c")
+
+
+class LeadershipTracking(unittest.TestCase):
+    def test_it_begins_anew_with_each_term_that_the_replica_leads(self) -> None:
+        tracker = LeadershipTracker()
+        tracker.update(is_leader=True, term=2, members=(A, B), now=10.0)
+        tracker.update(is_leader=True, term=2, members=(A, B), now=11.0)
+        self.assertEqual(tracker.since, 10.0)
+        tracker.update(is_leader=True, term=3, members=(A, B), now=12.0)
+        self.assertEqual(tracker.since, 12.0)
+        tracker.update(is_leader=False, term=4, members=(A, B), now=13.0)
+        self.assertEqual(tracker.since, float("inf"))
+        tracker.update(is_leader=True, term=4, members=(A, B), now=14.0)
+        self.assertEqual(tracker.since, 14.0)
+
+    def test_a_member_that_left_is_remembered_until_it_is_one_again(self) -> None:
+        tracker = LeadershipTracker()
+        tracker.update(is_leader=False, term=1, members=(A, B, C), now=1.0)
+        tracker.update(is_leader=False, term=1, members=(A, C), now=2.0)
+        self.assertEqual(tracker.former_members, {B})
+        tracker.update(is_leader=False, term=1, members=(A, B, C), now=3.0)
+        self.assertEqual(tracker.former_members, set())
+
+    def test_what_is_remembered_is_bounded(self) -> None:
+        tracker = LeadershipTracker()
+        for number in range(2 * MAX_FORMER_MEMBERS):
+            replica = ReplicaId(f"r{number}")
+            tracker.update(is_leader=True, term=1, members=(A, replica), now=float(number))
+        self.assertEqual(len(tracker.former_members), MAX_FORMER_MEMBERS)
