--- a/src/yokeline/ledger/members.py
+++ b/src/yokeline/ledger/members.py
@@ -15,11 +15,11 @@
 """A silent member is removed only if that many are left."""
 REPLACE_AFTER_SECONDS = 2.0
 """Silence after which a member is replaced by a node that waits to join."""
-JOIN_FRESH_SECONDS = 1.5
+JOIN_REQUEST_TTL_SECONDS = 1.5
 """A node that asked to join within this time counts as alive."""
-AWAITED_SILENCE_SECONDS = 0.5
+CATCH_UP_SILENCE_SECONDS = 0.5
 """Silence after which a member that has yet to catch up is no longer awaited."""
-LOST_SILENCE_SECONDS = 0.3
+MIN_LOST_SILENCE_SECONDS = 0.3
 """A replica that was heard within this time has not lost its disk, whatever a request says."""
 
 
@@ -79,21 +79,21 @@
     lost: frozenset[ReplicaId]
     caught_up: frozenset[ReplicaId]
     leads_since: float
-    knows_orders: bool
+    has_read_orders: bool
     former: frozenset[ReplicaId]
     zones: dict[NodeName, str] = {}
 
 
 def choose_founders(nodes: list[NodeRecord]) -> tuple[ReplicaId, ...]:
     """Return the members to begin a group with: spread over the zones, then by name."""
-    waiting = sorted(nodes, key=lambda node: node.name)
-    chosen: list[NodeRecord] = []
-    while waiting and len(chosen) < MAX_MEMBERS:
-        taken = Counter(node.zone for node in chosen)
-        rarest = min(waiting, key=lambda node: taken[node.zone])
-        waiting.remove(rarest)
-        chosen.append(rarest)
-    return tuple(node.replica for node in chosen)
+    candidates = sorted(nodes, key=lambda node: node.name)
+    founders: list[NodeRecord] = []
+    while candidates and len(founders) < MAX_MEMBERS:
+        members_per_zone = Counter(node.zone for node in founders)
+        next_node = min(candidates, key=lambda node: members_per_zone[node.zone])
+        candidates.remove(next_node)
+        founders.append(next_node)
+    return tuple(node.replica for node in founders)
 
 
 def next_step(view: GroupView, now: float) -> MembershipStep | None:
@@ -105,8 +105,8 @@
     """
     return (
         _remove_lost(view)
-        or _add_waiting(view, now)
-        or _empty_retiring(view, now)
+        or _add_candidate(view, now)
+        or _remove_retiring(view, now)
         or _replace_silent(view)
     )
 
@@ -118,18 +118,18 @@
     return None
 
 
-def _add_waiting(view: GroupView, now: float) -> MembershipStep | None:
-    if _is_whole(view):
+def _add_candidate(view: GroupView, now: float) -> MembershipStep | None:
+    if _has_enough_members(view):
         return None
-    taken = Counter(view.zones.get(node_name_of(member), "") for member in view.members)
-    waiting = [node for node in sorted(view.joins) if _may_join(view, node, now)]
-    if not waiting:
+    members_per_zone = Counter(view.zones.get(node_name_of(member), "") for member in view.members)
+    candidates = [node for node in sorted(view.joins) if _may_join(view, node, now)]
+    if not candidates:
         return None
-    node = min(waiting, key=lambda name: taken[view.zones.get(name, "")])
+    node = min(candidates, key=lambda name: members_per_zone[view.zones.get(name, "")])
     return AddMember(view.joins[node].replica)
 
 
-def _is_whole(view: GroupView) -> bool:
+def _has_enough_members(view: GroupView) -> bool:
     """Return whether there are enough members without those that are to be emptied."""
     staying = [item for item in view.members if node_name_of(item) not in view.retiring]
     return len(staying) >= MAX_MEMBERS
@@ -137,42 +137,42 @@
 
 def _may_join(view: GroupView, node: NodeName, now: float) -> bool:
     request = view.joins[node]
-    is_fresh = request.heard_at >= max(view.leads_since, now - JOIN_FRESH_SECONDS)
+    is_fresh = request.heard_at >= max(view.leads_since, now - JOIN_REQUEST_TTL_SECONDS)
     if not is_fresh or request.replica in view.members or node in view.retiring:
         return False
     # A member that was removed may have been emptied at an order that this leader has not read.
     # Taken in again it counts in each majority while its machine goes: no turn for 4 s (log).
-    return view.knows_orders or request.replica not in view.former
+    return view.has_read_orders or request.replica not in view.former
 
 
-def _empty_retiring(view: GroupView, now: float) -> MembershipStep | None:
+def _remove_retiring(view: GroupView, now: float) -> MembershipStep | None:
     """Take out a member once others hold what it holds; its successor comes first.
 
     Whoever stands by asks a new leader within a moment; the group could bear one loss less if the
     member went before that.
     """
-    if not _is_whole(view) and now - view.leads_since < JOIN_FRESH_SECONDS:
+    if not _has_enough_members(view) and now - view.leads_since < JOIN_REQUEST_TTL_SECONDS:
         return None
     for member in view.members:
         if node_name_of(member) not in view.retiring or len(view.members) == 1:
             continue
         staying = [other for other in view.members if other != member]
-        if any(_is_awaited(other, view) for other in staying):
+        if any(_is_catching_up(other, view) for other in staying):
             continue
         if member != view.own:
             return RemoveMember(member, "to be emptied")
-        return HandOver(_successor(staying, view))
+        return HandOver(_choose_successor(staying, view))
     return None
 
 
-def _is_awaited(member: ReplicaId, view: GroupView) -> bool:
+def _is_catching_up(member: ReplicaId, view: GroupView) -> bool:
     """Return whether a member is about to catch up; one that is silent may never do."""
     if member in view.caught_up or member == view.own:
         return False
-    return view.silence.get(member, 0.0) <= AWAITED_SILENCE_SECONDS
+    return view.silence.get(member, 0.0) <= CATCH_UP_SILENCE_SECONDS
 
 
-def _successor(staying: list[ReplicaId], view: GroupView) -> ReplicaId:
+def _choose_successor(staying: list[ReplicaId], view: GroupView) -> ReplicaId:
     """Return who is to lead; one that is to be emptied as well only if all are."""
     return min(staying, key=lambda member: node_name_of(member) in view.retiring)
 
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -23,7 +23,7 @@
 from yokeline.ledger.joining import JoinRequester
 from yokeline.ledger.leadership import LeadershipTracker
 from yokeline.ledger.members import (
-    LOST_SILENCE_SECONDS,
+    MIN_LOST_SILENCE_SECONDS,
     AddMember,
     GroupView,
     HandOver,
@@ -227,7 +227,7 @@
             for member in self.replica.group.members
             if node_name_of(member) == request.node
             and member != request.replica
-            and (not self.replica.leads or silence.get(member, 0.0) > LOST_SILENCE_SECONDS)
+            and (not self.replica.leads or silence.get(member, 0.0) > MIN_LOST_SILENCE_SECONDS)
         }
         return self._note_lost(lost, successor=request.replica, reason="its disk is empty")
 
@@ -311,7 +311,7 @@
             lost=self._lost,
             caught_up=frozenset(item for item in group.members if group.has_caught_up(item)),
             leads_since=self._leadership.since,
-            knows_orders=self._registry.complete
+            has_read_orders=self._registry.complete
             and self._registry.heard_at() >= self._leadership.since,
             former=self._leadership.former_members,
             zones=self._zones(),
--- a/tests/unit/ledger/test_members.py
+++ b/tests/unit/ledger/test_members.py
@@ -7,7 +7,7 @@
 from yokeline.effects import Address
 from yokeline.identifiers import NodeName, ReplicaId, node_name_of
 from yokeline.ledger.members import (
-    AWAITED_SILENCE_SECONDS,
+    CATCH_UP_SILENCE_SECONDS,
     AddMember,
     GroupView,
     HandOver,
@@ -43,12 +43,12 @@
         lost=frozenset(),
         caught_up=frozenset(members) if caught_up is None else caught_up,
         leads_since=NOW - leads_for,
-        knows_orders=True,
+        has_read_orders=True,
         former=frozenset(),
     )
 
 
-class Emptying(unittest.TestCase):
+class Retiring(unittest.TestCase):
     def test_a_successor_joins_before_the_member_goes(self) -> None:
         step = next_step(view(retiring="b", joins=(SPARE,)), NOW)
         self.assertEqual(step, AddMember(SPARE))
@@ -60,7 +60,7 @@
 
     def test_a_successor_that_fell_silent_is_not_awaited(self) -> None:
         grown = (*MEMBERS, SPARE)
-        silence = {SPARE: AWAITED_SILENCE_SECONDS + 0.1}
+        silence = {SPARE: CATCH_UP_SILENCE_SECONDS + 0.1}
         behind = view(grown, retiring="b", caught_up=frozenset(MEMBERS), silence=silence)
         self.assertEqual(next_step(behind, NOW), RemoveMember(MEMBERS[1], "to be emptied"))
 
