--- a/src/yokeline/ledger/leadership.py
+++ b/src/yokeline/ledger/leadership.py
@@ -30,7 +30,7 @@
         """Replicas that were members and are not."""
         return frozenset(self._former_members)
 
-    def update(
+    def observe(
         self, *, is_leader: bool, term: int, members: tuple[ReplicaId, ...], now: float
     ) -> None:
         """Take the state of the group in; called several times a second."""
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -176,7 +176,7 @@
         return not self.group.members and self.group.last_index == 0
 
     @property
-    def wants_to_compact(self) -> bool:
+    def needs_compaction(self) -> bool:
         """Whether the log file has grown enough to be replaced by a snapshot."""
         return self._file_bytes >= self._compact_bytes and self._applied > 0
 
@@ -319,7 +319,7 @@
         """Remove a member, if this replica leads and may."""
         return self._absorb(list(self.group.remove_member(member, now).effects))
 
-    def hand_over(self, member: ReplicaId, now: float) -> list[Effect]:
+    def transfer_leadership(self, member: ReplicaId, now: float) -> list[Effect]:
         """Hand leadership over."""
         return self._absorb(self.group.transfer_leadership(member, now))
 
@@ -368,7 +368,7 @@
         A leader does not: it would be silent meanwhile. The host lets another replica lead;
         if none can for long, the disk goes before the silence.
         """
-        if not self.wants_to_compact:
+        if not self.needs_compaction:
             return
         may_wait = self._file_bytes < COMPACT_GROWTH * self._compact_bytes
         if self.leads and len(self.group.members) > 1 and may_wait:
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -55,10 +55,10 @@
 from yokeline.start_phases import StartPhases
 from yokeline.status_service import NodeFigures
 
-MEMBERS_PERIOD_SECONDS = 0.1
-SURVIVOR_SECONDS = 1.5
+MEMBERSHIP_PERIOD_SECONDS = 0.1
+SURVIVOR_TIMEOUT_SECONDS = 1.5
 """Silence of the other one of two members after which this one asks to go on alone."""
-STOP_SECONDS = 0.5
+HANDOVER_SECONDS = 0.5
 """Time that a planned stop leaves to a hand-over of leadership."""
 
 
@@ -84,13 +84,13 @@
         self._formats = formats
         self._joins: dict[NodeName, JoinRequest] = {}
         self._lost: frozenset[ReplicaId] = frozenset()
-        self._superseded: set[ReplicaId] = set()
+        self._superseded_replicas: set[ReplicaId] = set()
         self._leadership = LeadershipTracker()
-        self._claimed: set[str] = set()
-        self._next_members = now
+        self._proposed_survivor_keys: set[str] = set()
+        self._next_membership_update = now
         self._bootstrap = Bootstrap(record, replica, registry)
         self._join_requester = JoinRequester(record, replica, registry, now)
-        self._retire_written: dict[NodeName, bool] = {}
+        self._reported_retirements: dict[NodeName, bool] = {}
         self._stop_at: float | None = None
         self.batches = RequestBatches(replica, wall, now)
         self._histories = HistoryService(replica)
@@ -101,12 +101,12 @@
         """Take an event in and return effects."""
         self.batches.note_time(now)
         effects: list[Effect] = []
-        ours, _changed, log = self._registry.take(event, now)
+        is_handled, _changed, log = self._registry.take(event, now)
         effects.extend(log)
-        if not ours:
-            effects.extend(self._take(event, now))
+        if not is_handled:
+            effects.extend(self._handle_event(event, now))
         self._bootstrap.register()
-        self._registry.follow(self._may_rest(now))
+        self._registry.follow(self._needs_no_watch(now))
         effects.extend(self._registry.tick(now))
         if now >= self.replica.next_deadline():
             effects.extend(self.replica.tick(now))
@@ -114,8 +114,8 @@
         effects.extend(self._histories.tick(now))
         effects.extend(self._tick_bootstrap(now))
         effects.extend(self._join_requester.tick(now))
-        effects.extend(self._go_on_alone(now))
-        effects.extend(self._tend_members(now))
+        effects.extend(self._try_sole_survivor(now))
+        effects.extend(self._update_membership(now))
         if self.replica.group.leader is not None:
             effects.extend(self.phases.reached("leader", now))
         if self._stop_at is not None and now >= self._stop_at:
@@ -125,7 +125,7 @@
 
     def next_deadline(self) -> float | None:
         """Return when a tick is due."""
-        dues = [self.replica.next_deadline(), self._next_members]
+        dues = [self.replica.next_deadline(), self._next_membership_update]
         for due in (self._registry.next_deadline(), self._histories.next_deadline()):
             if due is not None:
                 dues.append(due)
@@ -135,18 +135,18 @@
 
     # ------------------------------------------------------------ events
 
-    def _take(self, event: Event, now: float) -> list[Effect]:
+    def _handle_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, PeerMessage):
-            return self._take_message(event, now)
+            return self._handle_message(event, now)
         if isinstance(event, FileSynced):
             return self.replica.synced(event.ticket)
         if isinstance(event, StopRequested):
-            return self._begin_stop(now)
+            return self._begin_shutdown(now)
         if isinstance(event, ReloadRequested):
             return [LogRecord(event="reloaded", fields={"node": self._record.name})]
         return []
 
-    def _take_message(self, event: PeerMessage, now: float) -> list[Effect]:
+    def _handle_message(self, event: PeerMessage, now: float) -> list[Effect]:
         message = event.message
         if isinstance(message, ReplicaMessage):
             return self.replica.step(event.sender, message, now)
@@ -160,15 +160,15 @@
         if isinstance(message, HistoryAsk):
             return self._histories.handle_request(event.sender, message, now)
         if isinstance(message, LeaderQuery):
-            return [self._tell_leader(event.sender, message)]
+            return [self._leader_answer(event.sender, message)]
         if isinstance(message, LeaderAnswer):
             self._join_requester.take_leader_answer(message, now)
             return []
         if isinstance(message, Join):
-            return [*self._tell_newcomer(message), *self._take_join(message, now)]
+            return [*self._answer_join(message), *self._note_join_request(message, now)]
         return []
 
-    def _tell_newcomer(self, request: Join) -> list[Effect]:
+    def _answer_join(self, request: Join) -> list[Effect]:
         """Tell a node that stands by who leads, if this one knows."""
         leader = self.replica.leader_hint()
         if leader is None:
@@ -176,26 +176,26 @@
         answer = LeaderAnswer(term=self.replica.group.term, leader=leader)
         return [SendPeer(to=request.replica, address=request.address, message=answer)]
 
-    def _tell_leader(self, sender: ReplicaId, query: LeaderQuery) -> SendPeer:
+    def _leader_answer(self, sender: ReplicaId, query: LeaderQuery) -> SendPeer:
         answer = LeaderAnswer(term=self.replica.group.term, leader=self.replica.leader_hint())
         return SendPeer(to=sender, address=query.asker, message=answer)
 
-    def _begin_stop(self, now: float) -> list[Effect]:
+    def _begin_shutdown(self, now: float) -> list[Effect]:
         """Hand leadership over, then end."""
         if self._stop_at is not None:
             return []
-        self._stop_at = now + STOP_SECONDS
+        self._stop_at = now + HANDOVER_SECONDS
         effects: list[Effect] = [LogRecord(event="stopping", fields={"node": self._record.name})]
         others = [item for item in self.replica.group.members if item != self.replica.replica]
         if self.replica.leads and others:
             silence = self.replica.group.follower_silence(now)
-            best = min(others, key=lambda item: silence.get(item, 0.0))
-            effects.extend(self.replica.hand_over(best, now))
+            target = min(others, key=lambda item: silence.get(item, 0.0))
+            effects.extend(self.replica.transfer_leadership(target, now))
         return effects
 
     # ------------------------------------------------------------ founding, joining, going on alone
 
-    def _may_rest(self, now: float) -> bool:
+    def _needs_no_watch(self, now: float) -> bool:
         """Return whether this node need not watch the key-value service.
 
         The leader takes the operator's orders and chooses members; the others watch only while
@@ -212,13 +212,13 @@
             )
         return effects
 
-    def _take_join(self, request: Join, now: float) -> list[Effect]:
+    def _note_join_request(self, request: Join, now: float) -> list[Effect]:
         """Note a request; a new id from a member's node says that the member's disk is lost."""
-        if request.replica in self._superseded:
+        if request.replica in self._superseded_replicas:
             return []
         known = self._joins.get(request.node)
         if known is not None and known.replica != request.replica:
-            self._superseded.add(known.replica)
+            self._superseded_replicas.add(known.replica)
         self._joins[request.node] = JoinRequest(request.replica, request.address, now)
         self.replica.learn_address(request.replica, request.address)
         silence = self.replica.group.follower_silence(now)
@@ -229,9 +229,9 @@
             and member != request.replica
             and (not self.replica.leads or silence.get(member, 0.0) > MIN_LOST_SILENCE_SECONDS)
         }
-        return self._note_lost(lost, successor=request.replica, reason="its disk is empty")
+        return self._mark_lost(lost, successor=request.replica, reason="its disk is empty")
 
-    def _note_lost(self, lost: set[ReplicaId], *, successor: str, reason: str) -> list[Effect]:
+    def _mark_lost(self, lost: set[ReplicaId], *, successor: str, reason: str) -> list[Effect]:
         """Count replicas in no majority any more, until they are removed."""
         if not lost - self._lost:
             return []
@@ -251,7 +251,7 @@
             self._lost = still_members
             self.replica.set_lost(still_members)
 
-    def _go_on_alone(self, now: float) -> list[Effect]:
+    def _try_sole_survivor(self, now: float) -> list[Effect]:
         """Of two members, let one go on without the other, which may be gone for good.
 
         Each of two members holds everything that was committed while there were two, so either
@@ -263,7 +263,7 @@
         if len(group.members) != 2 or not self.replica.is_member or group.membership_pending:
             return []
         if (
-            now - self._join_requester.leader_seen_at < SURVIVOR_SECONDS
+            now - self._join_requester.leader_seen_at < SURVIVOR_TIMEOUT_SECONDS
             or not self._registry.complete
         ):
             return []
@@ -274,34 +274,34 @@
         own = self._record.replica.encode()
         record = self._registry.items(key).get(key)
         if record is None:
-            if key not in self._claimed:
-                self._claimed.add(key)
+            if key not in self._proposed_survivor_keys:
+                self._proposed_survivor_keys.add(key)
                 self._registry.write(key, own, now, expected=0)
             return []
         if record.value != own:
             return []
-        return self._note_lost({other}, successor="", reason="the store lets this one go on")
+        return self._mark_lost({other}, successor="", reason="the store lets this one go on")
 
     # ------------------------------------------------------------ members
 
-    def _tend_members(self, now: float) -> list[Effect]:
+    def _update_membership(self, now: float) -> list[Effect]:
         """Take the next step of membership, as the leader."""
-        if now < self._next_members:
+        if now < self._next_membership_update:
             return []
-        self._next_members = now + MEMBERS_PERIOD_SECONDS
+        self._next_membership_update = now + MEMBERSHIP_PERIOD_SECONDS
         group = self.replica.group
         is_leader = self.replica.leads
-        self._leadership.update(
+        self._leadership.observe(
             is_leader=is_leader, term=group.term, members=group.members, now=now
         )
         if not group.membership_pending:
             self._forget_removed()
         if not is_leader or not group.may_change_members():
             return []
-        if self.replica.wants_to_compact:
-            return self._let_another_lead(now)
+        if self.replica.needs_compaction:
+            return self._hand_over_to_compact(now)
         retiring = self._retiring()
-        effects = self._report_retired(retiring, now)
+        effects = self._report_retirement(retiring, now)
         view = GroupView(
             own=self.replica.replica,
             members=group.members,
@@ -318,8 +318,8 @@
         )
         step = next_step(view, now)
         if step is not None:
-            effects.append(_membership_line(step, view))
-            effects.extend(self._take_step(step, now))
+            effects.append(_membership_record(step, view))
+            effects.extend(self._apply_step(step, now))
         return effects
 
     def _zones(self) -> dict[NodeName, str]:
@@ -329,7 +329,7 @@
         records = read_nodes(item for item in items if item is not None)
         return {record.name: record.zone for record in records}
 
-    def _let_another_lead(self, now: float) -> list[Effect]:
+    def _hand_over_to_compact(self, now: float) -> list[Effect]:
         """Hand leadership over, so that this replica may compact its log."""
         group = self.replica.group
         successor = next(
@@ -349,13 +349,13 @@
             "reason": "the log is to be compacted",
         }
         log = LogRecord(event="leadership_handed_over", fields=fields)
-        return [log, *self.replica.hand_over(successor, now)]
+        return [log, *self.replica.transfer_leadership(successor, now)]
 
-    def _take_step(self, step: MembershipStep, now: float) -> list[Effect]:
+    def _apply_step(self, step: MembershipStep, now: float) -> list[Effect]:
         if isinstance(step, AddMember):
             return self.replica.add_member(step.replica, now)
         if isinstance(step, HandOver):
-            return self.replica.hand_over(step.replica, now)
+            return self.replica.transfer_leadership(step.replica, now)
         return self.replica.remove_member(step.replica, now)
 
     def _retiring(self) -> set[NodeName]:
@@ -366,15 +366,15 @@
                 nodes.add(NodeName(order.unwrap().node))
         return nodes
 
-    def _report_retired(self, retiring: set[NodeName], now: float) -> list[Effect]:
+    def _report_retirement(self, retiring: set[NodeName], now: float) -> list[Effect]:
         """Tell the operator how far each order has come, once for each change."""
         effects: list[Effect] = []
         members = {node_name_of(member) for member in self.replica.group.members}
         for node in sorted(retiring):
             completed = node not in members
-            if self._retire_written.get(node) is completed:
+            if self._reported_retirements.get(node) is completed:
                 continue
-            self._retire_written[node] = completed
+            self._reported_retirements[node] = completed
             key, value = self._formats.retire_status(node, completed=completed)
             self._registry.write(key, value, now)
             fields: dict[str, str | int | float | bool | None] = {
@@ -386,7 +386,7 @@
         return effects
 
 
-def _membership_line(step: MembershipStep, view: GroupView) -> LogRecord:
+def _membership_record(step: MembershipStep, view: GroupView) -> LogRecord:
     fields: dict[str, str | int | float | bool | None] = {
         "step": type(step).__name__,
         "replica": step.replica,
