--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -47,16 +47,16 @@
 from yokeline.ledger.text_copies import CutEntries, CutMessages
 
 LOG_FILE = "ledger.log"
-COMPACT_BYTES = 48 * 1024 * 1024
+MIN_COMPACT_BYTES = 48 * 1024 * 1024
 """Least size of the log file after which it is replaced by a snapshot and what follows. Each
 replica adds up to half of it by lot, so that they do not all stand still at one moment."""
-COMPACT_GROWTH = 2.0
+COMPACT_GROWTH_FACTOR = 2.0
 """A file is replaced again once it has grown by this factor: what it holds may be larger than
 the least size, and would else be written anew at every sync."""
-APPLIED_AT_ONCE = 200
+MAX_APPLIED_PER_TICK = 200
 """Operations applied in one turn of the loop; after a start there are thousands, and a leader
 that applies them all in one go sends no heartbeat meanwhile."""
-APPEND_BYTES = 128 * 1024
+MAX_APPEND_BYTES = 128 * 1024
 """Most bytes of entries in flight to one follower: with four followers on a link of 47 Mbit/s a
 heartbeat waits 90 ms behind them, well below the election timeout."""
 
@@ -64,7 +64,7 @@
     heartbeat_seconds=0.06,
     idle_heartbeat_seconds=0.1,
     election_timeout_seconds=0.3,
-    append_bytes=APPEND_BYTES,
+    append_bytes=MAX_APPEND_BYTES,
     snapshot_chunk_bytes=512 * 1024,
     retained_entries=512,
     uses_lease=False,
@@ -77,25 +77,25 @@
 BOOTSTRAP_TERM = 1
 """Its term, in which nobody is elected: the first leader's is higher."""
 
-NOW = float("-inf")
+IMMEDIATELY = float("-inf")
 """A time that has always come."""
 
 ResultsCallback = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
 """Told the results of proposed operations; None if they may not have been taken."""
 
 
-class _Held(msgspec.Struct):
+class _DeferredEffects(msgspec.Struct):
     """Effects that wait until the write with this ticket is on the disk."""
 
     ticket: int
     effects: list[RaftEffect]
 
 
-class _Pending(msgspec.Struct):
+class _PendingProposal(msgspec.Struct):
     """Operations proposed in a term, waiting for their entry to be committed."""
 
     term: int
-    ready: ResultsCallback
+    callback: ResultsCallback
 
 
 class LedgerReplica:
@@ -118,7 +118,7 @@
         first_start: bool = False,
         link_mbps: float = 0.0,
         settings: RaftSettings = RAFT_SETTINGS,
-        compact_bytes: int = COMPACT_BYTES,
+        compact_bytes: int = MIN_COMPACT_BYTES,
     ) -> None:
         """Start from what was recovered; an empty log makes a newcomer.
 
@@ -132,12 +132,12 @@
         self._settings = settings
         self._ticket = 0
         self._synced_ticket = 0
-        self._held: deque[_Held] = deque()
+        self._deferred: deque[_DeferredEffects] = deque()
         self._file_bytes = recovered.valid_bytes
-        self._least_compact_bytes = int(compact_bytes * (1.0 + 0.5 * source.random()))
-        self._compact_bytes = self._least_compact_bytes
+        self._min_compact_bytes = int(compact_bytes * (1.0 + 0.5 * source.random()))
+        self._compact_bytes = self._min_compact_bytes
         self._to_apply: deque[LogEntry] = deque()
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingProposal] = {}
         self._state = self._recovered_state(recovered)
         self._applied = recovered.snapshot.last_index if recovered.snapshot else 0
         self.group = self._new_group(recovered, now)
@@ -186,7 +186,7 @@
         return self._cut_messages.restored
 
     @property
-    def messages_lacking_texts(self) -> int:
+    def messages_missing_texts(self) -> int:
         """Messages of a leader that this follower dropped, since a text did not come."""
         return self._cut_messages.lacking
 
@@ -205,7 +205,7 @@
     def next_deadline(self) -> float:
         """Return when :meth:`tick` is due."""
         if self._to_apply or self._effects:
-            return NOW
+            return IMMEDIATELY
         held = self._cut_messages.next_deadline()
         due = self.group.next_deadline()
         return due if held is None else min(due, held)
@@ -228,7 +228,7 @@
         self.group.set_lost(self._lost)
         self._applied = BOOTSTRAP_INDEX
         self._write([SnapshotRecord(snapshot), HardStateRecord(hard_state)], [])
-        return self._absorb(self.group.tick(now))
+        return self._persist(self.group.tick(now))
 
     def set_lost(self, lost: frozenset[ReplicaId]) -> None:
         """Name the replicas that are known to have lost their disks."""
@@ -239,22 +239,22 @@
         """Do what is due, and apply more of what is committed."""
         self._now = now
         self._apply_some()
-        effects = self._step_whole(now)
-        return [*effects, *self._absorb(self.group.tick(now))]
+        effects = self._step_restored(now)
+        return [*effects, *self._persist(self.group.tick(now))]
 
     def step(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> list[Effect]:
         """Take a message of another replica in."""
         self._now = now
         self.learn_address(sender, envelope.sender_address)
         self._cut_messages.take(sender, envelope, now)
-        return self._step_whole(now)
+        return self._step_restored(now)
 
     def take_text(self, copy: TextCopy, now: float) -> list[Effect]:
         """Take a text in that a message of the leader leaves out."""
         self._cut_messages.texts.put(copy.turn_id, copy.text)
-        return self._step_whole(now)
+        return self._step_restored(now)
 
-    def texts_lacking(self, follower: ReplicaId, now: float) -> None:
+    def note_missing_text(self, follower: ReplicaId, now: float) -> None:
         """Note that a follower needs whole entries for a while."""
         self._cut_entries.lacked(follower, now)
 
@@ -266,17 +266,17 @@
         known = ((member, self.addresses.get(member)) for member in followers)
         return tuple(LeaderHint(member, address) for member, address in known if address)
 
-    def _step_whole(self, now: float) -> list[Effect]:
+    def _step_restored(self, now: float) -> list[Effect]:
         """Step the messages that are whole, in their order."""
         whole, lacked = self._cut_messages.ready(now)
         effects: list[Effect] = []
         for sender in lacked:
-            effects.extend(self._tell_lacking(sender))
+            effects.extend(self._report_missing_text(sender))
         for sender, envelope in whole:
-            effects.extend(self._absorb(self.group.step(sender, envelope.message, now)))
+            effects.extend(self._persist(self.group.step(sender, envelope.message, now)))
         return effects
 
-    def _tell_lacking(self, sender: ReplicaId) -> list[Effect]:
+    def _report_missing_text(self, sender: ReplicaId) -> list[Effect]:
         address = self.addresses.get(sender)
         if address is None:
             return []
@@ -291,7 +291,7 @@
     def propose(
         self,
         operations: tuple[Operation, ...],
-        ready: ResultsCallback,
+        callback: ResultsCallback,
         now: float,
         wall: float,
         copied: tuple[KeptTurn, ...] = (),
@@ -305,35 +305,35 @@
         command = encode_command(LedgerCommand(time=wall, operations=operations, passed=passed))
         proposal = self.group.propose(command, now)
         if not proposal.accepted:
-            return [*self._absorb(list(proposal.effects)), *ready(None)]
-        self._pending[proposal.index] = _Pending(proposal.term, ready)
+            return [*self._persist(list(proposal.effects)), *callback(None)]
+        self._pending[proposal.index] = _PendingProposal(proposal.term, callback)
         self._pressure.note(len(command) * (len(self.group.members) - 1), now)
         self._cut_entries.note(proposal.index, proposal.term, command, copied)
-        return self._absorb(list(proposal.effects))
+        return self._persist(list(proposal.effects))
 
     def add_member(self, member: ReplicaId, now: float) -> list[Effect]:
         """Add a member, if this replica leads and may."""
-        return self._absorb(list(self.group.add_member(member, now).effects))
+        return self._persist(list(self.group.add_member(member, now).effects))
 
     def remove_member(self, member: ReplicaId, now: float) -> list[Effect]:
         """Remove a member, if this replica leads and may."""
-        return self._absorb(list(self.group.remove_member(member, now).effects))
+        return self._persist(list(self.group.remove_member(member, now).effects))
 
     def transfer_leadership(self, member: ReplicaId, now: float) -> list[Effect]:
         """Hand leadership over."""
-        return self._absorb(self.group.transfer_leadership(member, now))
+        return self._persist(self.group.transfer_leadership(member, now))
 
     def synced(self, ticket: int) -> list[Effect]:
         """Carry out what waited for a write, now that it is on the disk."""
         self._synced_ticket = max(self._synced_ticket, ticket)
-        while self._held and self._held[0].ticket <= self._synced_ticket:
-            self._release(self._held.popleft().effects)
+        while self._deferred and self._deferred[0].ticket <= self._synced_ticket:
+            self._carry_out(self._deferred.popleft().effects)
         self._compact_if_large()
         return self._take_effects()
 
     # ------------------------------------------------------------ disk
 
-    def _absorb(self, effects: list[RaftEffect]) -> list[Effect]:
+    def _persist(self, effects: list[RaftEffect]) -> list[Effect]:
         """Write what changed, and let the effects follow once it is on the disk."""
         records: list[DiskRecord] = []
         for effect in effects:
@@ -356,11 +356,11 @@
             self._ticket += 1
             self._file_bytes += len(data)
             self._effects.append(SyncFile(ticket=self._ticket, name=LOG_FILE, data=data))
-        if records or self._held:
+        if records or self._deferred:
             if effects:
-                self._held.append(_Held(self._ticket, effects))
+                self._deferred.append(_DeferredEffects(self._ticket, effects))
             return
-        self._release(effects)
+        self._carry_out(effects)
 
     def _compact_if_large(self) -> None:
         """Replace the file by a snapshot and what follows it.
@@ -370,7 +370,7 @@
         """
         if not self.needs_compaction:
             return
-        may_wait = self._file_bytes < COMPACT_GROWTH * self._compact_bytes
+        may_wait = self._file_bytes < COMPACT_GROWTH_FACTOR * self._compact_bytes
         if self.leads and len(self.group.members) > 1 and may_wait:
             return
         self.group.compact(self._applied, encode_state(self._state))
@@ -387,13 +387,13 @@
         data = b"".join(encode_record(record) for record in records)
         self._ticket += 1
         self._file_bytes = len(data)
-        self._compact_bytes = max(self._least_compact_bytes, int(COMPACT_GROWTH * len(data)))
+        self._compact_bytes = max(self._min_compact_bytes, int(COMPACT_GROWTH_FACTOR * len(data)))
         self._effects.append(SyncFile(ticket=self._ticket, name=LOG_FILE, data=data, replace=True))
         self._log("ledger_compacted", index=snapshot.last_index, bytes=len(data))
 
     # ------------------------------------------------------------ effects
 
-    def _release(self, effects: list[RaftEffect]) -> None:
+    def _carry_out(self, effects: list[RaftEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(effect.to, effect.message)
@@ -402,7 +402,7 @@
             elif isinstance(effect, Restored):
                 self._restore(effect)
             elif isinstance(effect, RoleChanged):
-                self._role_changed(effect)
+                self._handle_role_change(effect)
             elif isinstance(effect, MembersChanged):
                 self._log("members_changed", members=" ".join(effect.members))
 
@@ -421,7 +421,7 @@
 
     def _apply_some(self) -> None:
         operations = 0
-        while self._to_apply and operations < APPLIED_AT_ONCE:
+        while self._to_apply and operations < MAX_APPLIED_PER_TICK:
             operations += self._apply_entry(self._to_apply.popleft())
 
     def _apply_entry(self, entry: LogEntry) -> int:
@@ -432,8 +432,8 @@
             results = self._apply_command(entry.command)
         pending = self._pending.pop(entry.index, None)
         if pending is not None:
-            taken = pending.term == entry.term
-            self._effects.extend(pending.ready(results if taken else None))
+            is_committed = pending.term == entry.term
+            self._effects.extend(pending.callback(results if is_committed else None))
         return max(1, len(results))
 
     def _apply_command(self, data: bytes) -> tuple[OperationResult, ...]:
@@ -451,7 +451,7 @@
         self._applied = effect.snapshot.last_index
         self._log("ledger_restored", index=self._applied, bytes=len(effect.snapshot.data))
 
-    def _role_changed(self, effect: RoleChanged) -> None:
+    def _handle_role_change(self, effect: RoleChanged) -> None:
         self._log(
             "ledger_role_changed",
             role=effect.role.value,
@@ -465,7 +465,7 @@
         pending = list(self._pending.values())
         self._pending.clear()
         for item in pending:
-            self._effects.extend(item.ready(None))
+            self._effects.extend(item.callback(None))
 
     def _log(self, event: str, level: str = "info", **fields: str | int | float | None) -> None:
         self._effects.append(LogRecord(event=event, fields=dict(fields), level=level))
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -155,7 +155,7 @@
         if isinstance(message, TextCopy):
             return self.replica.take_text(message, now)
         if isinstance(message, TextsLacking):
-            self.replica.texts_lacking(event.sender, now)
+            self.replica.note_missing_text(event.sender, now)
             return []
         if isinstance(message, HistoryAsk):
             return self._histories.handle_request(event.sender, message, now)
@@ -416,7 +416,7 @@
     counters = {
         "yokeline_ledger_operations_total": float(node.batches.operations),
         "yokeline_ledger_entries_restored_total": float(node.replica.entries_restored),
-        "yokeline_ledger_texts_lacking_total": float(node.replica.messages_lacking_texts),
+        "yokeline_ledger_texts_lacking_total": float(node.replica.messages_missing_texts),
     }
     for cause in CAUSES:
         name = f'yokeline_ledger_programs_refused_total{{cause="{cause}"}}'
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -38,7 +38,7 @@
     Settle,
     Settled,
 )
-from yokeline.ledger.replica import APPLIED_AT_ONCE, LedgerReplica
+from yokeline.ledger.replica import MAX_APPLIED_PER_TICK, LedgerReplica
 from yokeline.ledger.state import LedgerCommand
 from yokeline.registry.nodes import (
     FOUNDERS_KEY,
@@ -369,10 +369,10 @@
         first = replica.group.last_index + 1
         entries = tuple(
             LogEntry(index=first + number, term=1, kind=EntryKind.COMMAND, command=command)
-            for number in range(2 * APPLIED_AT_ONCE)
+            for number in range(2 * MAX_APPLIED_PER_TICK)
         )
         replica._apply(entries)
-        self.assertEqual(len(replica._to_apply), APPLIED_AT_ONCE)
+        self.assertEqual(len(replica._to_apply), MAX_APPLIED_PER_TICK)
         self.assertLess(replica.next_deadline(), cluster.now)
         replica._apply_some()
         self.assertEqual(len(replica._to_apply), 0)
