--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -34,7 +34,7 @@
 from yokeline.ledger.operations import Granted, Operation, OperationResult, Settle
 from yokeline.ledger.own_turns import OwnTurns
 from yokeline.ledger.response_times import ResponseTimeEstimator
-from yokeline.ledger.text_copies import LEAST_TEXT_BYTES
+from yokeline.ledger.text_copies import MIN_TEXT_BYTES
 
 QUERY_TIMEOUT_FACTOR = 0.5
 """Silence after which the node asks who leads, in patiences: a leader that lives and is reached
@@ -469,7 +469,7 @@
     def _text_copies(self, operation: Operation) -> list[Effect]:
         """Return the messages that bring a turn's text to the followers, if the leader asks."""
         turn = operation.turn if isinstance(operation, Settle) else None
-        if turn is None or len(turn.text) < LEAST_TEXT_BYTES:
+        if turn is None or len(turn.text) < MIN_TEXT_BYTES:
             return []
         self.counts.texts_copied += bool(self._copy_targets)
         copy = TextCopy(turn_id=turn.turn_id, text=turn.text)
--- a/src/yokeline/ledger/messages.py
+++ b/src/yokeline/ledger/messages.py
@@ -266,7 +266,7 @@
     text: bytes
 
 
-class TextCut(msgspec.Struct, frozen=True, array_like=True):
+class TextSpan(msgspec.Struct, frozen=True, array_like=True):
     """Where the text of a turn stands in the command of a log entry."""
 
     offset: int
@@ -274,7 +274,7 @@
     turn_id: str
 
 
-class EntryCuts(msgspec.Struct, frozen=True, array_like=True):
+class StrippedTexts(msgspec.Struct, frozen=True, array_like=True):
     """The texts that were left out of a log entry's command, in order.
 
     Attributes:
@@ -284,10 +284,10 @@
     index: int
     term: int
     digest: bytes
-    cuts: tuple[TextCut, ...]
+    cuts: tuple[TextSpan, ...]
 
 
-class TextsLacking(msgspec.Struct, frozen=True, kw_only=True, tag="texts_lacking"):
+class MissingTexts(msgspec.Struct, frozen=True, kw_only=True, tag="texts_lacking"):
     """A follower tells its leader that it lacked a text and dropped a message."""
 
 
@@ -300,7 +300,7 @@
 
     sender_address: Address
     message: RaftMessage
-    cuts: tuple[EntryCuts, ...] = ()
+    cuts: tuple[StrippedTexts, ...] = ()
 
 
 class Join(msgspec.Struct, frozen=True, kw_only=True, tag="join"):
@@ -382,7 +382,7 @@
     | HistoryAsk
     | HistoryReply
     | TextCopy
-    | TextsLacking
+    | MissingTexts
     | ReplicaMessage
     | Join
     | RegistryAsk
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -41,10 +41,10 @@
     encode_record,
 )
 from yokeline.ledger.link_pressure import LinkPressure
-from yokeline.ledger.messages import LeaderHint, ReplicaMessage, TextCopy, TextsLacking
+from yokeline.ledger.messages import LeaderHint, MissingTexts, ReplicaMessage, TextCopy
 from yokeline.ledger.operations import KeptTurn, Operation, OperationResult
 from yokeline.ledger.state import LedgerCommand, LedgerState
-from yokeline.ledger.text_copies import CutEntries, CutMessages
+from yokeline.ledger.text_copies import TextRestorer, TextStripper
 
 LOG_FILE = "ledger.log"
 MIN_COMPACT_BYTES = 48 * 1024 * 1024
@@ -144,8 +144,8 @@
         self._effects: list[Effect] = []
         self._now = now
         self._pressure = LinkPressure(link_mbps)
-        self._cut_entries = CutEntries()
-        self._cut_messages = CutMessages()
+        self._stripper = TextStripper()
+        self._restorer = TextRestorer()
         self._lost: frozenset[ReplicaId] = frozenset()
         self._identity_ticket = 0
         self._saved_addresses = dict(self.addresses)
@@ -183,12 +183,12 @@
     @property
     def entries_restored(self) -> int:
         """Entries that this follower has put together with texts from nodes."""
-        return self._cut_messages.restored
+        return self._restorer.restored
 
     @property
     def messages_missing_texts(self) -> int:
         """Messages of a leader that this follower dropped, since a text did not come."""
-        return self._cut_messages.lacking
+        return self._restorer.incomplete
 
     def leader_hint(self) -> LeaderHint | None:
         """Return the leader and where it listens, if it is known."""
@@ -206,7 +206,7 @@
         """Return when :meth:`tick` is due."""
         if self._to_apply or self._effects:
             return IMMEDIATELY
-        held = self._cut_messages.next_deadline()
+        held = self._restorer.next_deadline()
         due = self.group.next_deadline()
         return due if held is None else min(due, held)
 
@@ -246,17 +246,17 @@
         """Take a message of another replica in."""
         self._now = now
         self.learn_address(sender, envelope.sender_address)
-        self._cut_messages.take(sender, envelope, now)
+        self._restorer.take(sender, envelope, now)
         return self._step_restored(now)
 
     def take_text(self, copy: TextCopy, now: float) -> list[Effect]:
         """Take a text in that a message of the leader leaves out."""
-        self._cut_messages.texts.put(copy.turn_id, copy.text)
+        self._restorer.texts.put(copy.turn_id, copy.text)
         return self._step_restored(now)
 
     def note_missing_text(self, follower: ReplicaId, now: float) -> None:
         """Note that a follower needs whole entries for a while."""
-        self._cut_entries.lacked(follower, now)
+        self._stripper.note_missing(follower, now)
 
     def copies_to(self, now: float) -> tuple[LeaderHint, ...]:
         """Return the followers to which nodes are to send texts; none while the link bears them."""
@@ -268,11 +268,11 @@
 
     def _step_restored(self, now: float) -> list[Effect]:
         """Step the messages that are whole, in their order."""
-        whole, lacked = self._cut_messages.ready(now)
+        complete, missing_at = self._restorer.ready(now)
         effects: list[Effect] = []
-        for sender in lacked:
+        for sender in missing_at:
             effects.extend(self._report_missing_text(sender))
-        for sender, envelope in whole:
+        for sender, envelope in complete:
             effects.extend(self._persist(self.group.step(sender, envelope.message, now)))
         return effects
 
@@ -281,8 +281,8 @@
         if address is None:
             return []
         self._log("ledger_texts_lacking", leader=sender)
-        told = SendPeer(to=sender, address=address, message=TextsLacking())
-        return [*self._take_effects(), told]
+        report = SendPeer(to=sender, address=address, message=MissingTexts())
+        return [*self._take_effects(), report]
 
     def learn_address(self, replica: ReplicaId, address: Address) -> None:
         """Note where a replica listens."""
@@ -308,7 +308,7 @@
             return [*self._persist(list(proposal.effects)), *callback(None)]
         self._pending[proposal.index] = _PendingProposal(proposal.term, callback)
         self._pressure.note(len(command) * (len(self.group.members) - 1), now)
-        self._cut_entries.note(proposal.index, proposal.term, command, copied)
+        self._stripper.note(proposal.index, proposal.term, command, copied)
         return self._persist(list(proposal.effects))
 
     def add_member(self, member: ReplicaId, now: float) -> list[Effect]:
@@ -410,8 +410,8 @@
         address = self.addresses.get(to)
         if address is not None:
             envelope = ReplicaMessage(sender_address=self._address, message=message)
-            cut = self._cut_entries.cut(to, envelope, self._now)
-            self._effects.append(SendPeer(to=to, address=address, message=cut))
+            stripped = self._stripper.strip(to, envelope, self._now)
+            self._effects.append(SendPeer(to=to, address=address, message=stripped))
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         was_idle = not self._to_apply
@@ -461,7 +461,7 @@
         )
         if effect.role is RaftRole.LEADER:
             return
-        self._cut_entries.clear()
+        self._stripper.clear()
         pending = list(self._pending.values())
         self._pending.clear()
         for item in pending:
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -37,9 +37,9 @@
     LeaderAnswer,
     LeaderQuery,
     LedgerRequest,
+    MissingTexts,
     ReplicaMessage,
     TextCopy,
-    TextsLacking,
 )
 from yokeline.ledger.program_gate import CAUSES
 from yokeline.ledger.replica import LedgerReplica
@@ -154,7 +154,7 @@
             return self.batches.take(event.sender, message, now)
         if isinstance(message, TextCopy):
             return self.replica.take_text(message, now)
-        if isinstance(message, TextsLacking):
+        if isinstance(message, MissingTexts):
             self.replica.note_missing_text(event.sender, now)
             return []
         if isinstance(message, HistoryAsk):
--- a/src/yokeline/ledger/text_copies.py
+++ b/src/yokeline/ledger/text_copies.py
@@ -18,20 +18,20 @@
 
 from yokeline.consensus.messages import AppendEntries, LogEntry
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.messages import EntryCuts, ReplicaMessage, TextCut
+from yokeline.ledger.messages import ReplicaMessage, StrippedTexts, TextSpan
 from yokeline.ledger.operations import KeptTurn
 
-LEAST_TEXT_BYTES = 512
+MIN_TEXT_BYTES = 512
 """A shorter text is sent with its entry: a message of its own costs about as much."""
 MAX_CACHED_BYTES = 8 * 1024 * 1024
 """Texts that a follower keeps for entries that have not come yet: five seconds of the busiest
 deployment played (1.2 MB a second)."""
-MAX_ENTRIES = 512
+MAX_TRACKED_ENTRIES = 512
 """Entries of which a leader remembers the texts; a follower lags by fewer, or gets them whole."""
-HOLD_SECONDS = 0.02
+MISSING_TEXT_WAIT_SECONDS = 0.02
 """Time for which a follower waits for a text: it was sent before the entry was proposed, on a link
 that may be as slow as 15 Mbit/s (a text of 14 kB takes 7 ms there)."""
-WHOLE_SECONDS = 0.5
+FULL_ENTRIES_SECONDS = 0.5
 """Time for which a follower that lacked a text gets whole entries."""
 
 
@@ -57,69 +57,69 @@
         return self._texts.get(turn_id)
 
 
-class CutEntries:
+class TextStripper:
     """The entries of one leader whose texts followers have from elsewhere."""
 
     def __init__(self) -> None:
         """Know of none."""
-        self._cuts: OrderedDict[int, EntryCuts] = OrderedDict()
-        self._whole_until: dict[ReplicaId, float] = {}
+        self._stripped: OrderedDict[int, StrippedTexts] = OrderedDict()
+        self._full_entries_until: dict[ReplicaId, float] = {}
 
     def note(self, index: int, term: int, command: bytes, turns: Iterable[KeptTurn]) -> None:
         """Note that followers have the texts of some turns of a proposed entry."""
-        cuts: list[TextCut] = []
+        cuts: list[TextSpan] = []
         end = 0
         for turn in turns:
             offset = command.find(turn.text, end)
             if offset >= 0:
-                cuts.append(TextCut(offset, len(turn.text), turn.turn_id))
+                cuts.append(TextSpan(offset, len(turn.text), turn.turn_id))
                 end = offset + len(turn.text)
         if cuts:
             digest = xxhash.xxh3_128_digest(command)
-            self._cuts[index] = EntryCuts(index, term, digest, tuple(cuts))
-        while len(self._cuts) > MAX_ENTRIES:
-            self._cuts.popitem(last=False)
+            self._stripped[index] = StrippedTexts(index, term, digest, tuple(cuts))
+        while len(self._stripped) > MAX_TRACKED_ENTRIES:
+            self._stripped.popitem(last=False)
 
     def clear(self) -> None:
         """Forget all, since another replica leads."""
-        self._cuts.clear()
+        self._stripped.clear()
 
-    def lacked(self, follower: ReplicaId, now: float) -> None:
+    def note_missing(self, follower: ReplicaId, now: float) -> None:
         """Note that a follower did not have a text."""
-        self._whole_until[follower] = now + WHOLE_SECONDS
+        self._full_entries_until[follower] = now + FULL_ENTRIES_SECONDS
 
-    def cut(self, follower: ReplicaId, envelope: ReplicaMessage, now: float) -> ReplicaMessage:
+    def strip(self, follower: ReplicaId, envelope: ReplicaMessage, now: float) -> ReplicaMessage:
         """Return a message for a follower without the texts that it has."""
         message = envelope.message
-        if not isinstance(message, AppendEntries) or not self._cuts:
+        if not isinstance(message, AppendEntries) or not self._stripped:
             return envelope
-        if now < self._whole_until.get(follower, now):
+        if now < self._full_entries_until.get(follower, now):
             return envelope
-        found = {item.index: item for item in map(self._cuts_of, message.entries) if item}
-        if not found:
+        stripped = {item.index: item for item in map(self._stripped_texts, message.entries) if item}
+        if not stripped:
             return envelope
         entries = tuple(
-            _without_texts(entry, found[entry.index]) if entry.index in found else entry
+            _strip_texts(entry, stripped[entry.index]) if entry.index in stripped else entry
             for entry in message.entries
         )
         return ReplicaMessage(
             sender_address=envelope.sender_address,
             message=msgspec.structs.replace(message, entries=entries),
-            cuts=tuple(found.values()),
+            cuts=tuple(stripped.values()),
         )
 
-    def _cuts_of(self, entry: LogEntry) -> EntryCuts | None:
-        cuts = self._cuts.get(entry.index)
+    def _stripped_texts(self, entry: LogEntry) -> StrippedTexts | None:
+        cuts = self._stripped.get(entry.index)
         return cuts if cuts is not None and cuts.term == entry.term else None
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _PendingMessage(msgspec.Struct, frozen=True):
     sender: ReplicaId
     envelope: ReplicaMessage
     until: float
 
 
-class CutMessages:
+class TextRestorer:
     """Messages that reach a follower without texts, in their order.
 
     Attributes:
@@ -132,33 +132,33 @@
         """Hold none."""
         self.texts = TextCache()
         self.restored = 0
-        self.lacking = 0
-        self._held: deque[_Held] = deque()
+        self.incomplete = 0
+        self._pending: deque[_PendingMessage] = deque()
 
     def take(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> None:
         """Take a message in; :meth:`ready` gives it out."""
-        self._held.append(_Held(sender, envelope, now + HOLD_SECONDS))
+        self._pending.append(_PendingMessage(sender, envelope, now + MISSING_TEXT_WAIT_SECONDS))
 
     def ready(self, now: float) -> tuple[list[tuple[ReplicaId, ReplicaMessage]], list[ReplicaId]]:
         """Return the whole messages that may be stepped, and the senders of those dropped."""
-        whole: list[tuple[ReplicaId, ReplicaMessage]] = []
-        lacked: list[ReplicaId] = []
-        while self._held:
-            held = self._held[0]
-            restored = self._restore(held.envelope)
-            if restored is None and now < held.until:
+        complete: list[tuple[ReplicaId, ReplicaMessage]] = []
+        missing_at: list[ReplicaId] = []
+        while self._pending:
+            pending = self._pending[0]
+            restored = self._restore(pending.envelope)
+            if restored is None and now < pending.until:
                 break
-            self._held.popleft()
+            self._pending.popleft()
             if restored is None:
-                self.lacking += 1
-                lacked.append(held.sender)
+                self.incomplete += 1
+                missing_at.append(pending.sender)
             else:
-                whole.append((held.sender, restored))
-        return whole, lacked
+                complete.append((pending.sender, restored))
+        return complete, missing_at
 
     def next_deadline(self) -> float | None:
         """Return when the first held message has waited long enough."""
-        return self._held[0].until if self._held else None
+        return self._pending[0].until if self._pending else None
 
     def _restore(self, envelope: ReplicaMessage) -> ReplicaMessage | None:
         message = envelope.message
@@ -167,10 +167,10 @@
         cuts = {item.index: item for item in envelope.cuts}
         entries: list[LogEntry] = []
         for entry in message.entries:
-            whole = _with_texts(entry, cuts.get(entry.index), self.texts)
-            if whole is None:
+            complete = _insert_texts(entry, cuts.get(entry.index), self.texts)
+            if complete is None:
                 return None
-            entries.append(whole)
+            entries.append(complete)
         self.restored += len(cuts)
         return ReplicaMessage(
             sender_address=envelope.sender_address,
@@ -178,31 +178,31 @@
         )
 
 
-def _without_texts(entry: LogEntry, cuts: EntryCuts) -> LogEntry:
+def _strip_texts(entry: LogEntry, cuts: StrippedTexts) -> LogEntry:
     parts: list[bytes] = []
     start = 0
-    for cut in cuts.cuts:
-        parts.append(entry.command[start : cut.offset])
-        start = cut.offset + cut.size
+    for span in cuts.cuts:
+        parts.append(entry.command[start : span.offset])
+        start = span.offset + span.size
     parts.append(entry.command[start:])
     return msgspec.structs.replace(entry, command=b"".join(parts))
 
 
-def _with_texts(entry: LogEntry, cuts: EntryCuts | None, texts: TextCache) -> LogEntry | None:
+def _insert_texts(entry: LogEntry, cuts: StrippedTexts | None, texts: TextCache) -> LogEntry | None:
     """Return the entry as its leader has it; None if a text is not there or another one."""
     if cuts is None:
         return entry
     parts: list[bytes] = []
     taken = 0
     filled = 0
-    for cut in cuts.cuts:
-        text = texts.get(cut.turn_id)
-        if text is None or len(text) != cut.size:
+    for span in cuts.cuts:
+        text = texts.get(span.turn_id)
+        if text is None or len(text) != span.size:
             return None
-        between = cut.offset - filled
+        between = span.offset - filled
         parts.extend((entry.command[taken : taken + between], text))
         taken += between
-        filled = cut.offset + cut.size
+        filled = span.offset + span.size
     parts.append(entry.command[taken:])
     command = b"".join(parts)
     if xxhash.xxh3_128_digest(command) != cuts.digest:
--- a/tests/unit/ledger/release_samples.py
+++ b/tests/unit/ledger/release_samples.py
@@ -41,6 +41,7 @@
     LedgerRequest,
     LoadDigest,
     LoadReport,
+    MissingTexts,
     NodeTurns,
     PassedOnRequest,
     RegistryAsk,
@@ -48,7 +49,6 @@
     RegistryNews,
     ReplicaMessage,
     TextCopy,
-    TextsLacking,
     TurnServed,
 )
 from yokeline.ledger.operations import (
@@ -136,7 +136,7 @@
         HistoryAsk(number=1, asker=ADDRESS, last="k1"),
         HistoryReply(number=1, turns=(TURN,)),
         TextCopy(turn_id="k1", text=b"text"),
-        TextsLacking(),
+        MissingTexts(),
         ReplicaMessage(sender_address=ADDRESS, message=append),
         Join(node=NodeName("storage-3"), replica=ReplicaId("storage-3~1"), address=ADDRESS),
         RegistryAsk(asker=ADDRESS, after=5),
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -18,7 +18,12 @@
 from yokeline.ledger.messages import ReplicaMessage
 from yokeline.ledger.operations import KeptTurn, Operation, Settle, Settled
 from yokeline.ledger.state import LedgerCommand
-from yokeline.ledger.text_copies import HOLD_SECONDS, WHOLE_SECONDS, CutEntries, CutMessages
+from yokeline.ledger.text_copies import (
+    FULL_ENTRIES_SECONDS,
+    MISSING_TEXT_WAIT_SECONDS,
+    TextRestorer,
+    TextStripper,
+)
 
 FOLLOWER = ReplicaId("b~1")
 LEADER = ReplicaId("a~1")
@@ -37,7 +42,7 @@
     return frame.message
 
 
-class CutAndRestored(unittest.TestCase):
+class StrippedAndRestored(unittest.TestCase):
     def entry(self, *operations: Operation) -> LogEntry:
         command = encode_command(LedgerCommand(time=1.0, operations=operations))
         return LogEntry(1, 1, EntryKind.COMMAND, command)
@@ -50,59 +55,61 @@
         copied = [
             item.turn for item, (_, is_copied) in zip(settlements, texts, strict=True) if is_copied
         ]
-        cuts = CutEntries()
-        cuts.note(1, 1, entry.command, [item for item in copied if item is not None])
-        follower = CutMessages()
+        stripper = TextStripper()
+        stripper.note(1, 1, entry.command, [item for item in copied if item is not None])
+        follower = TextRestorer()
         for item in copied:
             assert item is not None
             follower.texts.put(item.turn_id, item.text)
-        follower.take(LEADER, over_the_wire(cuts.cut(FOLLOWER, message((entry,)), 0.0)), 0.0)
-        whole, lacked = follower.ready(0.0)
-        self.assertEqual(lacked, [])
+        follower.take(LEADER, over_the_wire(stripper.strip(FOLLOWER, message((entry,)), 0.0)), 0.0)
+        whole, missing_at = follower.ready(0.0)
+        self.assertEqual(missing_at, [])
         self.assertEqual(whole, [(LEADER, message((entry,)))])
 
-    def cut_message(self, cuts: CutEntries, text: bytes = b"x" * 1000) -> ReplicaMessage:
+    def stripped_message(self, stripper: TextStripper, text: bytes = b"x" * 1000) -> ReplicaMessage:
         settlement = turn("t1", text=text)
         assert settlement.turn is not None
         entry = self.entry(settlement)
-        cuts.note(1, 1, entry.command, [settlement.turn])
-        return cuts.cut(FOLLOWER, message((entry,)), 0.0)
+        stripper.note(1, 1, entry.command, [settlement.turn])
+        return stripper.strip(FOLLOWER, message((entry,)), 0.0)
 
     def test_the_text_is_not_in_the_message(self) -> None:
-        sent = LedgerCodec().encode_peer(LEADER, FOLLOWER, self.cut_message(CutEntries()))
+        sent = LedgerCodec().encode_peer(LEADER, FOLLOWER, self.stripped_message(TextStripper()))
         self.assertNotIn(b"x" * 20, sent)
 
     def test_a_text_that_comes_late_is_waited_for_and_the_order_holds(self) -> None:
-        follower = CutMessages()
-        follower.take(LEADER, self.cut_message(CutEntries()), 0.0)
+        follower = TextRestorer()
+        follower.take(LEADER, self.stripped_message(TextStripper()), 0.0)
         follower.take(LEADER, message(()), 0.0)
-        self.assertEqual(follower.ready(HOLD_SECONDS / 2), ([], []))
+        self.assertEqual(follower.ready(MISSING_TEXT_WAIT_SECONDS / 2), ([], []))
         follower.texts.put("t1", b"x" * 1000)
-        whole, _ = follower.ready(HOLD_SECONDS / 2)
+        whole, _ = follower.ready(MISSING_TEXT_WAIT_SECONDS / 2)
         self.assertEqual(len(whole), 2)
         self.assertEqual(whole[1], (LEADER, message(())))
 
     def test_a_text_that_does_not_come_or_is_another_one_is_told(self) -> None:
         for text in (b"", b"y" * 1000, b"x" * 999):
-            follower = CutMessages()
+            follower = TextRestorer()
             follower.texts.put("t1", text)
-            follower.take(LEADER, self.cut_message(CutEntries()), 0.0)
-            self.assertEqual(follower.ready(HOLD_SECONDS), ([], [LEADER]))
+            follower.take(LEADER, self.stripped_message(TextStripper()), 0.0)
+            self.assertEqual(follower.ready(MISSING_TEXT_WAIT_SECONDS), ([], [LEADER]))
 
     def test_a_follower_that_lacked_a_text_gets_whole_entries_for_a_while(self) -> None:
-        cuts = CutEntries()
-        self.cut_message(cuts)
+        stripper = TextStripper()
+        self.stripped_message(stripper)
         entry = self.entry(turn("t1", text=b"x" * 1000))
-        cuts.lacked(FOLLOWER, 0.0)
-        self.assertEqual(cuts.cut(FOLLOWER, message((entry,)), 0.1).cuts, ())
-        self.assertNotEqual(cuts.cut(ReplicaId("c~1"), message((entry,)), 0.1).cuts, ())
-        self.assertNotEqual(cuts.cut(FOLLOWER, message((entry,)), WHOLE_SECONDS).cuts, ())
+        stripper.note_missing(FOLLOWER, 0.0)
+        self.assertEqual(stripper.strip(FOLLOWER, message((entry,)), 0.1).cuts, ())
+        self.assertNotEqual(stripper.strip(ReplicaId("c~1"), message((entry,)), 0.1).cuts, ())
+        self.assertNotEqual(
+            stripper.strip(FOLLOWER, message((entry,)), FULL_ENTRIES_SECONDS).cuts, ()
+        )
 
     def test_an_entry_of_another_term_at_the_same_place_is_sent_whole(self) -> None:
-        cuts = CutEntries()
-        self.cut_message(cuts)
+        stripper = TextStripper()
+        self.stripped_message(stripper)
         other = LogEntry(1, 2, EntryKind.COMMAND, b"other")
-        self.assertEqual(cuts.cut(FOLLOWER, message((other,)), 0.0).cuts, ())
+        self.assertEqual(stripper.strip(FOLLOWER, message((other,)), 0.0).cuts, ())
 
 
 class Pressure(unittest.TestCase):
