--- a/src/yokeline/ledger/link_pressure.py
+++ b/src/yokeline/ledger/link_utilization.py
@@ -6,15 +6,15 @@
 
 AVERAGE_SECONDS = 1.0
 """Time constant of the average: a burst shows within a second."""
-PRESSED_SHARE = 0.25
+HIGH_UTILIZATION = 0.25
 """Share of the link that entries would take from which nodes are asked to send texts themselves:
 answers take about a tenth, and twice the load must still fit."""
-RELIEVED_SHARE = 0.12
+LOW_UTILIZATION = 0.12
 """Share below which the leader sends them again; half of the other, so that it does not flutter."""
 BITS_PER_BYTE = 8
 
 
-class LinkPressure:
+class LinkUtilization:
     """A fading average of the bytes that entries would take if the leader sent them whole."""
 
     def __init__(self, link_mbps: float) -> None:
@@ -22,21 +22,21 @@
         self._link_bytes = link_mbps * 1e6 / BITS_PER_BYTE
         self._bytes = 0.0
         self._at = 0.0
-        self._is_pressed = False
+        self._is_high = False
 
     def note(self, size: int, now: float) -> None:
         """Count bytes that are to go to followers."""
-        self._fade(now)
+        self._decay(now)
         self._bytes += size
 
-    def is_pressed(self, now: float) -> bool:
+    def is_high(self, now: float) -> bool:
         """Return whether entries take, or would take, too much of the link."""
-        self._fade(now)
-        limit = RELIEVED_SHARE if self._is_pressed else PRESSED_SHARE
+        self._decay(now)
+        limit = LOW_UTILIZATION if self._is_high else HIGH_UTILIZATION
         per_second = self._bytes / AVERAGE_SECONDS
-        self._is_pressed = self._link_bytes > 0 and per_second > limit * self._link_bytes
-        return self._is_pressed
+        self._is_high = self._link_bytes > 0 and per_second > limit * self._link_bytes
+        return self._is_high
 
-    def _fade(self, now: float) -> None:
+    def _decay(self, now: float) -> None:
         self._bytes *= math.exp((self._at - now) / AVERAGE_SECONDS) if now > self._at else 1.0
         self._at = max(self._at, now)
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -40,7 +40,7 @@
     SnapshotRecord,
     encode_record,
 )
-from yokeline.ledger.link_pressure import LinkPressure
+from yokeline.ledger.link_utilization import LinkUtilization
 from yokeline.ledger.messages import LeaderHint, MissingTexts, ReplicaMessage, TextCopy
 from yokeline.ledger.operations import KeptTurn, Operation, OperationResult
 from yokeline.ledger.state import LedgerCommand, LedgerState
@@ -143,7 +143,7 @@
         self.group = self._new_group(recovered, now)
         self._effects: list[Effect] = []
         self._now = now
-        self._pressure = LinkPressure(link_mbps)
+        self._link = LinkUtilization(link_mbps)
         self._stripper = TextStripper()
         self._restorer = TextRestorer()
         self._lost: frozenset[ReplicaId] = frozenset()
@@ -260,7 +260,7 @@
 
     def copies_to(self, now: float) -> tuple[LeaderHint, ...]:
         """Return the followers to which nodes are to send texts; none while the link bears them."""
-        if not self.leads or not self._pressure.is_pressed(now):
+        if not self.leads or not self._link.is_high(now):
             return ()
         followers = (member for member in self.group.members if member != self.replica)
         known = ((member, self.addresses.get(member)) for member in followers)
@@ -307,7 +307,7 @@
         if not proposal.accepted:
             return [*self._persist(list(proposal.effects)), *callback(None)]
         self._pending[proposal.index] = _PendingProposal(proposal.term, callback)
-        self._pressure.note(len(command) * (len(self.group.members) - 1), now)
+        self._link.note(len(command) * (len(self.group.members) - 1), now)
         self._stripper.note(proposal.index, proposal.term, command, copied)
         return self._persist(list(proposal.effects))
 
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -14,7 +14,7 @@
 from yokeline.effects import Address
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.codec import LedgerCodec, encode_command
-from yokeline.ledger.link_pressure import LinkPressure
+from yokeline.ledger.link_utilization import LinkUtilization
 from yokeline.ledger.messages import ReplicaMessage
 from yokeline.ledger.operations import KeptTurn, Operation, Settle, Settled
 from yokeline.ledger.state import LedgerCommand
@@ -112,26 +112,26 @@
         self.assertEqual(stripper.strip(FOLLOWER, message((other,)), 0.0).cuts, ())
 
 
-class Pressure(unittest.TestCase):
+class Utilization(unittest.TestCase):
     def test_it_follows_the_bytes_with_a_gap_between_on_and_off(self) -> None:
-        link = LinkPressure(8.0)  # a million bytes a second
+        link = LinkUtilization(8.0)  # a million bytes a second
         now = 0.0
         states = []
         for per_second in (100_000, 400_000, 180_000, 60_000):
             for _ in range(50):
                 now += 0.1
                 link.note(per_second // 10, now)
-            states.append(link.is_pressed(now))
+            states.append(link.is_high(now))
         self.assertEqual(states, [False, True, True, False])
 
     def test_a_link_that_is_not_known_is_never_pressed(self) -> None:
-        link = LinkPressure(0.0)
+        link = LinkUtilization(0.0)
         link.note(10**9, 1.0)
-        self.assertFalse(link.is_pressed(1.0))
+        self.assertFalse(link.is_high(1.0))
 
 
 class Replicated(StorageCase):
-    def pressed(self, seed: int) -> tuple[Cluster, Load]:
+    def with_high_utilization(self, seed: int) -> tuple[Cluster, Load]:
         """Return a cluster under load whose leader asks for copies."""
         cluster = Cluster(3, seed, link_mbps=LINK_MBPS)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
@@ -156,7 +156,7 @@
         return [item for item in cluster.machines if item is not leader]
 
     def test_the_leader_sends_a_small_part_and_all_replicas_hold_all(self) -> None:
-        cluster, load = self.pressed(1)
+        cluster, load = self.with_high_utilization(1)
         leader = self.leader(cluster)
         for machine in cluster.machines:
             machine.link_bytes_per_second = LINK_BYTES_PER_SECOND
@@ -168,14 +168,14 @@
         self.assert_same_everywhere(cluster)
 
     def test_a_follower_that_gets_no_copies_holds_all_too(self) -> None:
-        cluster, _ = self.pressed(2)
+        cluster, _ = self.with_high_utilization(2)
         self.followers(cluster)[0].gets_copies = False
         cluster.run(7.0)
         self.assert_same_everywhere(cluster)
 
     def test_the_leader_dies_and_what_was_acknowledged_is_kept(self) -> None:
         for seed in range(4):
-            cluster, load = self.pressed(seed)
+            cluster, load = self.with_high_utilization(seed)
             cluster.kill(self.leader(cluster))
             cluster.run(8.0)
             for name in load.kept:
@@ -183,7 +183,7 @@
 
     def test_all_power_goes_after_acknowledgements_and_nothing_is_lost(self) -> None:
         for seed in range(4):
-            cluster, load = self.pressed(seed)
+            cluster, load = self.with_high_utilization(seed)
             for machine in cluster.machines:
                 cluster.power_off(machine)
             cluster.run(0.5)
@@ -197,7 +197,7 @@
             self.assertEqual(missing, set())
 
     def test_a_short_text_goes_with_its_entry(self) -> None:
-        cluster, _ = self.pressed(3)
+        cluster, _ = self.with_high_utilization(3)
         self.assertGreater(len(cluster.copied), 0)
         kept = KeptTurn(turn_id="short", previous="", text=b"short", retention=60.0)
         self.assertEqual(cluster.ask(Settle(request_id="short", turn=kept)), Settled())
