--- a/src/yokeline/ledger/node_reports.py
+++ b/src/yokeline/ledger/node_reports.py
@@ -30,13 +30,13 @@
     def __init__(self) -> None:
         """Know of no node."""
         self._reports: dict[ReplicaId, _Report[_Load]] = {}
-        self._next_look = -math.inf
+        self._next_sweep = -math.inf
 
     def has_room(self, process: ReplicaId) -> bool:
         """Return whether a process is known, or one more can be."""
         return process in self._reports or len(self._reports) < MAX_NODES
 
-    def is_news(self, process: ReplicaId, sequence: int) -> bool:
+    def is_newer(self, process: ReplicaId, sequence: int) -> bool:
         """Return whether no later report of a process came before."""
         known = self._reports.get(process)
         return known is None or known.sequence < sequence
@@ -45,25 +45,25 @@
         """Keep a report."""
         self._reports[process] = _Report(sequence, loads, now)
 
-    def take_out(self, process: ReplicaId) -> tuple[_Load, ...]:
+    def remove(self, process: ReplicaId) -> tuple[_Load, ...]:
         """Forget a process, and return what it told last."""
         known = self._reports.pop(process, None)
         return known.loads if known is not None else ()
 
-    def take_out_silent(self, now: float) -> list[_Load] | None:
+    def remove_silent(self, now: float) -> list[_Load] | None:
         """Forget the processes that fell silent, and return what they told last.
 
         None if the last look at them was a short while ago.
         """
-        if now < self._next_look:
+        if now < self._next_sweep:
             return None
-        self._next_look = now + REFRESH_SECONDS
+        self._next_sweep = now + REFRESH_SECONDS
         silent = [
             process
             for process, report in self._reports.items()
             if now - report.heard_at > NODE_SILENCE_SECONDS
         ]
-        return [load for process in silent for load in self.take_out(process)]
+        return [load for process in silent for load in self.remove(process)]
 
     def clear(self) -> None:
         """Forget all processes."""
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -92,10 +92,10 @@
         self, process: ReplicaId, sequence: int, loads: tuple[PoolLoad, ...], now: float
     ) -> None:
         """Take the rows of a node's process in, unless later ones came before."""
-        if not self._nodes.has_room(process) or not self._nodes.is_news(process, sequence):
+        if not self._nodes.has_room(process) or not self._nodes.is_newer(process, sequence):
             return
         self.is_used = True
-        self._count_no_more(self._nodes.take_out(process))
+        self._count_no_more(self._nodes.remove(process))
         counted = tuple(self._counted(load) for load in loads)
         self._nodes.put(process, sequence, counted, now)
         for load in counted:
@@ -194,7 +194,7 @@
                 self._pools[load.pool].remove(row)
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.take_out_silent(now)
+        silent = self._nodes.remove_silent(now)
         if silent is None:
             return
         self._count_no_more(silent)
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -28,26 +28,26 @@
 from yokeline.ledger.node_reports import NodeReports
 from yokeline.scheduling.engine_profiles import EngineProfile
 
-FORGET_SECONDS = 15.0
+IDLE_ENGINE_SECONDS = 15.0
 """An engine without turns of which nothing was seen for this long may be forgotten if there are
 too many to tell."""
-PROFILE_SECONDS = 120.0
+PROFILE_RETENTION_SECONDS = 120.0
 """The same for any engine: its profile weighs next to nothing by then, or the engine has gone."""
-MAX_ENGINES_TOLD = 256
+MAX_ENGINES_REPORTED = 256
 """Engines told with one answer; in a larger fleet nodes go by the load reports alone."""
-WEIGHT = 0.15
+SLOWNESS_WEIGHT = 0.15
 """Weight of one turn in an engine's slowness."""
-FADE_SECONDS = 4.0
+SLOWNESS_DECAY_SECONDS = 4.0
 """Time in which the slowness of an engine fades to a third without new turns."""
 
 
 class _EngineRecord(msgspec.Struct):
     running: int = 0
-    told_at: float = -math.inf
+    updated_at: float = -math.inf
     is_app: bool = False
     profile: EngineProfile = msgspec.field(default_factory=EngineProfile)
     slowness: FadingAverage = msgspec.field(
-        default_factory=lambda: FadingAverage(1.0, WEIGHT, FADE_SECONDS)
+        default_factory=lambda: FadingAverage(1.0, SLOWNESS_WEIGHT, SLOWNESS_DECAY_SECONDS)
     )
 
 
@@ -69,14 +69,14 @@
             return
         for served in report.served:
             self._note_served(served, now)
-        if not self._nodes.is_news(process, report.sequence):
+        if not self._nodes.is_newer(process, report.sequence):
             return
-        self._count_no_more(self._nodes.take_out(process))
+        self._subtract(self._nodes.remove(process))
         self._nodes.put(process, report.sequence, report.loads, now)
         for load in report.loads:
             record = self._engine(load.engine_id)
             record.running += load.running
-            record.told_at = now
+            record.updated_at = now
 
     def clear(self) -> None:
         """Forget everything, since another replica leads."""
@@ -86,18 +86,18 @@
     def engines(self, now: float) -> tuple[EngineTurns, ...]:
         """Return what is known of engines; empty if there are too many of them to tell."""
         self._forget_silent(now)
-        if len(self._engines) > MAX_ENGINES_TOLD:
-            self._forget_idle(now, FORGET_SECONDS)
-            if len(self._engines) > MAX_ENGINES_TOLD:
+        if len(self._engines) > MAX_ENGINES_REPORTED:
+            self._forget_idle(now, IDLE_ENGINE_SECONDS)
+            if len(self._engines) > MAX_ENGINES_REPORTED:
                 return ()
-        return tuple(_told(name, item, now) for name, item in self._engines.items())
+        return tuple(_to_message(name, item, now) for name, item in self._engines.items())
 
     def _engine(self, engine_id: str) -> _EngineRecord:
         return self._engines.setdefault(engine_id, _EngineRecord())
 
     def _note_served(self, served: TurnServed, now: float) -> None:
         record = self._engine(served.engine_id)
-        record.told_at = now
+        record.updated_at = now
         record.is_app = record.is_app or served.is_call
         record.profile.note_outcome(now, failed=served.failed)
         if served.pace > 0:
@@ -105,28 +105,28 @@
         if served.slowness > 0:
             record.slowness.observe(served.slowness, now)
 
-    def _count_no_more(self, loads: Iterable[EngineLoad]) -> None:
+    def _subtract(self, loads: Iterable[EngineLoad]) -> None:
         for load in loads:
             self._engine(load.engine_id).running -= load.running
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.take_out_silent(now)
+        silent = self._nodes.remove_silent(now)
         if silent is not None:
-            self._count_no_more(silent)
-            self._forget_idle(now, PROFILE_SECONDS)
+            self._subtract(silent)
+            self._forget_idle(now, PROFILE_RETENTION_SECONDS)
 
-    def _forget_idle(self, now: float, silence: float) -> None:
+    def _forget_idle(self, now: float, max_age: float) -> None:
         """Forget engines without turns of which nothing was seen for ``silence`` seconds."""
         idle = [
             name
             for name, item in self._engines.items()
-            if not item.running and now - item.told_at > silence
+            if not item.running and now - item.updated_at > max_age
         ]
         for name in idle:
             del self._engines[name]
 
 
-def _told(engine_id: str, record: _EngineRecord, now: float) -> EngineTurns:
+def _to_message(engine_id: str, record: _EngineRecord, now: float) -> EngineTurns:
     profile = record.profile
     pace = profile.pace(now)
     return EngineTurns(
--- a/tests/unit/ledger/test_turns_under_way.py
+++ b/tests/unit/ledger/test_turns_under_way.py
@@ -13,10 +13,10 @@
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
 from yokeline.ledger.own_turns import MAX_SERVED, REFRESH_SECONDS, OwnTurns
 from yokeline.ledger.turns_under_way import (
-    FADE_SECONDS,
-    FORGET_SECONDS,
-    MAX_ENGINES_TOLD,
-    PROFILE_SECONDS,
+    IDLE_ENGINE_SECONDS,
+    MAX_ENGINES_REPORTED,
+    PROFILE_RETENTION_SECONDS,
+    SLOWNESS_DECAY_SECONDS,
     TurnsUnderWay,
 )
 
@@ -119,7 +119,7 @@
             self.begin(str(number), "grey")
             self.end(str(number), "grey", failed=number % 2 == 0)
         self.assertGreater(self.engine("grey").failed_percent, 25)
-        self.now += 4 * FADE_SECONDS
+        self.now += 4 * SLOWNESS_DECAY_SECONDS
         self.assertLess(self.engine("grey").failed_percent, 2)
 
     def test_a_slow_engine_is_told_and_forgiven(self) -> None:
@@ -156,7 +156,7 @@
 
     def test_a_start_that_ended_is_forgotten_with_its_profile(self) -> None:
         self.serve("gone", 0.04, 5)
-        self.now += PROFILE_SECONDS
+        self.now += PROFILE_RETENTION_SECONDS
         self.serve("e", 0.04, 1)
         self.assertEqual([item.engine_id for item in self.turns.engines(self.now)], ["e"])
 
@@ -166,9 +166,9 @@
         self.assertEqual(self.turns.engines(self.now), ())
 
     def test_too_many_engines_are_not_told(self) -> None:
-        for number in range(MAX_ENGINES_TOLD + 1):
+        for number in range(MAX_ENGINES_REPORTED + 1):
             self.begin(str(number), f"e{number}")
         self.assertEqual(self.turns.engines(self.now), ())
-        self.now += FORGET_SECONDS + 1
+        self.now += IDLE_ENGINE_SECONDS + 1
         self.begin("a", "e", "m")
         self.assertEqual(len(self.turns.engines(self.now)), 1)
