--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -18,18 +18,18 @@
 from yokeline.ledger.node_reports import NodeReports
 from yokeline.scheduling.tenant_shares import Shares, TenantDemand, shares_of
 
-SHARES_SECONDS = 0.025
+SHARES_MAX_AGE_SECONDS = 0.025
 """Age up to which shares are told without being worked out anew; turns last longer by far."""
-SHARES_SECONDS_PER_TENANT = 4e-5
+SHARES_MAX_AGE_SECONDS_PER_TENANT = 4e-5
 """The same for each tenant, if that is longer, so that the cost does not grow with their number."""
-CALM_SECONDS = 1.0
+WITHIN_SHARE_LOG_SECONDS = 1.0
 """Time within its share after which a tenant is logged as such; turns end all the time, so that
 one which asks for more comes and goes several times a second."""
-MAX_LOGGED = 32
+MAX_LOGGED_TENANTS = 32
 """Tenants whose way beyond their share and back is logged; more at once are not told apart."""
 MAX_TENANTS = 4096
 """Tenants of one pool; the load of more is not counted."""
-LEAST_WEIGHT = 1e-6
+MIN_WEIGHT = 1e-6
 LEVEL_DIGITS = 3
 
 TenantOfPool = tuple[str, str]
@@ -45,7 +45,7 @@
 
     def add(self, load: TenantLoad) -> None:
         """Count what a node tells of a tenant."""
-        self._change(load, 1, max(LEAST_WEIGHT, load.weight))
+        self._change(load, 1, max(MIN_WEIGHT, load.weight))
 
     def remove(self, load: TenantLoad) -> None:
         """Count it no more."""
@@ -84,9 +84,9 @@
         self._nodes = NodeReports[PoolLoad]()
         self._pools: dict[str, _Pool] = {}
         self._shares: dict[str, Shares] = {}
-        self._told: tuple[PoolShares, ...] = ()
-        self._shared_at = -math.inf
-        self._beyond_at: dict[TenantOfPool, float] = {}
+        self._messages: tuple[PoolShares, ...] = ()
+        self._computed_at = -math.inf
+        self._beyond_share_at: dict[TenantOfPool, float] = {}
 
     def take(
         self, process: ReplicaId, sequence: int, loads: tuple[PoolLoad, ...], now: float
@@ -95,10 +95,10 @@
         if not self._nodes.has_room(process) or not self._nodes.is_newer(process, sequence):
             return
         self.is_used = True
-        self._count_no_more(self._nodes.remove(process))
-        counted = tuple(self._counted(load) for load in loads)
-        self._nodes.put(process, sequence, counted, now)
-        for load in counted:
+        self._subtract(self._nodes.pop(process))
+        countable = tuple(self._countable(load) for load in loads)
+        self._nodes.put(process, sequence, countable, now)
+        for load in countable:
             pool = self._pools.setdefault(load.pool, _Pool())
             pool.places = load.places
             for row in load.tenants:
@@ -110,28 +110,28 @@
         self._nodes.clear()
         self._pools.clear()
         self._shares.clear()
-        self._told = ()
-        self._shared_at = -math.inf
-        self._beyond_at.clear()
+        self._messages = ()
+        self._computed_at = -math.inf
+        self._beyond_share_at.clear()
 
     def shares(self, now: float) -> tuple[PoolShares, ...]:
         """Return how the places are shared in the pools that have too few of them."""
         self._forget_silent(now)
-        if now - self._shared_at < self._pause():
-            return self._told
-        self._shared_at = now
+        if now - self._computed_at < self._max_age():
+            return self._messages
+        self._computed_at = now
         self._shares = {
             name: shares
             for name, pool in self._pools.items()
             if not math.isinf((shares := pool.shares()).level)
         }
-        self._told = tuple(_told(name, shares) for name, shares in self._shares.items())
-        return self._told
+        self._messages = tuple(_to_message(name, shares) for name, shares in self._shares.items())
+        return self._messages
 
-    def _pause(self) -> float:
+    def _max_age(self) -> float:
         """Return for how long shares are told without being worked out anew (seconds)."""
         tenants = sum(len(pool.demands) for pool in self._pools.values())
-        return max(SHARES_SECONDS, SHARES_SECONDS_PER_TENANT * tenants)
+        return max(SHARES_MAX_AGE_SECONDS, SHARES_MAX_AGE_SECONDS_PER_TENANT * tenants)
 
     def gauges(self) -> dict[str, float]:
         """Return the level of each pool with too few places, and the turns of who is beyond it."""
@@ -145,30 +145,30 @@
 
     def report(self, now: float) -> list[LogRecord]:
         """Return a line for each tenant that came to be beyond its share, or no longer is."""
-        if not self._shares and not self._beyond_at:
+        if not self._shares and not self._beyond_share_at:
             return []
         lines: list[LogRecord] = []
         self.shares(now)
         for pool, shares in self._shares.items():
             for item in shares.beyond:
                 lines.extend(self._note_beyond(pool, shares, item, now))
-        for key, seen_at in list(self._beyond_at.items()):
-            if now - seen_at >= CALM_SECONDS:
-                del self._beyond_at[key]
-                lines.append(_line("tenant_within_share", key))
+        for key, seen_at in list(self._beyond_share_at.items()):
+            if now - seen_at >= WITHIN_SHARE_LOG_SECONDS:
+                del self._beyond_share_at[key]
+                lines.append(_log_record("tenant_within_share", key))
         return lines
 
     def _note_beyond(
         self, pool: str, shares: Shares, item: TenantDemand, now: float
     ) -> list[LogRecord]:
         key = (pool, item.tenant)
-        is_new = key not in self._beyond_at
-        if is_new and len(self._beyond_at) >= MAX_LOGGED:
+        is_new = key not in self._beyond_share_at
+        if is_new and len(self._beyond_share_at) >= MAX_LOGGED_TENANTS:
             return []
-        self._beyond_at[key] = now
+        self._beyond_share_at[key] = now
         if not is_new:
             return []
-        line = _line(
+        line = _log_record(
             "tenant_beyond_share",
             key,
             running=item.running,
@@ -180,7 +180,7 @@
         )
         return [line]
 
-    def _counted(self, load: PoolLoad) -> PoolLoad:
+    def _countable(self, load: PoolLoad) -> PoolLoad:
         """Leave out the rows that count nothing or would be too many for the pool."""
         pool = self._pools.get(load.pool)
         rows = tuple(row for row in load.tenants if row.running > 0 or row.waiting > 0)
@@ -188,26 +188,26 @@
             rows = tuple(row for row in rows if row.tenant in pool.demands)
         return msgspec.structs.replace(load, tenants=rows)
 
-    def _count_no_more(self, loads: Iterable[PoolLoad]) -> None:
+    def _subtract(self, loads: Iterable[PoolLoad]) -> None:
         for load in loads:
             for row in load.tenants:
                 self._pools[load.pool].remove(row)
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.remove_silent(now)
+        silent = self._nodes.pop_silent(now)
         if silent is None:
             return
-        self._count_no_more(silent)
+        self._subtract(silent)
         for name, pool in list(self._pools.items()):
             if not pool.demands:
                 del self._pools[name]
 
 
-def _told(pool: str, shares: Shares) -> PoolShares:
+def _to_message(pool: str, shares: Shares) -> PoolShares:
     beyond = tuple(item.tenant for item in shares.beyond)
     return PoolShares(pool, round(shares.level, LEVEL_DIGITS), beyond)
 
 
-def _line(event: str, key: TenantOfPool, **fields: str | float) -> LogRecord:
+def _log_record(event: str, key: TenantOfPool, **fields: str | float) -> LogRecord:
     pool, tenant = key
     return LogRecord(event=event, fields={"tenant": tenant, "pool": pool, **fields})
--- a/tests/unit/ledger/test_shares_told.py
+++ b/tests/unit/ledger/test_shares_told.py
@@ -13,7 +13,7 @@
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
 from yokeline.ledger.operations import OperationResult, Reserve
 from yokeline.ledger.own_turns import REFRESH_SECONDS
-from yokeline.ledger.tenant_places import SHARES_SECONDS
+from yokeline.ledger.tenant_places import SHARES_MAX_AGE_SECONDS
 
 PLACES = 12
 
@@ -88,7 +88,7 @@
         self.cluster.kill(leader)
         self.cluster.run(3.0)
         self.ask()
-        self.cluster.run(REFRESH_SECONDS + SHARES_SECONDS)
+        self.cluster.run(REFRESH_SECONDS + SHARES_MAX_AGE_SECONDS)
         self.assertIsNot(self.cluster.leader(), leader)
         self.assertEqual(self.ask(), (PoolShares("models", 9.0, ("hot",)),))
 
--- a/tests/unit/ledger/test_tenant_places.py
+++ b/tests/unit/ledger/test_tenant_places.py
@@ -7,7 +7,12 @@
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.messages import PoolLoad, PoolShares, TenantLoad
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
-from yokeline.ledger.tenant_places import CALM_SECONDS, MAX_TENANTS, SHARES_SECONDS, TenantPlaces
+from yokeline.ledger.tenant_places import (
+    MAX_TENANTS,
+    SHARES_MAX_AGE_SECONDS,
+    WITHIN_SHARE_LOG_SECONDS,
+    TenantPlaces,
+)
 
 PLACES = 12
 
@@ -24,7 +29,7 @@
         self.places.take(ReplicaId(node), self.sequence, loads, self.now)
 
     def shares(self) -> tuple[PoolShares, ...]:
-        self.now += SHARES_SECONDS
+        self.now += SHARES_MAX_AGE_SECONDS
         return self.places.shares(self.now)
 
     def beyond(self) -> tuple[str, ...]:
@@ -101,13 +106,13 @@
             self.shares()
             self.events()
         self.report("n", hot, TenantLoad("calm", 1.0, 1, 0))
-        self.now += 0.5 * CALM_SECONDS
+        self.now += 0.5 * WITHIN_SHARE_LOG_SECONDS
         self.shares()
         self.assertEqual(self.events(), [])
-        self.now += CALM_SECONDS
+        self.now += WITHIN_SHARE_LOG_SECONDS
         self.shares()
         self.assertEqual(self.events(), ["tenant_within_share"])
-        self.now += CALM_SECONDS
+        self.now += WITHIN_SHARE_LOG_SECONDS
         self.assertEqual(self.events(), [])
 
     def test_the_first_line_says_what_decided(self) -> None:
