--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -169,7 +169,7 @@
         if self._has_gate:
             spent, _lines = self._gate.refusal(operation, self._state, TERM, self.now)
         else:
-            spent = self._state.known_spent(operation, self.now)
+            spent = self._state.known_refusal(operation, self.now)
         if spent is not None:
             return spent
         result = self.apply(operation)
@@ -323,7 +323,7 @@
     """Play a load with one of the ways."""
     with ExitStack() as stack:
         if way == "first come":
-            stack.enter_context(patch.object(quotas, "NEW_PROGRAM_SHARE", 0.0))
+            stack.enter_context(patch.object(quotas, "RESERVED_SHARE", 0.0))
         if way == "in full":
             stack.enter_context(patch.object(claims, "decide", decide_in_full))
         ledger = Ledger(has_gate=way in ("in full", "by time"))
--- a/src/yokeline/ledger/node_reports.py
+++ b/src/yokeline/ledger/node_reports.py
@@ -45,12 +45,12 @@
         """Keep a report."""
         self._reports[process] = _Report(sequence, loads, now)
 
-    def pop(self, process: ReplicaId) -> tuple[_Load, ...]:
+    def pop_report(self, process: ReplicaId) -> tuple[_Load, ...]:
         """Forget a process, and return what it told last."""
         known = self._reports.pop(process, None)
         return known.loads if known is not None else ()
 
-    def pop_silent(self, now: float) -> list[_Load] | None:
+    def pop_silent_loads(self, now: float) -> list[_Load] | None:
         """Forget the processes that fell silent, and return what they told last.
 
         None if the last look at them was a short while ago.
@@ -63,7 +63,7 @@
             for process, report in self._reports.items()
             if now - report.heard_at > NODE_SILENCE_SECONDS
         ]
-        return [load for process in silent for load in self.pop(process)]
+        return [load for process in silent for load in self.pop_report(process)]
 
     def clear(self) -> None:
         """Forget all processes."""
--- a/src/yokeline/ledger/program_gate.py
+++ b/src/yokeline/ledger/program_gate.py
@@ -72,7 +72,7 @@
             term: In which it leads.
             passed: Passed time of the leaders (seconds).
         """
-        spent = state.known_spent(operation, passed)
+        spent = state.known_refusal(operation, passed)
         if isinstance(operation, Settle) or operation.limit is None:
             return spent, []
         if isinstance(operation, Draw) or not self._begins_program(operation, state):
@@ -95,7 +95,7 @@
         """Decide on a new program; ``spent`` says that the bucket does not let it in."""
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
-        supply = state.quotas.outlook(operation.limit, passed)
+        supply = state.quotas.available_supply(operation.limit, passed)
         decided = None
         asking = AskingProgram(
             name=operation.program, tenant=tenant, kind=kind, left=operation.left
--- a/src/yokeline/ledger/quotas.py
+++ b/src/yokeline/ledger/quotas.py
@@ -15,16 +15,16 @@
 from yokeline.ledger.operations import QuotaSpent, RateLimit
 from yokeline.scheduling.program_admission import Supply
 
-NEW_PROGRAM_SHARE = 0.25
+RESERVED_SHARE = 0.25
 """Share of a bucket that is kept for programs that have begun: at the limit a program is better
 refused before its first turn than in its midst, when what it has used is lost."""
-LEAST_BURST = 1.0
+MIN_BURST = 1.0
 """Size of a bucket without a burst: a smaller one would never hold a whole request."""
-FORGET_SECONDS = 60.0
+FULL_BUCKET_RETENTION_SECONDS = 60.0
 """An account that was full for this long may be forgotten; a new one begins full."""
 
 
-class TenantAccount(msgspec.Struct, kw_only=True):
+class TokenBucket(msgspec.Struct, kw_only=True):
     """The bucket of one tenant.
 
     Attributes:
@@ -44,15 +44,15 @@
         self.level = min(self.burst, self.level + self.rate * passed)
         self.at = max(self.at, now)
 
-    def adopt(self, limit: RateLimit) -> None:
+    def update_limit(self, limit: RateLimit) -> None:
         """Take a limit over if it is of a later configuration than the present one."""
         if limit.version <= self.version:
             return
         self.rate, self.version = limit.rate, limit.version
-        self.burst = max(LEAST_BURST, limit.burst)
+        self.burst = max(MIN_BURST, limit.burst)
         self.level = min(self.level, self.burst)
 
-    def is_full_since(self, now: float) -> float:
+    def seconds_full(self, now: float) -> float:
         """Return for how long it would have been full (seconds); negative if it is not."""
         missing = self.burst - self.level
         return now - self.at - (missing / self.rate if self.rate > 0 else 0.0)
@@ -66,19 +66,19 @@
     """
 
     time: float = 0.0
-    accounts: dict[str, TenantAccount] = {}
+    accounts: dict[str, TokenBucket] = {}
 
-    def transition_pass(self, time: float) -> None:
+    def transition_advance(self, time: float) -> None:
         """Let time pass, as an entry says."""
         self.time = max(self.time, time)
 
     def transition_draw(self, limit: RateLimit, *, is_new: bool) -> QuotaSpent | None:
         """Take a token for a request; return None if there is one, else when there will be."""
-        account = self._account(limit)
-        needed = needed_level(account, is_new=is_new)
-        if account.level < needed:
-            return _spent(account, needed, account.level)
-        account.level -= 1.0
+        bucket = self._bucket(limit)
+        required = required_level(bucket, is_new=is_new)
+        if bucket.level < required:
+            return _refusal(bucket, required, bucket.level)
+        bucket.level -= 1.0
         return None
 
     def transition_owe(self, limit: RateLimit) -> None:
@@ -87,62 +87,62 @@
         A stream that goes on at another engine runs there as well. Without this, a tenant at its
         limit whose engines break off would exceed what the limit gives by its repeated requests.
         """
-        self._account(limit).level -= 1.0
+        self._bucket(limit).level -= 1.0
 
-    def _account(self, limit: RateLimit) -> TenantAccount:
+    def _bucket(self, limit: RateLimit) -> TokenBucket:
         """Return the bucket of a limit, with what has come into it since."""
-        account = self.accounts.get(limit.tenant)
-        if account is None:
-            burst = max(LEAST_BURST, limit.burst)
-            account = self.accounts[limit.tenant] = TenantAccount(
+        bucket = self.accounts.get(limit.tenant)
+        if bucket is None:
+            burst = max(MIN_BURST, limit.burst)
+            bucket = self.accounts[limit.tenant] = TokenBucket(
                 level=burst, at=self.time, rate=limit.rate, burst=burst, version=limit.version
             )
-        account.refill(self.time)
-        account.adopt(limit)
-        return account
+        bucket.refill(self.time)
+        bucket.update_limit(limit)
+        return bucket
 
-    def known_spent(self, limit: RateLimit, time: float, *, is_new: bool) -> QuotaSpent | None:
+    def known_refusal(self, limit: RateLimit, time: float, *, is_new: bool) -> QuotaSpent | None:
         """Return what a draw at a time would surely meet; changes nothing.
 
         What is on its way into the log can only take more out, so a refusal by the state as it
         stands is right and needs no entry: a tenant far beyond its limit costs no disk anything.
         """
-        account = self.accounts.get(limit.tenant)
-        if account is None or limit.version > account.version:
+        bucket = self.accounts.get(limit.tenant)
+        if bucket is None or limit.version > bucket.version:
             return None
-        passed = max(0.0, time - account.at)
-        level = min(account.burst, account.level + account.rate * passed)
-        needed = needed_level(account, is_new=is_new)
-        return _spent(account, needed, level) if level < needed else None
+        passed = max(0.0, time - bucket.at)
+        level = min(bucket.burst, bucket.level + bucket.rate * passed)
+        required = required_level(bucket, is_new=is_new)
+        return _refusal(bucket, required, level) if level < required else None
 
-    def outlook(self, limit: RateLimit, time: float) -> Supply:
+    def available_supply(self, limit: RateLimit, time: float) -> Supply:
         """Return what a tenant may ask for from a time on; changes nothing."""
-        account = self.accounts.get(limit.tenant)
-        if account is None:
-            return Supply(level=max(LEAST_BURST, limit.burst), rate=limit.rate)
-        seen = msgspec.structs.replace(account)
-        seen.refill(time)
-        seen.adopt(limit)
-        return Supply(level=seen.level, rate=seen.rate)
+        bucket = self.accounts.get(limit.tenant)
+        if bucket is None:
+            return Supply(level=max(MIN_BURST, limit.burst), rate=limit.rate)
+        copy = msgspec.structs.replace(bucket)
+        copy.refill(time)
+        copy.update_limit(limit)
+        return Supply(level=copy.level, rate=copy.rate)
 
     def transition_forget(self) -> None:
         """Forget accounts that have been full for long."""
-        full = [
+        expired = [
             name
-            for name, account in self.accounts.items()
-            if account.is_full_since(self.time) > FORGET_SECONDS
+            for name, bucket in self.accounts.items()
+            if bucket.seconds_full(self.time) > FULL_BUCKET_RETENTION_SECONDS
         ]
-        for name in full:
+        for name in expired:
             del self.accounts[name]
 
 
-def needed_level(account: TenantAccount, *, is_new: bool) -> float:
+def required_level(bucket: TokenBucket, *, is_new: bool) -> float:
     """Return how many tokens there must be for a request."""
-    return 1.0 + (NEW_PROGRAM_SHARE * account.burst if is_new else 0.0)
+    return 1.0 + (RESERVED_SHARE * bucket.burst if is_new else 0.0)
 
 
-def _spent(account: TenantAccount, needed: float, level: float) -> QuotaSpent:
-    wait = (needed - level) / account.rate if account.rate > 0 else 0.0
+def _refusal(bucket: TokenBucket, required: float, level: float) -> QuotaSpent:
+    wait = (required - level) / bucket.rate if bucket.rate > 0 else 0.0
     return QuotaSpent(retry_after=wait, is_empty=level < 1.0)
 
 
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -95,7 +95,7 @@
         if not self._nodes.has_room(process) or not self._nodes.is_newer(process, sequence):
             return
         self.is_used = True
-        self._subtract(self._nodes.pop(process))
+        self._subtract(self._nodes.pop_report(process))
         countable = tuple(self._countable(load) for load in loads)
         self._nodes.put(process, sequence, countable, now)
         for load in countable:
@@ -194,7 +194,7 @@
                 self._pools[load.pool].remove(row)
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.pop_silent(now)
+        silent = self._nodes.pop_silent_loads(now)
         if silent is None:
             return
         self._subtract(silent)
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -71,7 +71,7 @@
             self._note_served(served, now)
         if not self._nodes.is_newer(process, report.sequence):
             return
-        self._subtract(self._nodes.pop(process))
+        self._subtract(self._nodes.pop_report(process))
         self._nodes.put(process, report.sequence, report.loads, now)
         for load in report.loads:
             record = self._engine(load.engine_id)
@@ -110,7 +110,7 @@
             self._engine(load.engine_id).running -= load.running
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.pop_silent(now)
+        silent = self._nodes.pop_silent_loads(now)
         if silent is not None:
             self._subtract(silent)
             self._forget_idle(now, PROFILE_RETENTION_SECONDS)
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -3,7 +3,7 @@
 import unittest
 
 from yokeline.ledger.operations import Draw, Drawn, Granted, QuotaSpent, RateLimit, Reserve
-from yokeline.ledger.quotas import NEW_PROGRAM_SHARE, QuotaClock
+from yokeline.ledger.quotas import RESERVED_SHARE, QuotaClock
 from yokeline.ledger.state import LedgerCommand, LedgerState
 
 LIMIT = RateLimit("hule", rate=10.0, burst=20.0, version=1)
@@ -75,7 +75,7 @@
     def test_an_account_that_was_full_for_long_is_forgotten_and_begins_full(self) -> None:
         self.draw()
         self.passed += 120.0
-        self.state.quotas.transition_pass(self.passed)
+        self.state.quotas.transition_advance(self.passed)
         self.state.quotas.transition_forget()
         self.assertEqual(self.state.quotas.accounts, {})
         self.drain()
@@ -83,12 +83,12 @@
         self.assertIn("hule", self.state.quotas.accounts)
 
 
-class Owed(Quotas):
+class OwedDraws(Quotas):
     def test_a_request_that_runs_again_counts_though_nothing_is_left(self) -> None:
         self.drain()
         for number in range(5):
             owed = Draw(request_id=f"again{number}", limit=LIMIT, is_owed=True)
-            self.assertIsNone(self.state.known_spent(owed, self.passed))
+            self.assertIsNone(self.state.known_refusal(owed, self.passed))
             self.assertEqual(self.apply(owed), Drawn())
         self.passed += 1.0
         self.assertEqual(self.drain(), 5)
@@ -97,7 +97,7 @@
 class Programs(Quotas):
     def test_at_the_limit_begun_programs_go_on_and_new_ones_are_refused(self) -> None:
         self.assertIsInstance(self.turn("begun"), Granted)
-        for _ in range(int(20 * (1 - NEW_PROGRAM_SHARE)) - 1):
+        for _ in range(int(20 * (1 - RESERVED_SHARE)) - 1):
             self.draw()
         spent = self.turn("new")
         assert isinstance(spent, QuotaSpent)
@@ -121,10 +121,10 @@
         self.drain()
         operation = Draw(request_id="x", limit=LIMIT)
         before = self.state.quotas.accounts["hule"].level
-        known = self.state.known_spent(operation, self.passed)
+        known = self.state.known_refusal(operation, self.passed)
         self.assertIsInstance(known, QuotaSpent)
         self.assertEqual(self.state.quotas.accounts["hule"].level, before)
-        self.assertIsNone(self.state.known_spent(operation, self.passed + 1.0))
+        self.assertIsNone(self.state.known_refusal(operation, self.passed + 1.0))
 
 
 class Clocks(unittest.TestCase):
