--- a/src/yokeline/ledger/program_gate.py
+++ b/src/yokeline/ledger/program_gate.py
@@ -62,7 +62,7 @@
         return len(self._book)
 
     def refusal(
-        self, operation: Operation, state: LedgerState, term: int, passed: float
+        self, operation: Operation, state: LedgerState, term: int, leader_time: float
     ) -> tuple[QuotaSpent | None, list[LogRecord]]:
         """Return the refusal of an operation that nothing is known of yet, and what to log.
 
@@ -70,9 +70,9 @@
             operation: That is neither on its way into the log nor in the state.
             state: What this leader has applied.
             term: In which it leads.
-            passed: Passed time of the leaders (seconds).
+            leader_time: Leader time in seconds.
         """
-        spent = state.known_refusal(operation, passed)
+        spent = state.known_refusal(operation, leader_time)
         if isinstance(operation, Settle) or operation.limit is None:
             return spent, []
         if isinstance(operation, Draw) or not self._begins_program(operation, state):
@@ -82,35 +82,35 @@
         if spent is not None and spent.is_empty:
             self.refused[BY_LIMIT] += 1
             return spent, []
-        return self._decide(operation, state, term, passed, spent)
+        return self._decide(operation, state, term, leader_time, spent)
 
     def _decide(
         self,
         operation: Reserve,
         state: LedgerState,
         term: int,
-        passed: float,
+        leader_time: float,
         spent: QuotaSpent | None,
     ) -> tuple[QuotaSpent | None, list[LogRecord]]:
         """Decide on a new program; ``spent`` says that the bucket does not let it in."""
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
-        supply = state.quotas.available_supply(operation.limit, passed)
+        supply = state.quotas.available_supply(operation.limit, leader_time)
         decided = None
         asking = AskingProgram(
             name=operation.program, tenant=tenant, kind=kind, left=operation.left
         )
         if operation.program and self._knows_claims(term):
-            decided = self._book.decide(asking, supply, passed)
+            decided = self._book.decide(asking, supply, leader_time)
         if decided is not None and not decided.is_let_in:
             self.refused[BY_CLAIMS] += 1
             wait = max(decided.retry_after, spent.retry_after if spent is not None else 0.0)
-            lines = self._lines.take(passed, self._line(operation, supply, decided, wait))
+            lines = self._lines.take(leader_time, self._line(operation, supply, decided, wait))
             return QuotaSpent(retry_after=wait, is_empty=False), lines
         if spent is not None:
             self.refused[BY_KEPT_SHARE] += 1
         elif operation.program:
-            self._book.expect(asking, passed)
+            self._book.expect(asking, leader_time)
         return spent, []
 
     def note_result(
@@ -141,14 +141,14 @@
         if isinstance(operation, Reserve):
             self._book.drop(operation.program)
 
-    def tick(self, state: LedgerState, passed: float) -> None:
+    def tick(self, state: LedgerState, leader_time: float) -> None:
         """Go on with the book of a new leader, and take claims back."""
         for _ in range(min(PROGRAMS_AT_ONCE, len(self._to_follow))):
             name = self._to_follow.popleft()
             account = state.programs.get(name)
             if account is not None:
                 self._book.follow(name, account, is_complete=False)
-        self._book.sweep(passed)
+        self._book.sweep(leader_time)
 
     def stand_down(self) -> None:
         """Hold no claims, as a replica that does not lead."""
--- a/src/yokeline/ledger/quotas.py
+++ b/src/yokeline/ledger/quotas.py
@@ -146,7 +146,7 @@
     return QuotaSpent(retry_after=wait, is_empty=level < 1.0)
 
 
-class QuotaClock:
+class LeadershipClock:
     """Time that passes while a replica leads, on from what the log says at its beginning.
 
     Each leader adds no more than what passes while it leads, and goes on from what it has applied,
@@ -156,8 +156,8 @@
     def __init__(self) -> None:
         """Begin as a replica that does not lead."""
         self._term = -1
-        self._began_with = 0.0
-        self._began_at = 0.0
+        self._base = 0.0
+        self._base_at = 0.0
 
     def time(self, term: int, applied: float, now: float) -> float:
         """Return the time for an entry of ``term``.
@@ -167,12 +167,12 @@
             applied: The time of the latest entry that it has applied.
             now: Monotonic seconds.
         """
-        told = self._began_with + (now - self._began_at)
+        leader_time = self._base + (now - self._base_at)
         # A leader that has just started may be asked before it has applied its log; left behind, no
         # bucket would refill until its time had come to where they stand.
-        if term != self._term or applied > told:
+        if term != self._term or applied > leader_time:
             self._term = term
-            self._began_with = applied
-            self._began_at = now
+            self._base = applied
+            self._base_at = now
             return applied
-        return told
+        return leader_time
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -295,14 +295,16 @@
         now: float,
         wall: float,
         copied: tuple[KeptTurn, ...] = (),
-        passed: float = 0.0,
+        leader_time: float = 0.0,
     ) -> list[Effect]:
         """Propose operations; ``ready`` is called once with their results or None.
 
         ``copied`` are turns among them whose texts the followers get from their node.
         """
         self._now = now
-        command = encode_command(LedgerCommand(time=wall, operations=operations, passed=passed))
+        command = encode_command(
+            LedgerCommand(time=wall, operations=operations, passed=leader_time)
+        )
         proposal = self.group.propose(command, now)
         if not proposal.accepted:
             return [*self._persist(list(proposal.effects)), *callback(None)]
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -28,7 +28,7 @@
     size_of,
 )
 from yokeline.ledger.program_gate import ProgramGate
-from yokeline.ledger.quotas import QuotaClock
+from yokeline.ledger.quotas import LeadershipClock
 from yokeline.ledger.replica import LedgerReplica
 from yokeline.ledger.tenant_places import TenantPlaces
 from yokeline.ledger.turns_under_way import TurnsUnderWay
@@ -100,7 +100,7 @@
         self._waiting: dict[OperationKey, _Waiting] = {}
         self._proposed: dict[OperationKey, _Waiting] = {}
         self._told: tuple[EngineTurns, ...] | None = None
-        self._quota_clock = QuotaClock()
+        self._leadership_clock = LeadershipClock()
         self._drawn: OrderedDict[OperationKey, None] = OrderedDict()
 
     def note_time(self, now: float) -> None:
@@ -115,7 +115,7 @@
         """
         self.note_time(now)
         self._take_turns(sender, request, now)
-        self._take_passed_turns(request, now)
+        self._take_relayed_turns(request, now)
         asker = Asker(sender, request.asker, request.number)
         effects: list[Effect] = []
         if request.wants_engines is True and self._replica.leads:
@@ -130,7 +130,7 @@
         """Propose what waits, and log the load if it is time."""
         self._now = now
         if self._replica.leads:
-            self.gate.tick(self._replica.state(), self._passed())
+            self.gate.tick(self._replica.state(), self._leader_time())
         else:
             self.gate.stand_down()
         lines = self.load.report(now, len(self._waiting))
@@ -152,12 +152,14 @@
             return self._answer(batch, results)
 
         copied = tuple(turn for item in batch if (turn := _copied_turn(item)) is not None)
-        return self._replica.propose(operations, answer, now, self._wall(), copied, self._passed())
+        return self._replica.propose(
+            operations, answer, now, self._wall(), copied, self._leader_time()
+        )
 
-    def _passed(self) -> float:
+    def _leader_time(self) -> float:
         """Return the time that has passed under all leaders so far."""
         applied = self._replica.state().quotas.time
-        return self._quota_clock.time(self._replica.group.term, applied, self._now)
+        return self._leadership_clock.time(self._replica.group.term, applied, self._now)
 
     # ------------------------------------------------------------ operations in
 
@@ -170,14 +172,14 @@
             if not isinstance(request.tenant_loads, UnsetType):
                 self.places.take(sender, request.turns.sequence, request.tenant_loads, now)
 
-    def _take_passed_turns(self, request: LedgerRequest, now: float) -> None:
+    def _take_relayed_turns(self, request: LedgerRequest, now: float) -> None:
         """Take the report of a node that reaches the leader through another one."""
-        passed = request.passed_turns
-        if isinstance(passed, UnsetType) or not self._replica.leads:
+        relayed = request.passed_turns
+        if isinstance(relayed, UnsetType) or not self._replica.leads:
             return
-        self.turns.take(passed.process, passed.turns, now)
-        if passed.tenant_loads is not None:
-            self.places.take(passed.process, passed.turns.sequence, passed.tenant_loads, now)
+        self.turns.take(relayed.process, relayed.turns, now)
+        if relayed.tenant_loads is not None:
+            self.places.take(relayed.process, relayed.turns.sequence, relayed.tenant_loads, now)
 
     def _take_operation(self, asker: Asker, operation: Operation, is_copied: bool) -> list[Effect]:
         key = _key_of(operation)
@@ -206,7 +208,9 @@
         Repetitions were answered before: they are on their way into the log, or in the state.
         """
         replica = self._replica
-        return self.gate.refusal(operation, replica.state(), replica.group.term, self._passed())
+        return self.gate.refusal(
+            operation, replica.state(), replica.group.term, self._leader_time()
+        )
 
     def _take_batch(self) -> list[_Waiting]:
         """Take the oldest operations that fit an entry out of those that wait."""
--- a/src/yokeline/ledger/state.py
+++ b/src/yokeline/ledger/state.py
@@ -175,14 +175,14 @@
         has_effect = bool(operation.program) or operation.turn is not None
         return Settled() if is_counted and is_kept and has_effect else None
 
-    def known_refusal(self, operation: Operation, passed: float) -> QuotaSpent | None:
+    def known_refusal(self, operation: Operation, leader_time: float) -> QuotaSpent | None:
         """Return the refusal of an operation whose tenant's limit is used at a time, if it is."""
         if isinstance(operation, Settle) or operation.limit is None:
             return None
         if isinstance(operation, Draw) and operation.is_owed:
             return None
         is_new = isinstance(operation, Reserve) and self.begins_program(operation)
-        return self.quotas.known_refusal(operation.limit, passed, is_new=is_new)
+        return self.quotas.known_refusal(operation.limit, leader_time, is_new=is_new)
 
     def begins_program(self, operation: Reserve) -> bool:
         """Return whether a turn is the first one of its program, as far as is known here."""
--- a/tests/property/test_quotas.py
+++ b/tests/property/test_quotas.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from yokeline.ledger.operations import Draw, Drawn, RateLimit
-from yokeline.ledger.quotas import QuotaClock
+from yokeline.ledger.quotas import LeadershipClock
 from yokeline.ledger.state import LedgerCommand, LedgerState
 
 WINDOW = 5.0
@@ -33,7 +33,7 @@
         self.term = term
         self.log = log
         self.offset = offset
-        self.clock = QuotaClock()
+        self.clock = LeadershipClock()
         self.state = LedgerState()
         for command in log[:applied]:
             self.state.transition_apply(command)
@@ -60,10 +60,10 @@
         if self.random.random() < RESTART_SHARE:
             applied = 0
         leader = _Leader(term, self.log, applied, self.random.uniform(0.0, 1e6))
-        self.passed(leader)  # asked something in its first moment, as a candidate is
+        self.leader_time(leader)  # asked something in its first moment, as a candidate is
         return leader
 
-    def passed(self, leader: _Leader) -> float:
+    def leader_time(self, leader: _Leader) -> float:
         applied = leader.state.quotas.time
         return leader.clock.time(leader.term, applied, self.now + leader.offset)
 
@@ -74,14 +74,16 @@
             self.old.append(self.leader)
             self.leader = self.elect(self.leader.term + 1)
         if self.old and self.random.random() < 0.2:
-            self.passed(self.random.choice(self.old))  # it proposes; nothing of it is committed
+            self.leader_time(
+                self.random.choice(self.old)
+            )  # it proposes; nothing of it is committed
         self.propose()
 
     def propose(self) -> None:
         """Commit a draw, and let the leader apply what came before, or not yet."""
         operation = Draw(request_id=f"r{len(self.log)}", limit=self.limit)
-        passed = self.passed(self.leader)
-        self.log.append(LedgerCommand(time=0.0, operations=(operation,), passed=passed))
+        leader_time = self.leader_time(self.leader)
+        self.log.append(LedgerCommand(time=0.0, operations=(operation,), passed=leader_time))
         self.proposed_at.append(self.now)
         self.leader.apply(self.random.randint(self.leader.applied, len(self.log)))
 
@@ -137,9 +139,9 @@
 class PlantedFaults(unittest.TestCase):
     """Clocks that would break the bound are caught."""
 
-    def caught(self, time: Callable[[QuotaClock, int, float, float], float]) -> bool:
+    def caught(self, time: Callable[[LeadershipClock, int, float, float], float]) -> bool:
         limit = RateLimit("hule", 6.0, 6.0, 1)
-        with patch.object(QuotaClock, "time", time):
+        with patch.object(LeadershipClock, "time", time):
             return any(worst_excess(seed, limit) > ROUNDING for seed in range(20))
 
     def test_a_clock_that_begins_anew_with_each_question(self) -> None:
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -3,7 +3,7 @@
 import unittest
 
 from yokeline.ledger.operations import Draw, Drawn, Granted, QuotaSpent, RateLimit, Reserve
-from yokeline.ledger.quotas import RESERVED_SHARE, QuotaClock
+from yokeline.ledger.quotas import RESERVED_SHARE, LeadershipClock
 from yokeline.ledger.state import LedgerCommand, LedgerState
 
 LIMIT = RateLimit("hule", rate=10.0, burst=20.0, version=1)
@@ -12,11 +12,11 @@
 class Quotas(unittest.TestCase):
     def setUp(self) -> None:
         self.state = LedgerState()
-        self.passed = 0.0
+        self.leader_time = 0.0
         self.numbers = 0
 
     def apply(self, operation: Draw | Reserve) -> object:
-        command = LedgerCommand(time=1e9, operations=(operation,), passed=self.passed)
+        command = LedgerCommand(time=1e9, operations=(operation,), passed=self.leader_time)
         return self.state.transition_apply(command)[0]
 
     def draw(self, limit: RateLimit = LIMIT) -> object:
@@ -41,7 +41,7 @@
 class Buckets(Quotas):
     def test_a_tenant_gets_its_burst_and_then_its_rate(self) -> None:
         self.assertEqual(self.drain(), 20)
-        self.passed += 1.0
+        self.leader_time += 1.0
         self.assertEqual(self.drain(), 10)
 
     def test_a_refusal_says_when_the_next_one_is_let_in(self) -> None:
@@ -49,9 +49,9 @@
         spent = self.draw()
         assert isinstance(spent, QuotaSpent)
         self.assertTrue(spent.is_empty)
-        self.passed += spent.retry_after - 0.001
+        self.leader_time += spent.retry_after - 0.001
         self.assertIsInstance(self.draw(), QuotaSpent)
-        self.passed += 0.002
+        self.leader_time += 0.002
         self.assertEqual(self.draw(), Drawn())
 
     def test_one_tenant_takes_nothing_from_another(self) -> None:
@@ -64,7 +64,7 @@
         lowered = RateLimit("hule", rate=1.0, burst=2.0, version=2)
         self.assertEqual(self.draw(lowered), Drawn())
         self.assertEqual(self.drain(), 1)
-        self.passed += 1.0
+        self.leader_time += 1.0
         self.assertEqual(self.drain(), 1)
 
     def test_a_tenant_without_a_burst_gets_single_requests(self) -> None:
@@ -74,8 +74,8 @@
 
     def test_an_account_that_was_full_for_long_is_forgotten_and_begins_full(self) -> None:
         self.draw()
-        self.passed += 120.0
-        self.state.quotas.transition_advance(self.passed)
+        self.leader_time += 120.0
+        self.state.quotas.transition_advance(self.leader_time)
         self.state.quotas.transition_forget()
         self.assertEqual(self.state.quotas.accounts, {})
         self.drain()
@@ -88,9 +88,9 @@
         self.drain()
         for number in range(5):
             owed = Draw(request_id=f"again{number}", limit=LIMIT, is_owed=True)
-            self.assertIsNone(self.state.known_refusal(owed, self.passed))
+            self.assertIsNone(self.state.known_refusal(owed, self.leader_time))
             self.assertEqual(self.apply(owed), Drawn())
-        self.passed += 1.0
+        self.leader_time += 1.0
         self.assertEqual(self.drain(), 5)
 
 
@@ -121,19 +121,19 @@
         self.drain()
         operation = Draw(request_id="x", limit=LIMIT)
         before = self.state.quotas.accounts["hule"].level
-        known = self.state.known_refusal(operation, self.passed)
+        known = self.state.known_refusal(operation, self.leader_time)
         self.assertIsInstance(known, QuotaSpent)
         self.assertEqual(self.state.quotas.accounts["hule"].level, before)
-        self.assertIsNone(self.state.known_refusal(operation, self.passed + 1.0))
+        self.assertIsNone(self.state.known_refusal(operation, self.leader_time + 1.0))
 
 
 class Clocks(unittest.TestCase):
     def test_leaders_together_add_no_more_than_what_passed(self) -> None:
-        first, second = QuotaClock(), QuotaClock()
-        told = first.time(term=1, applied=0.0, now=1000.0)
-        told = first.time(term=1, applied=told, now=1003.0)
-        self.assertEqual(told, 3.0)
-        taken_over = second.time(term=2, applied=told, now=55.0)
+        first, second = LeadershipClock(), LeadershipClock()
+        first_time = first.time(term=1, applied=0.0, now=1000.0)
+        first_time = first.time(term=1, applied=first_time, now=1003.0)
+        self.assertEqual(first_time, 3.0)
+        taken_over = second.time(term=2, applied=first_time, now=55.0)
         self.assertEqual(taken_over, 3.0)
         self.assertEqual(second.time(term=2, applied=taken_over, now=56.5), 4.5)
 
@@ -142,12 +142,12 @@
         anything. Its time began at 0 where the buckets stood at 45 s, so none of them refilled for
         45 s: refusals for the limit rose from 1 to 500 a second, and stayed there.
         """
-        clock = QuotaClock()
+        clock = LeadershipClock()
         self.assertEqual(clock.time(term=3, applied=0.0, now=10.0), 0.0)
         self.assertEqual(clock.time(term=3, applied=45.0, now=10.1), 45.0)
         self.assertAlmostEqual(clock.time(term=3, applied=45.0, now=11.1), 46.0)
 
     def test_a_replica_that_leads_again_begins_with_what_the_log_says(self) -> None:
-        clock = QuotaClock()
+        clock = LeadershipClock()
         clock.time(term=1, applied=0.0, now=10.0)
         self.assertEqual(clock.time(term=3, applied=2.0, now=60.0), 2.0)
