--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -375,7 +375,7 @@
         f"{len(ormsgpack.packb({'program': call.program})) - 1} B a draw"
     )
     tracemalloc.start()
-    book = claims.ClaimBook()
+    book = claims.ClaimTracker()
     for number in range(MEASURED_CLAIMS):
         book.follow(f"4:hule:{number}", account, is_complete=False)
     size, _peak = tracemalloc.get_traced_memory()
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -18,45 +18,45 @@
 from yokeline.scheduling.program_lateness import MeanTimeShare
 from yokeline.scheduling.program_sizes import ProgramSize, SizeEstimate
 
-REST_SECONDS = 2.0
+MAX_IDLE_SECONDS = 2.0
 """Longest rest without a turn under way before a program gives its claim back; so long it is while
 the size of its kind is not known. One that goes on after all claims again."""
-LONGEST_TURN_SECONDS = 10.0
+MAX_TURN_SECONDS = 10.0
 """Longest time with a turn under way before a program gives its claim back: a node that is gone
 ends none of its turns."""
-LEAST_REST_SECONDS = 0.5
+MIN_IDLE_SECONDS = 0.5
 """Least rest before a program gives its claim back."""
-REST_PAUSES = 6.0
+IDLE_REQUEST_INTERVALS = 6.0
 """The rest as a multiple of the mean pause between two requests of its kind: a program that has
 ended is not to keep others out for longer than it takes to be sure."""
 SWEEP_SECONDS = 0.05
 """Pause between two looks for programs that rest."""
-SWEPT_AT_ONCE = 500
+MAX_SWEPT_PER_TICK = 500
 """Claims looked at in one turn of the loop, those that rest longest first: a bound on how long
 requests wait for it."""
-PASSED_OVER_SECONDS = 2.0
+KIND_PRIORITY_SECONDS = 2.0
 """Time after which a kind of which none was let in is next: large programs need more room at once
 than small ones, which would take each bit of it before."""
-RETURN_SECONDS = 1.0
+RETRY_GRACE_SECONDS = 1.0
 """Time after the moment that a refused program was told, for which its kind's place is kept."""
-RECHECK_SECONDS = 0.05
+REFUSAL_CACHE_SECONDS = 0.05
 """Time for which a refusal holds for all programs of its kind: it bounds what a tenant far beyond
 its limit costs the leader."""
-LATE_YIELDS_SECONDS = 1.0
+LATE_YIELD_SECONDS = 1.0
 """Time after the refusal of a program that could end in time, in which those that cannot are not
 let in: a caller that is told to return does so within about that time."""
-LATE_RETURN_SECONDS = 0.5
+MIN_LATE_RETRY_SECONDS = 0.5
 """Least time after which a program that cannot end in time is to come back."""
-MAX_GIVEN = 65_536
+MAX_TIME_LIMITS = 65_536
 """Refused programs of which it is remembered how much time they were given; the oldest gives
 way."""
 MAX_CLAIMS = 65_536
 """Claims that are held; the one that rested longest gives way."""
 MAX_TENANTS = 4096
 """Tenants whose sizes are remembered beyond those that hold claims; the oldest gives way."""
-MAX_KINDS = 64
+MAX_KINDS_PER_TENANT = 64
 """Kinds of programs of a tenant; the oldest gives way."""
-MAX_KINDS_OF_ALL = 1024
+MAX_SHARED_KINDS = 1024
 """The same of all tenants together."""
 
 
@@ -81,7 +81,7 @@
     given: float = 0.0
 
 
-class AskingProgram(msgspec.Struct, frozen=True, kw_only=True):
+class CandidateProgram(msgspec.Struct, frozen=True, kw_only=True):
     """A program that asks to begin.
 
     Attributes:
@@ -94,7 +94,7 @@
     left: float | None = None
 
 
-class _PassedOver(msgspec.Struct):
+class _RefusedKind(msgspec.Struct):
     """A kind of which none was let in since it was refused.
 
     Attributes:
@@ -132,7 +132,7 @@
             self._sizes.popitem(last=False)
 
 
-class _TenantBook:
+class _TenantClaims:
     """Sizes and claims of one tenant.
 
     Until enough programs of a kind have ended, the sizes of all tenants' programs of it count: a
@@ -141,10 +141,10 @@
 
     def __init__(self, of_all: _KindSizes) -> None:
         self._of_all = of_all
-        self.sizes = _KindSizes(MAX_KINDS)
+        self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
         """Claims by kind and requests sent: equal ones are decided on together."""
-        self.passed_over: dict[str, _PassedOver] = {}
+        self.passed_over: dict[str, _RefusedKind] = {}
         self.time_shares: dict[str, MeanTimeShare] = {}
         self.refused_in_time_at = -math.inf
         """When a program that could end in time was refused last."""
@@ -158,7 +158,7 @@
         share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
         share.observe(claim.active_at - claim.began_at, claim.given)
         self.time_shares[claim.kind] = share
-        if len(self.time_shares) > MAX_KINDS:
+        if len(self.time_shares) > MAX_KINDS_PER_TENANT:
             del self.time_shares[next(iter(self.time_shares))]
 
     def add(self, claim: _Claim) -> None:
@@ -180,7 +180,7 @@
                 found.append(claims)
         return found
 
-    def claims_of_passed_over(self, kind: str, now: float) -> list[Claims]:
+    def claims_of_refused_kinds(self, kind: str, now: float) -> list[Claims]:
         """Return a place for one program of each kind that is next before ``kind``.
 
         Kinds whose programs did not come back are forgotten.
@@ -189,7 +189,7 @@
             name: item for name, item in self.passed_over.items() if item.until >= now
         }
         own = self.passed_over.get(kind)
-        before = min(now - PASSED_OVER_SECONDS, own.since if own is not None else now)
+        before = min(now - KIND_PRIORITY_SECONDS, own.since if own is not None else now)
         found = []
         for other, item in self.passed_over.items():
             size = self.size(other)
@@ -198,123 +198,123 @@
                 found.append(claims)
         return found
 
-    def recent_refusal(self, kind: str, now: float) -> Admission | None:
+    def cached_refusal(self, kind: str, now: float) -> Admission | None:
         """Return the last refusal of a kind while it holds, with the time that is left.
 
         The kind's place is kept until the program that is refused by it has come back.
         """
         item = self.passed_over.get(kind)
-        passed = now - item.decided_at if item is not None else RECHECK_SECONDS
-        if item is None or passed >= min(RECHECK_SECONDS, item.decided.retry_after):
+        passed = now - item.decided_at if item is not None else REFUSAL_CACHE_SECONDS
+        if item is None or passed >= min(REFUSAL_CACHE_SECONDS, item.decided.retry_after):
             return None
         left = item.decided.retry_after - passed
-        item.until = now + left + RETURN_SECONDS
+        item.until = now + left + RETRY_GRACE_SECONDS
         return msgspec.structs.replace(item.decided, retry_after=left)
 
     def note_decision(self, kind: str, now: float, decided: Admission) -> None:
         known = self.passed_over.pop(kind, None)
         if decided.is_let_in:
             return
-        self.passed_over[kind] = _PassedOver(
+        self.passed_over[kind] = _RefusedKind(
             since=known.since if known is not None else now,
             decided_at=now,
             decided=decided,
-            until=now + decided.retry_after + RETURN_SECONDS,
+            until=now + decided.retry_after + RETRY_GRACE_SECONDS,
         )
 
 
 def _decide_in_time(
-    book: _TenantBook, kind: str, supply: Supply, size: ProgramSize, now: float
+    book: _TenantClaims, kind: str, supply: Supply, size: ProgramSize, now: float
 ) -> Admission:
-    recent = book.recent_refusal(kind, now)
+    recent = book.cached_refusal(kind, now)
     if recent is not None:
         return recent
-    claims = [*book.claims(), *book.claims_of_passed_over(kind, now)]
+    claims = [*book.claims(), *book.claims_of_refused_kinds(kind, now)]
     decided = decide(supply, claims, size)
     book.note_decision(kind, now, decided)
     return decided
 
 
 def _decide_late(
-    book: _TenantBook, asking: AskingProgram, supply: Supply, size: ProgramSize, now: float
+    book: _TenantClaims, asking: CandidateProgram, supply: Supply, size: ProgramSize, now: float
 ) -> Admission:
     """Decide on a program that cannot end in time; it takes no turn of one that can."""
-    decided = decide(supply, [*book.claims(), *book.claims_of_passed_over("", now)], size)
-    yields = now - book.refused_in_time_at < LATE_YIELDS_SECONDS
+    decided = decide(supply, [*book.claims(), *book.claims_of_refused_kinds("", now)], size)
+    yields = now - book.refused_in_time_at < LATE_YIELD_SECONDS
     if decided.is_let_in and not yields:
         return decided
-    retry_after = max(LATE_RETURN_SECONDS, decided.retry_after)
+    retry_after = max(MIN_LATE_RETRY_SECONDS, decided.retry_after)
     return msgspec.structs.replace(
         decided, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
     )
 
 
-class ClaimBook:
+class ClaimTracker:
     """Follows the programs of tenants with limits, and decides on new ones."""
 
     def __init__(self) -> None:
         """Hold no claims."""
-        self._sizes_of_all = _KindSizes(MAX_KINDS_OF_ALL)
+        self._shared_sizes = _KindSizes(MAX_SHARED_KINDS)
         self._next_sweep = -math.inf
-        self._tenants: OrderedDict[str, _TenantBook] = OrderedDict()
+        self._tenants: OrderedDict[str, _TenantClaims] = OrderedDict()
         self._claims: OrderedDict[str, _Claim] = OrderedDict()
         """By program, the one that rests longest first."""
-        self._left_open: OrderedDict[str, _Claim] = OrderedDict()
+        self._idle_with_open_turn: OrderedDict[str, _Claim] = OrderedDict()
         """Those among them that rest with a turn under way."""
-        self._given: OrderedDict[str, float] = OrderedDict()
+        self._time_limits: OrderedDict[str, float] = OrderedDict()
         """Seconds that programs were given when they first asked, of those that were refused."""
 
     def __len__(self) -> int:
         """Return the number of claims."""
-        return len(self._claims) + len(self._left_open)
+        return len(self._claims) + len(self._idle_with_open_turn)
 
     def size_of(self, tenant: str, kind: str) -> ProgramSize | None:
         """Return the size of a kind of program; None until it is known."""
         book = self._tenants.get(tenant)
-        return book.size(kind) if book is not None else self._sizes_of_all.size(kind)
+        return book.size(kind) if book is not None else self._shared_sizes.size(kind)
 
-    def decide(self, asking: AskingProgram, supply: Supply, now: float) -> Admission | None:
+    def decide(self, asking: CandidateProgram, supply: Supply, now: float) -> Admission | None:
         """Decide whether a program may begin; None while the size of its kind is not known."""
         self.sweep(now)
         size = self.size_of(asking.tenant, asking.kind)
         if size is None:
             return None
-        book = self._book_of(asking.tenant)
+        book = self._tenant_claims(asking.tenant)
         if self._is_late(asking):
             return _decide_late(book, asking, supply, size, now)
         decided = _decide_in_time(book, asking.kind, supply, size, now)
         if not decided.is_let_in:
             book.refused_in_time_at = now
-            self._note_given(asking)
+            self._note_time_limit(asking)
         return decided
 
-    def _is_late(self, asking: AskingProgram) -> bool:
+    def _is_late(self, asking: CandidateProgram) -> bool:
         """Return whether a program that was refused before has lost too much time since."""
-        given = self._given.get(asking.name)
+        given = self._time_limits.get(asking.name)
         share = self._tenants[asking.tenant].time_shares.get(asking.kind)
         if given is None or share is None or asking.left is None:
             return False
         return share.is_late(asking.left, given)
 
-    def _note_given(self, asking: AskingProgram) -> None:
+    def _note_time_limit(self, asking: CandidateProgram) -> None:
         """Remember how much time a refused program was given when it first asked."""
-        if asking.left is None or asking.name in self._given:
+        if asking.left is None or asking.name in self._time_limits:
             return
-        self._given[asking.name] = asking.left
-        if len(self._given) > MAX_GIVEN:
-            self._given.popitem(last=False)
+        self._time_limits[asking.name] = asking.left
+        if len(self._time_limits) > MAX_TIME_LIMITS:
+            self._time_limits.popitem(last=False)
 
-    def expect(self, asking: AskingProgram, now: float) -> None:
+    def expect(self, asking: CandidateProgram, now: float) -> None:
         """Hold a claim for a program that may begin, until its first turn is in the log."""
         if self.knows(asking.name):
             return
-        given = self._given.pop(asking.name, asking.left or 0.0)
+        given = self._time_limits.pop(asking.name, asking.left or 0.0)
         claim = _Claim(asking.tenant, asking.kind, 0, now, now, is_under_way=True, given=given)
         self._put(asking.name, claim)
 
     def drop(self, name: str) -> None:
         """Give the claim of a program back whose first turn is not in the log after all."""
-        claim = self._claims.get(name) or self._left_open.get(name)
+        claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
         if claim is not None and not claim.used:
             self._take_out(name)
 
@@ -347,7 +347,7 @@
 
     def note_refused(self, name: str) -> None:
         """Note that a request of a program was refused."""
-        claim = self._claims.get(name) or self._left_open.get(name)
+        claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
         if claim is not None:
             claim.is_cut_short = True
 
@@ -363,18 +363,18 @@
         if now < self._next_sweep:
             return
         self._next_sweep = now + SWEEP_SECONDS
-        for name, claim in list(islice(self._claims.items(), SWEPT_AT_ONCE)):
-            if claim.active_at + LEAST_REST_SECONDS > now:
+        for name, claim in list(islice(self._claims.items(), MAX_SWEPT_PER_TICK)):
+            if claim.active_at + MIN_IDLE_SECONDS > now:
                 break
             if claim.active_at + self._rest_of(claim) > now:
                 continue
             if claim.is_under_way:
-                self._left_open[name] = self._claims.pop(name)
+                self._idle_with_open_turn[name] = self._claims.pop(name)
             else:
                 self._end(name)
-        while self._left_open:
-            name, claim = next(iter(self._left_open.items()))
-            if claim.active_at + LONGEST_TURN_SECONDS > now:
+        while self._idle_with_open_turn:
+            name, claim = next(iter(self._idle_with_open_turn.items()))
+            if claim.active_at + MAX_TURN_SECONDS > now:
                 break
             self._end(name)
 
@@ -382,9 +382,9 @@
         """Return for how many seconds a program rests before it counts as ended."""
         size = self.size_of(claim.tenant, claim.kind)
         if size is None or claim.is_under_way:
-            return REST_SECONDS
-        rest = REST_PAUSES / size.rate
-        return min(REST_SECONDS, max(LEAST_REST_SECONDS, rest))
+            return MAX_IDLE_SECONDS
+        rest = IDLE_REQUEST_INTERVALS / size.rate
+        return min(MAX_IDLE_SECONDS, max(MIN_IDLE_SECONDS, rest))
 
     def _end(self, name: str) -> None:
         claim = self._take_out(name)
@@ -393,24 +393,24 @@
 
     def knows(self, name: str) -> bool:
         """Return whether a program holds a claim."""
-        return name in self._claims or name in self._left_open
+        return name in self._claims or name in self._idle_with_open_turn
 
     def _put(self, name: str, claim: _Claim) -> None:
-        self._book_of(claim.tenant).add(claim)
+        self._tenant_claims(claim.tenant).add(claim)
         self._claims[name] = claim
         if len(self) > MAX_CLAIMS:
-            self._take_out(next(iter(self._left_open or self._claims)))
+            self._take_out(next(iter(self._idle_with_open_turn or self._claims)))
 
-    def _book_of(self, tenant: str) -> _TenantBook:
+    def _tenant_claims(self, tenant: str) -> _TenantClaims:
         """Return the book of a tenant, which was seen now."""
-        book = self._tenants.pop(tenant, None) or _TenantBook(self._sizes_of_all)
+        book = self._tenants.pop(tenant, None) or _TenantClaims(self._shared_sizes)
         self._tenants[tenant] = book
         if len(self._tenants) > MAX_TENANTS:
             self._forget_tenant()
         return book
 
     def _take_out(self, name: str) -> _Claim | None:
-        claim = self._claims.pop(name, None) or self._left_open.pop(name, None)
+        claim = self._claims.pop(name, None) or self._idle_with_open_turn.pop(name, None)
         if claim is not None:
             self._tenants[claim.tenant].remove(claim)
         return claim
--- a/src/yokeline/ledger/program_gate.py
+++ b/src/yokeline/ledger/program_gate.py
@@ -10,7 +10,7 @@
 from collections import Counter, deque
 
 from yokeline.effects import LogRecord
-from yokeline.ledger.claims import AskingProgram, ClaimBook
+from yokeline.ledger.claims import CandidateProgram, ClaimTracker
 from yokeline.ledger.operations import (
     BudgetSpent,
     Draw,
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         """Begin as a replica that does not lead."""
         self.refused: Counter[str] = Counter()
-        self._book = ClaimBook()
+        self._book = ClaimTracker()
         self._term = NO_TERM
         self._to_follow: deque[str] = deque()
         self._lines = _LogRateLimit()
@@ -97,7 +97,7 @@
         tenant, kind = operation.limit.tenant, operation.kind
         supply = state.quotas.available_supply(operation.limit, leader_time)
         decided = None
-        asking = AskingProgram(
+        asking = CandidateProgram(
             name=operation.program, tenant=tenant, kind=kind, left=operation.left
         )
         if operation.program and self._knows_claims(term):
@@ -164,7 +164,7 @@
 
     def _take_over(self, state: LedgerState, term: int) -> None:
         self._term = term
-        self._book = ClaimBook()
+        self._book = ClaimTracker()
         self._to_follow = deque(state.programs)
 
     def _knows_claims(self, term: int) -> bool:
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -23,7 +23,7 @@
 from yokeline.consensus.types import RaftRole
 from yokeline.effects import Address, Effect, SendPeer
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.claims import LONGEST_TURN_SECONDS, ClaimBook
+from yokeline.ledger.claims import MAX_TURN_SECONDS, ClaimTracker
 from yokeline.ledger.messages import LedgerReply, LedgerRequest
 from yokeline.ledger.operations import (
     Draw,
@@ -318,7 +318,7 @@
     def claims_after_rest(self) -> int:
         """Return the claims that are held when nobody has asked for a while."""
         self.commit_all()
-        self.now += LONGEST_TURN_SECONDS + 1.0
+        self.now += MAX_TURN_SECONDS + 1.0
         self.batches.tick(self.local())
         return self.batches.gate.claims
 
@@ -402,18 +402,22 @@
 
     def test_a_kind_that_is_never_let_in(self) -> None:
         def decided(
-            book: ClaimBook, tenant: str, kind: str, *others: Any, honest: Any = ClaimBook.decide
+            book: ClaimTracker,
+            tenant: str,
+            kind: str,
+            *others: Any,
+            honest: Any = ClaimTracker.decide,
         ) -> Admission | None:
             found: Admission | None = honest(book, tenant, kind, *others)
             if found is None or kind == "small":
                 return found
             return msgspec.structs.replace(found, is_let_in=False, retry_after=1.0)
 
-        with patch.object(ClaimBook, "decide", decided):
+        with patch.object(ClaimTracker, "decide", decided):
             self.assertTrue(self.caught("starved"))
 
     def test_claims_that_are_never_given_back(self) -> None:
-        with patch.object(ClaimBook, "sweep", lambda book, now: None):
+        with patch.object(ClaimTracker, "sweep", lambda book, now: None):
             self.assertTrue(self.caught("claims held"))
 
     def test_a_leader_that_takes_what_is_on_its_way_for_new(self) -> None:
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -9,7 +9,7 @@
 from benchmarks.program_admission import Kind, Ledger, Load, Outcome, Replay, play
 from msgspec.structs import replace
 
-from yokeline.ledger.claims import _TenantBook
+from yokeline.ledger.claims import _TenantClaims
 
 SEEDS = (1, 2, 3)
 LOST_SHARE = 0.01
@@ -100,7 +100,7 @@
             self.assertGreater(self.served_share(seed), STARVED_SHARE)
 
     def test_they_would_be_if_nobody_waited_for_them(self) -> None:
-        with patch.object(_TenantBook, "claims_of_passed_over", lambda book, kind, now: []):
+        with patch.object(_TenantClaims, "claims_of_refused_kinds", lambda book, kind, now: []):
             self.assertTrue(any(self.served_share(seed) < STARVED_SHARE for seed in (1, 2)))
 
 
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -5,16 +5,16 @@
 
 from yokeline.ledger import claims as claims_module
 from yokeline.ledger.claims import (
-    LATE_YIELDS_SECONDS,
-    LEAST_REST_SECONDS,
-    LONGEST_TURN_SECONDS,
-    PASSED_OVER_SECONDS,
-    RECHECK_SECONDS,
-    REST_SECONDS,
-    RETURN_SECONDS,
+    KIND_PRIORITY_SECONDS,
+    LATE_YIELD_SECONDS,
+    MAX_IDLE_SECONDS,
+    MAX_TURN_SECONDS,
+    MIN_IDLE_SECONDS,
+    REFUSAL_CACHE_SECONDS,
+    RETRY_GRACE_SECONDS,
     SWEEP_SECONDS,
-    AskingProgram,
-    ClaimBook,
+    CandidateProgram,
+    ClaimTracker,
 )
 from yokeline.ledger.state import Program
 from yokeline.scheduling.program_admission import Admission, Supply
@@ -25,8 +25,8 @@
 LITTLE = Supply(level=2.0, rate=1.0)
 
 
-def asking(name: str, kind: str = "k", left: float | None = None) -> AskingProgram:
-    return AskingProgram(name=name, tenant=TENANT, kind=kind, left=left)
+def asking(name: str, kind: str = "k", left: float | None = None) -> CandidateProgram:
+    return CandidateProgram(name=name, tenant=TENANT, kind=kind, left=left)
 
 
 def account(
@@ -44,7 +44,7 @@
 
 class Books(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = ClaimBook()
+        self.book = ClaimTracker()
         self.now = 0.0
 
     def learn(self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS) -> None:
@@ -52,7 +52,7 @@
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
             self.follow(name, account(requests, self.now, self.now + 2.0, kind=kind))
-        self.now += 2.0 + REST_SECONDS
+        self.now += 2.0 + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
 
     def follow(self, name: str, program: Program, *, is_complete: bool = False) -> None:
@@ -87,7 +87,7 @@
             own = account(4, self.now, self.now + 2.0, kind="long")
             own.tenant = "other"
             self.follow(f"other{number}", own)
-        self.now += 2.0 + REST_SECONDS
+        self.now += 2.0 + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         learned = self.book.size_of("other", "long")
         assert learned is not None
@@ -98,7 +98,7 @@
         for number in range(20):
             self.follow(f"cut{number}", account(2, self.now, self.now))
             self.book.note_refused(f"cut{number}")
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         self.assertEqual(self.expected(), 10.0)
 
@@ -107,7 +107,7 @@
         self.follow("p", account(2, self.now, self.now))
         self.book.note_refused("p")
         self.follow("p", account(30, self.now, self.now))
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         self.assertGreater(self.expected(), 10.0)
 
@@ -115,9 +115,9 @@
 class Holding(Books):
     def test_claims_are_given_back_after_a_rest(self) -> None:
         self.follow("p", account(3, 0.0, 1.0))
-        self.book.sweep(1.0 + REST_SECONDS - SWEEP_SECONDS)
+        self.book.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
         self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + REST_SECONDS)
+        self.book.sweep(1.0 + MAX_IDLE_SECONDS)
         self.assertEqual(len(self.book), 0)
 
     def test_a_program_of_a_fast_kind_need_not_rest_for_long(self) -> None:
@@ -128,7 +128,7 @@
         self.learn(40, "fast")
         self.follow("p", account(39, self.now - 2.0, self.now, kind="fast"))
         self.follow("slow", account(3, self.now, self.now, kind="unknown"))
-        self.now += LEAST_REST_SECONDS
+        self.now += MIN_IDLE_SECONDS
         self.book.sweep(self.now)
         self.assertFalse(self.book.knows("p"))
         self.assertTrue(self.book.knows("slow"))
@@ -137,20 +137,20 @@
         self,
     ) -> None:
         self.follow("p", account(3, 0.0, 1.0, is_under_way=True))
-        self.book.sweep(1.0 + LONGEST_TURN_SECONDS - SWEEP_SECONDS)
+        self.book.sweep(1.0 + MAX_TURN_SECONDS - SWEEP_SECONDS)
         self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + LONGEST_TURN_SECONDS)
+        self.book.sweep(1.0 + MAX_TURN_SECONDS)
         self.assertEqual(len(self.book), 0)
 
     def test_a_program_that_goes_on_after_a_rest_claims_again_and_is_learned_once(self) -> None:
         self.learn(10)
         self.follow("p", account(10, self.now, self.now))
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         before = self.expected()
         self.follow("p", account(40, 0.0, self.now), is_complete=True)
         self.assertEqual(len(self.book), 1)
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         self.assertEqual((len(self.book), self.expected()), (0, before))
 
@@ -177,10 +177,10 @@
         with (
             patch.object(claims_module, "MAX_CLAIMS", 10),
             patch.object(claims_module, "MAX_TENANTS", 5),
-            patch.object(claims_module, "MAX_KINDS", 3),
-            patch.object(claims_module, "MAX_KINDS_OF_ALL", 7),
+            patch.object(claims_module, "MAX_KINDS_PER_TENANT", 3),
+            patch.object(claims_module, "MAX_SHARED_KINDS", 7),
         ):
-            self.book = ClaimBook()
+            self.book = ClaimTracker()
             for number in range(100):
                 program = account(1, 0.0, 0.0, kind=f"k{number}")
                 program.tenant = f"t{number}"
@@ -193,7 +193,7 @@
         self.assertLessEqual(len(self.book._tenants), 5 + 10)
         self.assertLessEqual(len(self.book._tenants[TENANT].sizes), 3)
         self.assertLessEqual(len(self.book._tenants[TENANT].time_shares), 3)
-        self.assertLessEqual(len(self.book._sizes_of_all), 7)
+        self.assertLessEqual(len(self.book._shared_sizes), 7)
 
 
 class Refusing(Books):
@@ -204,14 +204,14 @@
         self.follow("p", account(1, self.now, self.now))
         with patch.object(claims_module, "decide", wraps=claims_module.decide) as decided:
             first = self.decide(LITTLE)
-            self.now += RECHECK_SECONDS / 2
+            self.now += REFUSAL_CACHE_SECONDS / 2
             second = self.decide(LITTLE)
             self.assertEqual(decided.call_count, 1)
-            self.now += RECHECK_SECONDS
+            self.now += REFUSAL_CACHE_SECONDS
             self.decide(LITTLE)
             self.assertEqual(decided.call_count, 2)
         assert first is not None and second is not None
-        self.assertAlmostEqual(second.retry_after, first.retry_after - RECHECK_SECONDS / 2)
+        self.assertAlmostEqual(second.retry_after, first.retry_after - REFUSAL_CACHE_SECONDS / 2)
 
     def test_a_kind_that_is_passed_over_is_next(self) -> None:
         self.learn(2, "small")
@@ -221,15 +221,15 @@
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
         self.assertEqual((large.is_let_in, small.is_let_in), (False, True))
-        self.now += PASSED_OVER_SECONDS + 0.1
+        self.now += KIND_PRIORITY_SECONDS + 0.1
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
         self.assertEqual((large.is_let_in, small.is_let_in), (False, False))
-        self.now += RECHECK_SECONDS
+        self.now += REFUSAL_CACHE_SECONDS
         later = self.decide(Supply(level=40.0, rate=1.0), "large")
         assert later is not None
         self.assertTrue(later.is_let_in)
-        self.now += RECHECK_SECONDS
+        self.now += REFUSAL_CACHE_SECONDS
         small = self.decide(supply, "small")
         assert small is not None
         self.assertTrue(small.is_let_in)
@@ -241,7 +241,7 @@
         self.follow("p", account(1, self.now, self.now, kind="small", is_under_way=True))
         large = self.decide(supply, "large")
         assert large is not None
-        self.now += large.retry_after + RETURN_SECONDS + 0.1
+        self.now += large.retry_after + RETRY_GRACE_SECONDS + 0.1
         small = self.decide(supply, "small")
         assert small is not None
         self.assertTrue(small.is_let_in)
@@ -254,8 +254,8 @@
         for _ in range(5):
             for kind in ("one", "two"):
                 self.decide(supply, kind)
-            self.now += REST_SECONDS / 4
-        self.now += REST_SECONDS
+            self.now += MAX_IDLE_SECONDS / 4
+        self.now += MAX_IDLE_SECONDS
         decided = [self.decide(supply, kind) for kind in ("one", "two")]
         self.assertTrue(any(item is not None and item.is_let_in for item in decided))
 
@@ -271,7 +271,7 @@
             name = f"t{number}"
             self.book.expect(asking(name, left=self.given), self.now)
             self.follow(name, account(10, self.now, self.now + seconds))
-        self.now += seconds + REST_SECONDS
+        self.now += seconds + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
 
     def ask(self, name: str, left: float, supply: Supply) -> Admission:
@@ -287,7 +287,7 @@
         self.learn_times(3.0)
         self.hold()
         self.assertFalse(self.ask("late", self.given, LITTLE).is_let_in)
-        self.now += 2 * RECHECK_SECONDS
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         late = self.ask("late", 2.0, FULL)
         self.assertTrue(late.cannot_end_in_time)
         self.assertFalse(late.is_let_in)
@@ -297,21 +297,21 @@
         self.learn_times(2.0)
         self.hold()
         self.ask("p", self.given, LITTLE)
-        self.now += 2 * RECHECK_SECONDS
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
 
     def test_it_is_let_in_once_nobody_else_is_refused(self) -> None:
         self.learn_times(3.0)
         self.hold()
         self.ask("late", self.given, LITTLE)
-        self.now += LATE_YIELDS_SECONDS
+        self.now += LATE_YIELD_SECONDS
         self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
 
     def test_without_word_of_their_time_all_are_alike(self) -> None:
         self.learn(10)
         self.hold()
         self.ask("p", self.given, LITTLE)
-        self.now += 2 * RECHECK_SECONDS
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
     def test_a_tenant_at_twice_its_limit_ends_its_programs_in_time(self) -> None:
@@ -324,7 +324,7 @@
 
     def replay(self, *, knows_time: bool) -> tuple[int, int]:
         """Return how many programs of ten requests began in time, and at all, in 40 s."""
-        self.book, self.now = ClaimBook(), 0.0
+        self.book, self.now = ClaimTracker(), 0.0
         self.learn_times(3.0)
         rate, level, began = 20.0, 0.0, self.now
         returning: list[tuple[float, int, str, float]] = []
--- a/tests/unit/ledger/test_program_gate.py
+++ b/tests/unit/ledger/test_program_gate.py
@@ -10,7 +10,7 @@
 from tests.unit.ledger.test_storage_nodes import StorageCase
 from yokeline.effects import Address, LogRecord, PeerMessage
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.claims import LONGEST_TURN_SECONDS, REST_SECONDS
+from yokeline.ledger.claims import MAX_IDLE_SECONDS, MAX_TURN_SECONDS
 from yokeline.ledger.codec import decode_command, decode_state, encode_command, encode_state
 from yokeline.ledger.messages import LedgerRequest
 from yokeline.ledger.operations import (
@@ -79,7 +79,7 @@
         """Let programs of 20 requests end under a wider limit; the later one begins full."""
         for number in range(LEAST_PROGRAMS):
             self.run_program(f"earlier{number}", WIDE)
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
 
     def begin(self, count: int) -> list[OperationResult]:
         return [self.ask(first_turn(f"new{number}")) for number in range(count)]
@@ -121,7 +121,7 @@
             more = msgspec.structs.replace(first_turn(name, WIDE, f"{name}/more"), tokens=10**7)
             self.assertIsInstance(self.ask(more), BudgetSpent)
         self.assertEqual(self.gate.claims, 0)
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
     def test_a_program_on_its_way_into_the_log_is_not_new(self) -> None:
@@ -135,7 +135,7 @@
         self.learn()
         self.begin(50)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
-        self.now += LONGEST_TURN_SECONDS
+        self.now += MAX_TURN_SECONDS
         self.assertIsInstance(self.ask(first_turn("late")), Granted)
 
     def test_a_lowered_limit_lets_nothing_in_until_claims_fit(self) -> None:
@@ -145,7 +145,7 @@
         self.assertIsInstance(self.ask(first_turn("late", lowered)), QuotaSpent)
         for number in range(5):
             self.ask(Settle(request_id=f"new{number}/0", program=f"new{number}"))
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.assertIsInstance(self.ask(first_turn("late", lowered)), Granted)
 
     def test_what_it_refuses_takes_nothing(self) -> None:
@@ -211,7 +211,7 @@
             cluster.ask(Settle(request_id=f"{name}/0", program=name, tokens=1))
             for number in range(1, SIZE):
                 cluster.ask(Draw(request_id=f"{name}/{number}", limit=WIDE, program=name))
-        cluster.run(REST_SECONDS + 0.1)
+        cluster.run(MAX_IDLE_SECONDS + 0.1)
 
     def begin(self, cluster: Cluster, count: int) -> list[OperationResult | None]:
         return [cluster.ask(first_turn(f"new{number}")) for number in range(count)]
