--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -377,7 +377,7 @@
     tracemalloc.start()
     book = claims.ClaimTracker()
     for number in range(MEASURED_CLAIMS):
-        book.follow(f"4:hule:{number}", account, is_complete=False)
+        book.update(f"4:hule:{number}", account, is_complete=False)
     size, _peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"{size / MEASURED_CLAIMS:.0f} B of memory a claim at the leader")
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -72,13 +72,13 @@
 
     tenant: str
     kind: str
-    used: int
+    requests: int
     began_at: float
     active_at: float
-    is_under_way: bool
-    is_cut_short: bool = False
-    is_learned: bool = False
-    given: float = 0.0
+    has_open_turn: bool
+    was_refused: bool = False
+    is_size_observed: bool = False
+    time_limit: float = 0.0
 
 
 class CandidateProgram(msgspec.Struct, frozen=True, kw_only=True):
@@ -91,7 +91,7 @@
     name: str
     tenant: str
     kind: str
-    left: float | None = None
+    time_left: float | None = None
 
 
 class _RefusedKind(msgspec.Struct):
@@ -104,10 +104,10 @@
         until: When its latest refused program should have come back.
     """
 
-    since: float
+    refused_since: float
     decided_at: float
-    decided: Admission
-    until: float
+    decision: Admission
+    expires_at: float
 
 
 class _KindSizes:
@@ -127,7 +127,7 @@
     def learn(self, claim: _Claim) -> None:
         estimate = self._sizes.setdefault(claim.kind, SizeEstimate())
         self._sizes.move_to_end(claim.kind)
-        estimate.observe(claim.used, claim.active_at - claim.began_at)
+        estimate.observe(claim.requests, claim.active_at - claim.began_at)
         if len(self._sizes) > self._bound:
             self._sizes.popitem(last=False)
 
@@ -144,9 +144,9 @@
         self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
         """Claims by kind and requests sent: equal ones are decided on together."""
-        self.passed_over: dict[str, _RefusedKind] = {}
+        self.refused_kinds: dict[str, _RefusedKind] = {}
         self.time_shares: dict[str, MeanTimeShare] = {}
-        self.refused_in_time_at = -math.inf
+        self.last_timely_refusal_at = -math.inf
         """When a program that could end in time was refused last."""
 
     def size(self, kind: str) -> ProgramSize | None:
@@ -156,16 +156,16 @@
         self.sizes.learn(claim)
         self._of_all.learn(claim)
         share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
-        share.observe(claim.active_at - claim.began_at, claim.given)
+        share.observe(claim.active_at - claim.began_at, claim.time_limit)
         self.time_shares[claim.kind] = share
         if len(self.time_shares) > MAX_KINDS_PER_TENANT:
             del self.time_shares[next(iter(self.time_shares))]
 
     def add(self, claim: _Claim) -> None:
-        self.held[claim.kind, claim.used] += 1
+        self.held[claim.kind, claim.requests] += 1
 
     def remove(self, claim: _Claim) -> None:
-        key = (claim.kind, claim.used)
+        key = (claim.kind, claim.requests)
         self.held[key] -= 1
         if self.held[key] <= 0:
             del self.held[key]
@@ -173,9 +173,9 @@
     def claims(self) -> list[Claims]:
         """Return what the programs claim whose size is known."""
         found = []
-        for (kind, used), count in self.held.items():
+        for (kind, requests), count in self.held.items():
             size = self.size(kind)
-            claims = claims_of(size, used, count) if size is not None else None
+            claims = claims_of(size, requests, count) if size is not None else None
             if claims is not None:
                 found.append(claims)
         return found
@@ -185,16 +185,16 @@
 
         Kinds whose programs did not come back are forgotten.
         """
-        self.passed_over = {
-            name: item for name, item in self.passed_over.items() if item.until >= now
+        self.refused_kinds = {
+            name: item for name, item in self.refused_kinds.items() if item.expires_at >= now
         }
-        own = self.passed_over.get(kind)
-        before = min(now - KIND_PRIORITY_SECONDS, own.since if own is not None else now)
+        own = self.refused_kinds.get(kind)
+        before = min(now - KIND_PRIORITY_SECONDS, own.refused_since if own is not None else now)
         found = []
-        for other, item in self.passed_over.items():
+        for other, item in self.refused_kinds.items():
             size = self.size(other)
             claims = claims_of(size, 0, 1) if size is not None else None
-            if item.since < before and claims is not None:
+            if item.refused_since < before and claims is not None:
                 found.append(claims)
         return found
 
@@ -203,49 +203,55 @@
 
         The kind's place is kept until the program that is refused by it has come back.
         """
-        item = self.passed_over.get(kind)
+        item = self.refused_kinds.get(kind)
         passed = now - item.decided_at if item is not None else REFUSAL_CACHE_SECONDS
-        if item is None or passed >= min(REFUSAL_CACHE_SECONDS, item.decided.retry_after):
+        if item is None or passed >= min(REFUSAL_CACHE_SECONDS, item.decision.retry_after):
             return None
-        left = item.decided.retry_after - passed
-        item.until = now + left + RETRY_GRACE_SECONDS
-        return msgspec.structs.replace(item.decided, retry_after=left)
+        left = item.decision.retry_after - passed
+        item.expires_at = now + left + RETRY_GRACE_SECONDS
+        return msgspec.structs.replace(item.decision, retry_after=left)
 
-    def note_decision(self, kind: str, now: float, decided: Admission) -> None:
-        known = self.passed_over.pop(kind, None)
-        if decided.is_let_in:
+    def note_decision(self, kind: str, now: float, decision: Admission) -> None:
+        known = self.refused_kinds.pop(kind, None)
+        if decision.is_let_in:
             return
-        self.passed_over[kind] = _RefusedKind(
-            since=known.since if known is not None else now,
+        self.refused_kinds[kind] = _RefusedKind(
+            refused_since=known.refused_since if known is not None else now,
             decided_at=now,
-            decided=decided,
-            until=now + decided.retry_after + RETRY_GRACE_SECONDS,
+            decision=decision,
+            expires_at=now + decision.retry_after + RETRY_GRACE_SECONDS,
         )
 
 
 def _decide_in_time(
-    book: _TenantClaims, kind: str, supply: Supply, size: ProgramSize, now: float
+    tenant_claims: _TenantClaims, kind: str, supply: Supply, size: ProgramSize, now: float
 ) -> Admission:
-    recent = book.cached_refusal(kind, now)
-    if recent is not None:
-        return recent
-    claims = [*book.claims(), *book.claims_of_refused_kinds(kind, now)]
-    decided = decide(supply, claims, size)
-    book.note_decision(kind, now, decided)
-    return decided
+    cached = tenant_claims.cached_refusal(kind, now)
+    if cached is not None:
+        return cached
+    claims = [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds(kind, now)]
+    decision = decide(supply, claims, size)
+    tenant_claims.note_decision(kind, now, decision)
+    return decision
 
 
 def _decide_late(
-    book: _TenantClaims, asking: CandidateProgram, supply: Supply, size: ProgramSize, now: float
+    tenant_claims: _TenantClaims,
+    candidate: CandidateProgram,
+    supply: Supply,
+    size: ProgramSize,
+    now: float,
 ) -> Admission:
     """Decide on a program that cannot end in time; it takes no turn of one that can."""
-    decided = decide(supply, [*book.claims(), *book.claims_of_refused_kinds("", now)], size)
-    yields = now - book.refused_in_time_at < LATE_YIELD_SECONDS
-    if decided.is_let_in and not yields:
-        return decided
-    retry_after = max(MIN_LATE_RETRY_SECONDS, decided.retry_after)
+    decision = decide(
+        supply, [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds("", now)], size
+    )
+    yields = now - tenant_claims.last_timely_refusal_at < LATE_YIELD_SECONDS
+    if decision.is_let_in and not yields:
+        return decision
+    retry_after = max(MIN_LATE_RETRY_SECONDS, decision.retry_after)
     return msgspec.structs.replace(
-        decided, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
+        decision, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
     )
 
 
@@ -270,55 +276,59 @@
 
     def size_of(self, tenant: str, kind: str) -> ProgramSize | None:
         """Return the size of a kind of program; None until it is known."""
-        book = self._tenants.get(tenant)
-        return book.size(kind) if book is not None else self._shared_sizes.size(kind)
+        tenant_claims = self._tenants.get(tenant)
+        return (
+            tenant_claims.size(kind) if tenant_claims is not None else self._shared_sizes.size(kind)
+        )
 
-    def decide(self, asking: CandidateProgram, supply: Supply, now: float) -> Admission | None:
+    def decide(self, candidate: CandidateProgram, supply: Supply, now: float) -> Admission | None:
         """Decide whether a program may begin; None while the size of its kind is not known."""
         self.sweep(now)
-        size = self.size_of(asking.tenant, asking.kind)
+        size = self.size_of(candidate.tenant, candidate.kind)
         if size is None:
             return None
-        book = self._tenant_claims(asking.tenant)
-        if self._is_late(asking):
-            return _decide_late(book, asking, supply, size, now)
-        decided = _decide_in_time(book, asking.kind, supply, size, now)
-        if not decided.is_let_in:
-            book.refused_in_time_at = now
-            self._note_time_limit(asking)
-        return decided
-
-    def _is_late(self, asking: CandidateProgram) -> bool:
+        tenant_claims = self._tenant_claims(candidate.tenant)
+        if self._is_late(candidate):
+            return _decide_late(tenant_claims, candidate, supply, size, now)
+        decision = _decide_in_time(tenant_claims, candidate.kind, supply, size, now)
+        if not decision.is_let_in:
+            tenant_claims.last_timely_refusal_at = now
+            self._note_time_limit(candidate)
+        return decision
+
+    def _is_late(self, candidate: CandidateProgram) -> bool:
         """Return whether a program that was refused before has lost too much time since."""
-        given = self._time_limits.get(asking.name)
-        share = self._tenants[asking.tenant].time_shares.get(asking.kind)
-        if given is None or share is None or asking.left is None:
+        time_limit = self._time_limits.get(candidate.name)
+        share = self._tenants[candidate.tenant].time_shares.get(candidate.kind)
+        if time_limit is None or share is None or candidate.time_left is None:
             return False
-        return share.is_late(asking.left, given)
+        return share.is_late(candidate.time_left, time_limit)
 
-    def _note_time_limit(self, asking: CandidateProgram) -> None:
+    def _note_time_limit(self, candidate: CandidateProgram) -> None:
         """Remember how much time a refused program was given when it first asked."""
-        if asking.left is None or asking.name in self._time_limits:
+        if candidate.time_left is None or candidate.name in self._time_limits:
             return
-        self._time_limits[asking.name] = asking.left
+        self._time_limits[candidate.name] = candidate.time_left
         if len(self._time_limits) > MAX_TIME_LIMITS:
             self._time_limits.popitem(last=False)
 
-    def expect(self, asking: CandidateProgram, now: float) -> None:
+    def add_provisional(self, candidate: CandidateProgram, now: float) -> None:
         """Hold a claim for a program that may begin, until its first turn is in the log."""
-        if self.knows(asking.name):
+        if self.has_claim(candidate.name):
             return
-        given = self._time_limits.pop(asking.name, asking.left or 0.0)
-        claim = _Claim(asking.tenant, asking.kind, 0, now, now, is_under_way=True, given=given)
-        self._put(asking.name, claim)
+        time_limit = self._time_limits.pop(candidate.name, candidate.time_left or 0.0)
+        claim = _Claim(
+            candidate.tenant, candidate.kind, 0, now, now, has_open_turn=True, time_limit=time_limit
+        )
+        self._add(candidate.name, claim)
 
-    def drop(self, name: str) -> None:
+    def cancel_provisional(self, name: str) -> None:
         """Give the claim of a program back whose first turn is not in the log after all."""
         claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
-        if claim is not None and not claim.used:
-            self._take_out(name)
+        if claim is not None and not claim.requests:
+            self._remove(name)
 
-    def follow(self, name: str, account: Program, *, is_complete: bool) -> None:
+    def update(self, name: str, account: Program, *, is_complete: bool) -> None:
         """Take over what the account of a program says; only a tenant's with a limit counts.
 
         Args:
@@ -329,34 +339,34 @@
         """
         if not account.requests:
             return
-        known = self._take_out(name)
-        goes_on = known is None or account.requests > known.used
-        is_back = known is None and is_complete and account.requests > 1
+        known = self._remove(name)
+        is_active_again = known is None or account.requests > known.requests
+        is_resumed = known is None and is_complete and account.requests > 1
         claim = _Claim(
             account.tenant,
             account.kind,
             account.requests,
             account.began_at,
             account.active_at,
-            is_under_way=bool(account.reserved),
-            is_cut_short=known is not None and known.is_cut_short and not goes_on,
-            is_learned=is_back or (known is not None and known.is_learned),
-            given=known.given if known is not None else 0.0,
+            has_open_turn=bool(account.reserved),
+            was_refused=known is not None and known.was_refused and not is_active_again,
+            is_size_observed=is_resumed or (known is not None and known.is_size_observed),
+            time_limit=known.time_limit if known is not None else 0.0,
         )
-        self._put(name, claim)
+        self._add(name, claim)
 
     def note_refused(self, name: str) -> None:
         """Note that a request of a program was refused."""
         claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
         if claim is not None:
-            claim.is_cut_short = True
+            claim.was_refused = True
 
-    def note_stopped(self, name: str) -> None:
+    def release(self, name: str) -> None:
         """Give the claim of a program back that its budget stopped.
 
         It looped, most likely, so its size says nothing of its kind.
         """
-        self._take_out(name)
+        self._remove(name)
 
     def sweep(self, now: float) -> None:
         """Take the claims back of programs that have rested, and learn from them."""
@@ -366,50 +376,55 @@
         for name, claim in list(islice(self._claims.items(), MAX_SWEPT_PER_TICK)):
             if claim.active_at + MIN_IDLE_SECONDS > now:
                 break
-            if claim.active_at + self._rest_of(claim) > now:
+            if claim.active_at + self._idle_limit(claim) > now:
                 continue
-            if claim.is_under_way:
+            if claim.has_open_turn:
                 self._idle_with_open_turn[name] = self._claims.pop(name)
             else:
-                self._end(name)
+                self._end_program(name)
         while self._idle_with_open_turn:
             name, claim = next(iter(self._idle_with_open_turn.items()))
             if claim.active_at + MAX_TURN_SECONDS > now:
                 break
-            self._end(name)
+            self._end_program(name)
 
-    def _rest_of(self, claim: _Claim) -> float:
+    def _idle_limit(self, claim: _Claim) -> float:
         """Return for how many seconds a program rests before it counts as ended."""
         size = self.size_of(claim.tenant, claim.kind)
-        if size is None or claim.is_under_way:
+        if size is None or claim.has_open_turn:
             return MAX_IDLE_SECONDS
-        rest = IDLE_REQUEST_INTERVALS / size.rate
-        return min(MAX_IDLE_SECONDS, max(MIN_IDLE_SECONDS, rest))
-
-    def _end(self, name: str) -> None:
-        claim = self._take_out(name)
-        if claim is not None and claim.used and not claim.is_cut_short and not claim.is_learned:
+        idle_limit = IDLE_REQUEST_INTERVALS / size.rate
+        return min(MAX_IDLE_SECONDS, max(MIN_IDLE_SECONDS, idle_limit))
+
+    def _end_program(self, name: str) -> None:
+        claim = self._remove(name)
+        if (
+            claim is not None
+            and claim.requests
+            and not claim.was_refused
+            and not claim.is_size_observed
+        ):
             self._tenants[claim.tenant].learn(claim)
 
-    def knows(self, name: str) -> bool:
+    def has_claim(self, name: str) -> bool:
         """Return whether a program holds a claim."""
         return name in self._claims or name in self._idle_with_open_turn
 
-    def _put(self, name: str, claim: _Claim) -> None:
+    def _add(self, name: str, claim: _Claim) -> None:
         self._tenant_claims(claim.tenant).add(claim)
         self._claims[name] = claim
         if len(self) > MAX_CLAIMS:
-            self._take_out(next(iter(self._idle_with_open_turn or self._claims)))
+            self._remove(next(iter(self._idle_with_open_turn or self._claims)))
 
     def _tenant_claims(self, tenant: str) -> _TenantClaims:
         """Return the book of a tenant, which was seen now."""
-        book = self._tenants.pop(tenant, None) or _TenantClaims(self._shared_sizes)
-        self._tenants[tenant] = book
+        tenant_claims = self._tenants.pop(tenant, None) or _TenantClaims(self._shared_sizes)
+        self._tenants[tenant] = tenant_claims
         if len(self._tenants) > MAX_TENANTS:
             self._forget_tenant()
-        return book
+        return tenant_claims
 
-    def _take_out(self, name: str) -> _Claim | None:
+    def _remove(self, name: str) -> _Claim | None:
         claim = self._claims.pop(name, None) or self._idle_with_open_turn.pop(name, None)
         if claim is not None:
             self._tenants[claim.tenant].remove(claim)
--- a/src/yokeline/ledger/program_gate.py
+++ b/src/yokeline/ledger/program_gate.py
@@ -24,21 +24,21 @@
 from yokeline.ledger.state import LedgerState
 from yokeline.scheduling.program_admission import Admission, Supply
 
-PROGRAMS_AT_ONCE = 500
+MAX_PROGRAMS_PER_TICK = 500
 """Programs that a new leader takes into its book in one turn of the loop, so that requests do not
 wait for it."""
-LINES_PER_SECOND = 20
+MAX_LOG_RECORDS_PER_SECOND = 20
 """Log lines on programs that were not let in; of a tenant far beyond its limit there would be
 hundreds."""
 
-NO_TERM = -1
-BY_CLAIMS = "claims"
+NOT_LEADING = -1
+CAUSE_CLAIMS = "claims"
 """Other programs claim what the limit gives."""
-BY_KEPT_SHARE = "kept_share"
+CAUSE_RESERVED_SHARE = "kept_share"
 """What is left in the bucket is kept for programs that have begun."""
-BY_LIMIT = "limit"
+CAUSE_LIMIT = "limit"
 """Nothing is left."""
-CAUSES = (BY_CLAIMS, BY_KEPT_SHARE, BY_LIMIT)
+CAUSES = (CAUSE_CLAIMS, CAUSE_RESERVED_SHARE, CAUSE_LIMIT)
 
 
 class ProgramGate:
@@ -51,15 +51,15 @@
     def __init__(self) -> None:
         """Begin as a replica that does not lead."""
         self.refused: Counter[str] = Counter()
-        self._book = ClaimTracker()
-        self._term = NO_TERM
-        self._to_follow: deque[str] = deque()
-        self._lines = _LogRateLimit()
+        self._claims = ClaimTracker()
+        self._term = NOT_LEADING
+        self._unread_programs: deque[str] = deque()
+        self._log_limit = _LogRateLimit()
 
     @property
     def claims(self) -> int:
         """Return the number of programs that hold claims."""
-        return len(self._book)
+        return len(self._claims)
 
     def refusal(
         self, operation: Operation, state: LedgerState, term: int, leader_time: float
@@ -77,10 +77,10 @@
             return spent, []
         if isinstance(operation, Draw) or not self._begins_program(operation, state):
             if spent is not None:
-                self._book.note_refused(operation.program)
+                self._claims.note_refused(operation.program)
             return spent, []
         if spent is not None and spent.is_empty:
-            self.refused[BY_LIMIT] += 1
+            self.refused[CAUSE_LIMIT] += 1
             return spent, []
         return self._decide(operation, state, term, leader_time, spent)
 
@@ -96,21 +96,23 @@
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
         supply = state.quotas.available_supply(operation.limit, leader_time)
-        decided = None
-        asking = CandidateProgram(
-            name=operation.program, tenant=tenant, kind=kind, left=operation.left
+        decision = None
+        candidate = CandidateProgram(
+            name=operation.program, tenant=tenant, kind=kind, time_left=operation.left
         )
-        if operation.program and self._knows_claims(term):
-            decided = self._book.decide(asking, supply, leader_time)
-        if decided is not None and not decided.is_let_in:
-            self.refused[BY_CLAIMS] += 1
-            wait = max(decided.retry_after, spent.retry_after if spent is not None else 0.0)
-            lines = self._lines.take(leader_time, self._line(operation, supply, decided, wait))
-            return QuotaSpent(retry_after=wait, is_empty=False), lines
+        if operation.program and self._is_rebuilt(term):
+            decision = self._claims.decide(candidate, supply, leader_time)
+        if decision is not None and not decision.is_let_in:
+            self.refused[CAUSE_CLAIMS] += 1
+            wait = max(decision.retry_after, spent.retry_after if spent is not None else 0.0)
+            records = self._log_limit.take(
+                leader_time, self._refusal_record(operation, supply, decision, wait)
+            )
+            return QuotaSpent(retry_after=wait, is_empty=False), records
         if spent is not None:
-            self.refused[BY_KEPT_SHARE] += 1
+            self.refused[CAUSE_RESERVED_SHARE] += 1
         elif operation.program:
-            self._book.expect(asking, leader_time)
+            self._claims.add_provisional(candidate, leader_time)
         return spent, []
 
     def note_result(
@@ -125,58 +127,58 @@
         A result says that the entry was applied in the term in which it was proposed.
         """
         if result is not None and term != self._term:
-            self._take_over(state, term)
+            self._rebuild(state, term)
         account = state.programs.get(operation.program)
         if isinstance(result, BudgetSpent):
-            self._book.note_stopped(operation.program)
+            self._claims.release(operation.program)
         elif isinstance(operation, Reserve) and not isinstance(result, Granted):
-            self._book.drop(operation.program)
+            self._claims.cancel_provisional(operation.program)
         elif result is not None and account is not None:
-            self._book.follow(operation.program, account, is_complete=not self._to_follow)
+            self._claims.update(operation.program, account, is_complete=not self._unread_programs)
         if isinstance(result, QuotaSpent):
-            self._book.note_refused(operation.program)
+            self._claims.note_refused(operation.program)
 
-    def give_up(self, operation: Operation) -> None:
+    def cancel(self, operation: Operation) -> None:
         """Note that an operation will not be proposed."""
         if isinstance(operation, Reserve):
-            self._book.drop(operation.program)
+            self._claims.cancel_provisional(operation.program)
 
     def tick(self, state: LedgerState, leader_time: float) -> None:
         """Go on with the book of a new leader, and take claims back."""
-        for _ in range(min(PROGRAMS_AT_ONCE, len(self._to_follow))):
-            name = self._to_follow.popleft()
+        for _ in range(min(MAX_PROGRAMS_PER_TICK, len(self._unread_programs))):
+            name = self._unread_programs.popleft()
             account = state.programs.get(name)
             if account is not None:
-                self._book.follow(name, account, is_complete=False)
-        self._book.sweep(leader_time)
+                self._claims.update(name, account, is_complete=False)
+        self._claims.sweep(leader_time)
 
-    def stand_down(self) -> None:
+    def reset(self) -> None:
         """Hold no claims, as a replica that does not lead."""
-        if self._term != NO_TERM:
-            self._take_over(LedgerState(), NO_TERM)
+        if self._term != NOT_LEADING:
+            self._rebuild(LedgerState(), NOT_LEADING)
 
     def _begins_program(self, operation: Reserve, state: LedgerState) -> bool:
         """Return whether a turn is the first one of its program.
 
         Programs whose turns are still on their way count as begun.
         """
-        return not self._book.knows(operation.program) and state.begins_program(operation)
+        return not self._claims.has_claim(operation.program) and state.begins_program(operation)
 
-    def _take_over(self, state: LedgerState, term: int) -> None:
+    def _rebuild(self, state: LedgerState, term: int) -> None:
         self._term = term
-        self._book = ClaimTracker()
-        self._to_follow = deque(state.programs)
+        self._claims = ClaimTracker()
+        self._unread_programs = deque(state.programs)
 
-    def _knows_claims(self, term: int) -> bool:
+    def _is_rebuilt(self, term: int) -> bool:
         """Return whether all that is in the log of earlier terms is applied and in the book."""
-        return term == self._term and not self._to_follow
+        return term == self._term and not self._unread_programs
 
-    def _line(
-        self, operation: Reserve, supply: Supply, decided: Admission, wait: float
+    def _refusal_record(
+        self, operation: Reserve, supply: Supply, decision: Admission, wait: float
     ) -> LogRecord:
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
-        size = self._book.size_of(tenant, kind)
+        size = self._claims.size_of(tenant, kind)
         assert size is not None  # it was decided on
         fields: dict[str, str | int | float | bool | None] = {
             "tenant": tenant,
@@ -188,10 +190,10 @@
             "expected_requests": round(size.requests, 2),
             "deviation": round(size.deviation, 2),
             "expected_seconds": round(size.seconds, 3),
-            "claims": decided.programs,
-            "claimed": round(decided.claimed, 1),
-            "margin": round(decided.margin, 1),
-            "is_late": decided.cannot_end_in_time,
+            "claims": decision.programs,
+            "claimed": round(decision.claimed, 1),
+            "margin": round(decision.margin, 1),
+            "is_late": decision.cannot_end_in_time,
             "retry_after": round(wait, 3),
         }
         return LogRecord(event="program_not_admitted", fields=fields)
@@ -202,16 +204,16 @@
 
     def __init__(self) -> None:
         self._since = 0.0
-        self._written = 0
-        self._left_out = 0
+        self._logged = 0
+        self._suppressed = 0
 
-    def take(self, now: float, line: LogRecord) -> list[LogRecord]:
+    def take(self, now: float, record: LogRecord) -> list[LogRecord]:
         if abs(now - self._since) >= 1.0:
-            self._since, self._written = now, 0
-        if self._written >= LINES_PER_SECOND:
-            self._left_out += 1
+            self._since, self._logged = now, 0
+        if self._logged >= MAX_LOG_RECORDS_PER_SECOND:
+            self._suppressed += 1
             return []
-        self._written += 1
-        line.fields["left_out_before"] = self._left_out
-        self._left_out = 0
-        return [line]
+        self._logged += 1
+        record.fields["left_out_before"] = self._suppressed
+        self._suppressed = 0
+        return [record]
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -132,7 +132,7 @@
         if self._replica.leads:
             self.gate.tick(self._replica.state(), self._leader_time())
         else:
-            self.gate.stand_down()
+            self.gate.reset()
         lines = self.load.report(now, len(self._waiting))
         return [*self.propose(now), *lines, *self.places.report(now)]
 
@@ -199,7 +199,7 @@
         self._waiting[key] = _Waiting(operation, self._now, [asker], is_copied)
         if len(self._waiting) > MAX_BATCHED_OPERATIONS:
             oldest = self._waiting.pop(next(iter(self._waiting)))
-            self.gate.give_up(oldest.operation)
+            self.gate.cancel(oldest.operation)
         return []
 
     def _refusal(self, operation: Operation) -> tuple[QuotaSpent | None, list[LogRecord]]:
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -36,7 +36,7 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import BY_CLAIMS, ProgramGate
+from yokeline.ledger.program_gate import CAUSE_CLAIMS, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.request_batches import RequestBatches
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
@@ -254,9 +254,9 @@
 
     def hand(self, number: int, operation: Operation) -> None:
         request = LedgerRequest(number=number, asker=_ASKER, operations=(operation,))
-        refused = self.batches.gate.refused[BY_CLAIMS]
+        refused = self.batches.gate.refused[CAUSE_CLAIMS]
         effects = self.batches.take(ReplicaId("edge~1"), request, self.local())
-        if self.batches.gate.refused[BY_CLAIMS] > refused and self.is_granted(operation):
+        if self.batches.gate.refused[CAUSE_CLAIMS] > refused and self.is_granted(operation):
             self.wrongly_refused.append(operation.request_id)
         self.note_proposals()
         self.take(effects)
@@ -380,7 +380,7 @@
     def test_programs_are_refused_by_claims_in_them(self) -> None:
         world = _World(1)
         world.run()
-        self.assertGreater(world.batches.gate.refused[BY_CLAIMS], 0)
+        self.assertGreater(world.batches.gate.refused[CAUSE_CLAIMS], 0)
         self.assertGreater(world.began["small"], 30)
         self.assertGreater(world.began["large"], 3)
 
@@ -428,7 +428,7 @@
         ) -> tuple[QuotaSpent | None, list[object]]:
             if not isinstance(operation, Reserve) or next(seen) % 3:
                 return None, []
-            gate.refused[BY_CLAIMS] += 1
+            gate.refused[CAUSE_CLAIMS] += 1
             return QuotaSpent(retry_after=0.1, is_empty=False), []
 
         with patch.object(ProgramGate, "refusal", refused_blindly):
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -25,12 +25,12 @@
 LITTLE = Supply(level=2.0, rate=1.0)
 
 
-def asking(name: str, kind: str = "k", left: float | None = None) -> CandidateProgram:
-    return CandidateProgram(name=name, tenant=TENANT, kind=kind, left=left)
+def candidate(name: str, kind: str = "k", time_left: float | None = None) -> CandidateProgram:
+    return CandidateProgram(name=name, tenant=TENANT, kind=kind, time_left=time_left)
 
 
 def account(
-    requests: int, began: float, active: float, *, kind: str = "k", is_under_way: bool = False
+    requests: int, began: float, active: float, *, kind: str = "k", has_open_turn: bool = False
 ) -> Program:
     return Program(
         tenant=TENANT,
@@ -38,7 +38,7 @@
         requests=requests,
         began_at=began,
         active_at=active,
-        reserved={"r": 1} if is_under_way else {},
+        reserved={"r": 1} if has_open_turn else {},
     )
 
 
@@ -51,15 +51,15 @@
         """Let programs of a kind run and rest."""
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
-            self.follow(name, account(requests, self.now, self.now + 2.0, kind=kind))
+            self.update(name, account(requests, self.now, self.now + 2.0, kind=kind))
         self.now += 2.0 + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
 
-    def follow(self, name: str, program: Program, *, is_complete: bool = False) -> None:
-        self.book.follow(name, program, is_complete=is_complete)
+    def update(self, name: str, program: Program, *, is_complete: bool = False) -> None:
+        self.book.update(name, program, is_complete=is_complete)
 
     def decide(self, supply: Supply, kind: str = "k") -> Admission | None:
-        return self.book.decide(asking("new", kind), supply, self.now)
+        return self.book.decide(candidate("new", kind), supply, self.now)
 
     def expected(self, kind: str = "k") -> float:
         size = self.book.size_of(TENANT, kind)
@@ -86,7 +86,7 @@
         for number in range(LEAST_PROGRAMS):
             own = account(4, self.now, self.now + 2.0, kind="long")
             own.tenant = "other"
-            self.follow(f"other{number}", own)
+            self.update(f"other{number}", own)
         self.now += 2.0 + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         learned = self.book.size_of("other", "long")
@@ -96,7 +96,7 @@
     def test_a_program_that_was_refused_on_its_way_says_nothing_of_its_kind(self) -> None:
         self.learn(10)
         for number in range(20):
-            self.follow(f"cut{number}", account(2, self.now, self.now))
+            self.update(f"cut{number}", account(2, self.now, self.now))
             self.book.note_refused(f"cut{number}")
         self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
@@ -104,9 +104,9 @@
 
     def test_one_that_was_let_in_again_after_all_does(self) -> None:
         self.learn(10)
-        self.follow("p", account(2, self.now, self.now))
+        self.update("p", account(2, self.now, self.now))
         self.book.note_refused("p")
-        self.follow("p", account(30, self.now, self.now))
+        self.update("p", account(30, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         self.assertGreater(self.expected(), 10.0)
@@ -114,7 +114,7 @@
 
 class Holding(Books):
     def test_claims_are_given_back_after_a_rest(self) -> None:
-        self.follow("p", account(3, 0.0, 1.0))
+        self.update("p", account(3, 0.0, 1.0))
         self.book.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
         self.assertEqual(len(self.book), 1)
         self.book.sweep(1.0 + MAX_IDLE_SECONDS)
@@ -126,17 +126,17 @@
         program_not_admitted level=803.36 (full) rate=532.0 claims=119 claimed=1894.1
         """
         self.learn(40, "fast")
-        self.follow("p", account(39, self.now - 2.0, self.now, kind="fast"))
-        self.follow("slow", account(3, self.now, self.now, kind="unknown"))
+        self.update("p", account(39, self.now - 2.0, self.now, kind="fast"))
+        self.update("slow", account(3, self.now, self.now, kind="unknown"))
         self.now += MIN_IDLE_SECONDS
         self.book.sweep(self.now)
-        self.assertFalse(self.book.knows("p"))
-        self.assertTrue(self.book.knows("slow"))
+        self.assertFalse(self.book.has_claim("p"))
+        self.assertTrue(self.book.has_claim("slow"))
 
     def test_a_turn_under_way_is_no_rest_but_a_node_that_is_gone_holds_nothing_for_long(
         self,
     ) -> None:
-        self.follow("p", account(3, 0.0, 1.0, is_under_way=True))
+        self.update("p", account(3, 0.0, 1.0, has_open_turn=True))
         self.book.sweep(1.0 + MAX_TURN_SECONDS - SWEEP_SECONDS)
         self.assertEqual(len(self.book), 1)
         self.book.sweep(1.0 + MAX_TURN_SECONDS)
@@ -144,11 +144,11 @@
 
     def test_a_program_that_goes_on_after_a_rest_claims_again_and_is_learned_once(self) -> None:
         self.learn(10)
-        self.follow("p", account(10, self.now, self.now))
+        self.update("p", account(10, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
         before = self.expected()
-        self.follow("p", account(40, 0.0, self.now), is_complete=True)
+        self.update("p", account(40, 0.0, self.now), is_complete=True)
         self.assertEqual(len(self.book), 1)
         self.now += MAX_IDLE_SECONDS
         self.book.sweep(self.now)
@@ -158,19 +158,19 @@
         self.learn(10)
         admitted = 0
         for number in range(50):
-            decided = self.decide(Supply(level=35.0, rate=0.01))
-            assert decided is not None
-            if decided.is_let_in:
-                self.book.expect(asking(f"p{number}"), self.now)
+            decision = self.decide(Supply(level=35.0, rate=0.01))
+            assert decision is not None
+            if decision.is_let_in:
+                self.book.add_provisional(candidate(f"p{number}"), self.now)
                 admitted += 1
         self.assertEqual(admitted, 3)
 
     def test_that_claim_goes_if_the_turn_does_not_get_there(self) -> None:
-        self.book.expect(asking("p"), 0.0)
-        self.book.drop("p")
+        self.book.add_provisional(candidate("p"), 0.0)
+        self.book.cancel_provisional("p")
         self.assertEqual(len(self.book), 0)
-        self.follow("q", account(1, 0.0, 0.0))
-        self.book.drop("q")
+        self.update("q", account(1, 0.0, 0.0))
+        self.book.cancel_provisional("q")
         self.assertEqual(len(self.book), 1)
 
     def test_what_it_keeps_has_a_bound(self) -> None:
@@ -184,11 +184,11 @@
             for number in range(100):
                 program = account(1, 0.0, 0.0, kind=f"k{number}")
                 program.tenant = f"t{number}"
-                self.follow(f"p{number}", program)
+                self.update(f"p{number}", program)
                 self.assertLessEqual(len(self.book), 10)
             self.book.sweep(100.0)
             for number in range(100):
-                self.follow(f"q{number}", account(1, 100.0, 100.0, kind=f"k{number}"))
+                self.update(f"q{number}", account(1, 100.0, 100.0, kind=f"k{number}"))
                 self.book.sweep(200.0 + number)
         self.assertLessEqual(len(self.book._tenants), 5 + 10)
         self.assertLessEqual(len(self.book._tenants[TENANT].sizes), 3)
@@ -201,15 +201,15 @@
         self,
     ) -> None:
         self.learn(10)
-        self.follow("p", account(1, self.now, self.now))
-        with patch.object(claims_module, "decide", wraps=claims_module.decide) as decided:
+        self.update("p", account(1, self.now, self.now))
+        with patch.object(claims_module, "decide", wraps=claims_module.decide) as decision:
             first = self.decide(LITTLE)
             self.now += REFUSAL_CACHE_SECONDS / 2
             second = self.decide(LITTLE)
-            self.assertEqual(decided.call_count, 1)
+            self.assertEqual(decision.call_count, 1)
             self.now += REFUSAL_CACHE_SECONDS
             self.decide(LITTLE)
-            self.assertEqual(decided.call_count, 2)
+            self.assertEqual(decision.call_count, 2)
         assert first is not None and second is not None
         self.assertAlmostEqual(second.retry_after, first.retry_after - REFUSAL_CACHE_SECONDS / 2)
 
@@ -217,7 +217,7 @@
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="small", is_under_way=True))
+        self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
         self.assertEqual((large.is_let_in, small.is_let_in), (False, True))
@@ -238,7 +238,7 @@
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="small", is_under_way=True))
+        self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large = self.decide(supply, "large")
         assert large is not None
         self.now += large.retry_after + RETRY_GRACE_SECONDS + 0.1
@@ -250,67 +250,67 @@
         self.learn(200, "one")
         self.learn(200, "two")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="one"))
+        self.update("p", account(1, self.now, self.now, kind="one"))
         for _ in range(5):
             for kind in ("one", "two"):
                 self.decide(supply, kind)
             self.now += MAX_IDLE_SECONDS / 4
         self.now += MAX_IDLE_SECONDS
-        decided = [self.decide(supply, kind) for kind in ("one", "two")]
-        self.assertTrue(any(item is not None and item.is_let_in for item in decided))
+        decision = [self.decide(supply, kind) for kind in ("one", "two")]
+        self.assertTrue(any(item is not None and item.is_let_in for item in decision))
 
 
 class Late(Books):
     """Programs that are refused and come back leave the limit to those that can end in time."""
 
-    given = 4.0
+    time_limit = 4.0
 
     def learn_times(self, seconds: float) -> None:
         """Let programs that were given four seconds run, and rest."""
         for number in range(LEAST_PROGRAMS):
             name = f"t{number}"
-            self.book.expect(asking(name, left=self.given), self.now)
-            self.follow(name, account(10, self.now, self.now + seconds))
+            self.book.add_provisional(candidate(name, time_left=self.time_limit), self.now)
+            self.update(name, account(10, self.now, self.now + seconds))
         self.now += seconds + MAX_IDLE_SECONDS
         self.book.sweep(self.now)
 
-    def ask(self, name: str, left: float, supply: Supply) -> Admission:
-        decided = self.book.decide(asking(name, left=left), supply, self.now)
-        assert decided is not None
-        return decided
+    def ask(self, name: str, time_left: float, supply: Supply) -> Admission:
+        decision = self.book.decide(candidate(name, time_left=time_left), supply, self.now)
+        assert decision is not None
+        return decision
 
     def hold(self) -> None:
         """Let a program claim what the bucket holds."""
-        self.follow("held", account(1, self.now, self.now, is_under_way=True))
+        self.update("held", account(1, self.now, self.now, has_open_turn=True))
 
     def test_one_that_came_back_too_late_leaves_what_there_is_to_others(self) -> None:
         self.learn_times(3.0)
         self.hold()
-        self.assertFalse(self.ask("late", self.given, LITTLE).is_let_in)
+        self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_let_in)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         late = self.ask("late", 2.0, FULL)
         self.assertTrue(late.cannot_end_in_time)
         self.assertFalse(late.is_let_in)
-        self.assertTrue(self.ask("fresh", self.given, FULL).is_let_in)
+        self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_let_in)
 
     def test_one_that_can_still_end_in_time_is_like_a_new_one(self) -> None:
         self.learn_times(2.0)
         self.hold()
-        self.ask("p", self.given, LITTLE)
+        self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
 
     def test_it_is_let_in_once_nobody_else_is_refused(self) -> None:
         self.learn_times(3.0)
         self.hold()
-        self.ask("late", self.given, LITTLE)
+        self.ask("late", self.time_limit, LITTLE)
         self.now += LATE_YIELD_SECONDS
         self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
 
     def test_without_word_of_their_time_all_are_alike(self) -> None:
         self.learn(10)
         self.hold()
-        self.ask("p", self.given, LITTLE)
+        self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
@@ -339,7 +339,7 @@
                 running.remove(item)
                 _, name, used, begin = item
                 level -= 1.0
-                self.follow(name, account(used + 1, begin, self.now, is_under_way=used < 9))
+                self.update(name, account(used + 1, begin, self.now, has_open_turn=used < 9))
                 if used < 9:
                     running.append((self.now + 0.3, name, used + 1, begin))
             if number * 0.25 < self.now - began:
@@ -348,18 +348,18 @@
             for asked in [item for item in returning if item[0] <= self.now]:
                 returning.remove(asked)
                 _, tries, name, first = asked
-                left = self.given - (self.now - first)
-                told = left if knows_time else None
+                time_left = self.time_limit - (self.now - first)
+                told = time_left if knows_time else None
                 supply = Supply(level=max(0.0, level), rate=rate)
-                decided = self.book.decide(asking(name, left=told), supply, self.now)
-                assert decided is not None
-                if decided.is_let_in:
-                    self.book.expect(asking(name, left=told), self.now)
+                decision = self.book.decide(candidate(name, time_left=told), supply, self.now)
+                assert decision is not None
+                if decision.is_let_in:
+                    self.book.add_provisional(candidate(name, time_left=told), self.now)
                     running.append((self.now, name, 0, self.now))
                     let_in += 1
-                    in_time += left >= 2.7
+                    in_time += time_left >= 2.7
                 elif tries < 6:
-                    wait = 0.25 + min(1.0, decided.retry_after)
+                    wait = 0.25 + min(1.0, decision.retry_after)
                     returning.append((self.now + wait, tries + 1, name, first))
         return in_time, let_in
 
--- a/tests/unit/ledger/test_program_gate.py
+++ b/tests/unit/ledger/test_program_gate.py
@@ -25,7 +25,7 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import BY_CLAIMS, LINES_PER_SECOND, ProgramGate
+from yokeline.ledger.program_gate import CAUSE_CLAIMS, MAX_LOG_RECORDS_PER_SECOND, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program, StoredTurn
 from yokeline.ledger.storage_node import storage_figures
@@ -159,14 +159,16 @@
         self.learn()
         results = self.begin(300)
         refused = sum(isinstance(item, QuotaSpent) for item in results)
-        self.assertEqual(self.gate.refused[BY_CLAIMS], refused)
-        self.assertEqual(len(self.lines), LINES_PER_SECOND)
+        self.assertEqual(self.gate.refused[CAUSE_CLAIMS], refused)
+        self.assertEqual(len(self.lines), MAX_LOG_RECORDS_PER_SECOND)
         fields = self.lines[0].fields
         self.assertEqual((fields["expected_requests"], fields["claims"]), (SIZE, 200 // SIZE))
         self.assertGreater(fields["retry_after"] or 0, 0)
         self.now += 1.0
         self.ask(first_turn("late"))
-        self.assertEqual(self.lines[-1].fields["left_out_before"], refused - LINES_PER_SECOND)
+        self.assertEqual(
+            self.lines[-1].fields["left_out_before"], refused - MAX_LOG_RECORDS_PER_SECOND
+        )
 
 
 class NewLeader(GateCase):
@@ -199,7 +201,7 @@
     def test_one_that_leads_no_more_holds_nothing(self) -> None:
         self.learn()
         self.begin(10)
-        self.gate.stand_down()
+        self.gate.reset()
         self.assertEqual(self.gate.claims, 0)
 
 
@@ -230,7 +232,7 @@
         self.assertGreater(sum(isinstance(item, Granted) for item in results), 2)
         figures = storage_figures(leader.node)
         refused = sum(isinstance(item, QuotaSpent) for item in results) + 1
-        name = f'yokeline_ledger_programs_refused_total{{cause="{BY_CLAIMS}"}}'
+        name = f'yokeline_ledger_programs_refused_total{{cause="{CAUSE_CLAIMS}"}}'
         self.assertEqual(figures.counters[name], refused)
         self.assertGreater(figures.gauges["yokeline_ledger_claims"], 2)
         self.assertTrue(any(line.event == "program_not_admitted" for line in cluster.log))
@@ -258,9 +260,9 @@
                 cluster.kill(leader)
                 leader = self.leader(cluster)
             assert leader.node is not None
-            refused = leader.node.batches.gate.refused[BY_CLAIMS]
+            refused = leader.node.batches.gate.refused[CAUSE_CLAIMS]
             self.hand(cluster, leader, asked, number=2)
-            self.assertEqual(leader.node.batches.gate.refused[BY_CLAIMS], refused)
+            self.assertEqual(leader.node.batches.gate.refused[CAUSE_CLAIMS], refused)
             self.assertIsInstance(cluster.ask(asked), Granted)
 
     def test_a_new_leader_goes_on_with_the_claims(self) -> None:
