--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -31,6 +31,7 @@
 from yokeline.forwarding.limits import LONGEST_WAIT_SECONDS, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger import claims, quotas
+from yokeline.ledger.admission_controller import AdmissionController
 from yokeline.ledger.operations import (
     Draw,
     Operation,
@@ -40,7 +41,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import ProgramGate
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
 from yokeline.scheduling.program_admission import Admission, Claims, Supply, decide
 from yokeline.scheduling.program_sizes import ProgramSize
@@ -148,7 +148,7 @@
         """Begin empty."""
         self.now = 0.0
         self._state = LedgerState()
-        self._gate = ProgramGate()
+        self._gate = AdmissionController()
         self._has_gate = has_gate
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
--- a/src/yokeline/ledger/program_gate.py
+++ b/src/yokeline/ledger/admission_controller.py
@@ -41,7 +41,7 @@
 CAUSES = (CAUSE_CLAIMS, CAUSE_RESERVED_SHARE, CAUSE_LIMIT)
 
 
-class ProgramGate:
+class AdmissionController:
     """Refuses programs that their tenants' limits would not carry to their end.
 
     Attributes:
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -15,6 +15,7 @@
 
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.identifiers import ReplicaId
+from yokeline.ledger.admission_controller import AdmissionController
 from yokeline.ledger.leader_load import LeaderLoad
 from yokeline.ledger.messages import EngineTurns, LedgerReply, LedgerRequest, PoolShares
 from yokeline.ledger.operations import (
@@ -27,7 +28,6 @@
     Settle,
     size_of,
 )
-from yokeline.ledger.program_gate import ProgramGate
 from yokeline.ledger.quotas import LeadershipClock
 from yokeline.ledger.replica import LedgerReplica
 from yokeline.ledger.tenant_places import TenantPlaces
@@ -93,7 +93,7 @@
         self.places = TenantPlaces()
         self.operations = 0
         self.load = LeaderLoad(now)
-        self.gate = ProgramGate()
+        self.admission = AdmissionController()
         self._replica = replica
         self._wall = wall
         self._now = now
@@ -130,9 +130,9 @@
         """Propose what waits, and log the load if it is time."""
         self._now = now
         if self._replica.leads:
-            self.gate.tick(self._replica.state(), self._leader_time())
+            self.admission.tick(self._replica.state(), self._leader_time())
         else:
-            self.gate.reset()
+            self.admission.reset()
         lines = self.load.report(now, len(self._waiting))
         return [*self.propose(now), *lines, *self.places.report(now)]
 
@@ -199,7 +199,7 @@
         self._waiting[key] = _Waiting(operation, self._now, [asker], is_copied)
         if len(self._waiting) > MAX_BATCHED_OPERATIONS:
             oldest = self._waiting.pop(next(iter(self._waiting)))
-            self.gate.cancel(oldest.operation)
+            self.admission.cancel(oldest.operation)
         return []
 
     def _refusal(self, operation: Operation) -> tuple[QuotaSpent | None, list[LogRecord]]:
@@ -208,7 +208,7 @@
         Repetitions were answered before: they are on their way into the log, or in the state.
         """
         replica = self._replica
-        return self.gate.refusal(
+        return self.admission.refusal(
             operation, replica.state(), replica.group.term, self._leader_time()
         )
 
@@ -237,7 +237,7 @@
 
     def _note_result(self, operation: Operation, result: OperationResult | None) -> None:
         replica = self._replica
-        self.gate.note_result(operation, result, replica.state(), replica.group.term)
+        self.admission.note_result(operation, result, replica.state(), replica.group.term)
 
     def _note_drawn(self, operation: Operation) -> None:
         self._drawn[_key_of(operation)] = None
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -18,6 +18,7 @@
     StopRequested,
 )
 from yokeline.identifiers import NodeName, ReplicaId, node_name_of
+from yokeline.ledger.admission_controller import CAUSES
 from yokeline.ledger.bootstrap import Bootstrap
 from yokeline.ledger.history_service import HistoryService
 from yokeline.ledger.joining import JoinRequester
@@ -41,7 +42,6 @@
     ReplicaMessage,
     TextCopy,
 )
-from yokeline.ledger.program_gate import CAUSES
 from yokeline.ledger.replica import LedgerReplica
 from yokeline.ledger.request_batches import RequestBatches
 from yokeline.registry.client import RegistryClient
@@ -408,7 +408,7 @@
         "yokeline_ledger_commit_index": float(node.replica.group.commit_index),
         "yokeline_ledger_leads": float(node.replica.leads),
         "yokeline_ledger_turns_under_way": float(len(node.batches.turns)),
-        "yokeline_ledger_claims": float(node.batches.gate.claims),
+        "yokeline_ledger_claims": float(node.batches.admission.claims),
         "yokeline_ledger_members": float(len(node.replica.group.members)),
     }
     gauges.update(node.phases.gauges())
@@ -420,5 +420,5 @@
     }
     for cause in CAUSES:
         name = f'yokeline_ledger_programs_refused_total{{cause="{cause}"}}'
-        counters[name] = float(node.batches.gate.refused[cause])
+        counters[name] = float(node.batches.admission.refused[cause])
     return NodeFigures(counters=counters, gauges=gauges)
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -23,6 +23,7 @@
 from yokeline.consensus.types import RaftRole
 from yokeline.effects import Address, Effect, SendPeer
 from yokeline.identifiers import ReplicaId
+from yokeline.ledger.admission_controller import CAUSE_CLAIMS, AdmissionController
 from yokeline.ledger.claims import MAX_TURN_SECONDS, ClaimTracker
 from yokeline.ledger.messages import LedgerReply, LedgerRequest
 from yokeline.ledger.operations import (
@@ -36,7 +37,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import CAUSE_CLAIMS, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.request_batches import RequestBatches
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
@@ -254,9 +254,9 @@
 
     def hand(self, number: int, operation: Operation) -> None:
         request = LedgerRequest(number=number, asker=_ASKER, operations=(operation,))
-        refused = self.batches.gate.refused[CAUSE_CLAIMS]
+        refused = self.batches.admission.refused[CAUSE_CLAIMS]
         effects = self.batches.take(ReplicaId("edge~1"), request, self.local())
-        if self.batches.gate.refused[CAUSE_CLAIMS] > refused and self.is_granted(operation):
+        if self.batches.admission.refused[CAUSE_CLAIMS] > refused and self.is_granted(operation):
             self.wrongly_refused.append(operation.request_id)
         self.note_proposals()
         self.take(effects)
@@ -320,7 +320,7 @@
         self.commit_all()
         self.now += MAX_TURN_SECONDS + 1.0
         self.batches.tick(self.local())
-        return self.batches.gate.claims
+        return self.batches.admission.claims
 
     def commit_all(self) -> None:
         for _ in range(100):
@@ -380,7 +380,7 @@
     def test_programs_are_refused_by_claims_in_them(self) -> None:
         world = _World(1)
         world.run()
-        self.assertGreater(world.batches.gate.refused[CAUSE_CLAIMS], 0)
+        self.assertGreater(world.batches.admission.refused[CAUSE_CLAIMS], 0)
         self.assertGreater(world.began["small"], 30)
         self.assertGreater(world.began["large"], 3)
 
@@ -424,14 +424,14 @@
         seen = itertools.count()
 
         def refused_blindly(
-            gate: ProgramGate, operation: Operation, *others: object
+            gate: AdmissionController, operation: Operation, *others: object
         ) -> tuple[QuotaSpent | None, list[object]]:
             if not isinstance(operation, Reserve) or next(seen) % 3:
                 return None, []
             gate.refused[CAUSE_CLAIMS] += 1
             return QuotaSpent(retry_after=0.1, is_empty=False), []
 
-        with patch.object(ProgramGate, "refusal", refused_blindly):
+        with patch.object(AdmissionController, "refusal", refused_blindly):
             self.assertTrue(self.caught("repetition refused"))
 
     def test_a_result_that_depends_on_what_the_earlier_build_does_not_know(self) -> None:
--- a/tests/unit/ledger/test_program_gate.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -10,6 +10,11 @@
 from tests.unit.ledger.test_storage_nodes import StorageCase
 from yokeline.effects import Address, LogRecord, PeerMessage
 from yokeline.identifiers import ReplicaId
+from yokeline.ledger.admission_controller import (
+    CAUSE_CLAIMS,
+    MAX_LOG_RECORDS_PER_SECOND,
+    AdmissionController,
+)
 from yokeline.ledger.claims import MAX_IDLE_SECONDS, MAX_TURN_SECONDS
 from yokeline.ledger.codec import decode_command, decode_state, encode_command, encode_state
 from yokeline.ledger.messages import LedgerRequest
@@ -25,7 +30,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import CAUSE_CLAIMS, MAX_LOG_RECORDS_PER_SECOND, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program, StoredTurn
 from yokeline.ledger.storage_node import storage_figures
@@ -49,24 +53,24 @@
     )
 
 
-class GateCase(unittest.TestCase):
+class AdmissionCase(unittest.TestCase):
     def setUp(self) -> None:
         self.state = LedgerState()
-        self.gate = ProgramGate()
+        self.controller = AdmissionController()
         self.now = 0.0
         self.lines: list[LogRecord] = []
 
     def ask(self, operation: Reserve | Draw | Settle) -> OperationResult:
         """Ask the gate, and commit what it lets through."""
-        self.gate.tick(self.state, self.now)
-        spent, lines = self.gate.refusal(operation, self.state, TERM, self.now)
+        self.controller.tick(self.state, self.now)
+        spent, lines = self.controller.refusal(operation, self.state, TERM, self.now)
         self.lines.extend(lines)
         return spent if spent is not None else self.commit(operation)
 
     def commit(self, operation: Reserve | Draw | Settle) -> OperationResult:
         command = LedgerCommand(time=self.now, operations=(operation,), passed=self.now)
         (result,) = self.state.transition_apply(command)
-        self.gate.note_result(operation, result, self.state, TERM)
+        self.controller.note_result(operation, result, self.state, TERM)
         return result
 
     def run_program(self, name: str, limit: RateLimit) -> None:
@@ -85,7 +89,7 @@
         return [self.ask(first_turn(f"new{number}")) for number in range(count)]
 
 
-class Gate(GateCase):
+class Admission(AdmissionCase):
     def test_new_programs_are_let_in_while_their_size_is_not_known(self) -> None:
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
@@ -120,16 +124,16 @@
             self.run_program(name, WIDE)
             more = msgspec.structs.replace(first_turn(name, WIDE, f"{name}/more"), tokens=10**7)
             self.assertIsInstance(self.ask(more), BudgetSpent)
-        self.assertEqual(self.gate.claims, 0)
+        self.assertEqual(self.controller.claims, 0)
         self.now += MAX_IDLE_SECONDS
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
     def test_a_program_on_its_way_into_the_log_is_not_new(self) -> None:
         self.learn()
-        self.assertIsNone(self.gate.refusal(first_turn("a"), self.state, TERM, self.now)[0])
+        self.assertIsNone(self.controller.refusal(first_turn("a"), self.state, TERM, self.now)[0])
         self.begin(50)
         sub_agent = first_turn("a", request="sub-agent")
-        self.assertIsNone(self.gate.refusal(sub_agent, self.state, TERM, self.now)[0])
+        self.assertIsNone(self.controller.refusal(sub_agent, self.state, TERM, self.now)[0])
 
     def test_claims_of_programs_that_rest_let_others_in(self) -> None:
         self.learn()
@@ -159,7 +163,7 @@
         self.learn()
         results = self.begin(300)
         refused = sum(isinstance(item, QuotaSpent) for item in results)
-        self.assertEqual(self.gate.refused[CAUSE_CLAIMS], refused)
+        self.assertEqual(self.controller.refused[CAUSE_CLAIMS], refused)
         self.assertEqual(len(self.lines), MAX_LOG_RECORDS_PER_SECOND)
         fields = self.lines[0].fields
         self.assertEqual((fields["expected_requests"], fields["claims"]), (SIZE, 200 // SIZE))
@@ -171,22 +175,22 @@
         )
 
 
-class NewLeader(GateCase):
-    def successor(self, *, has_committed: bool) -> ProgramGate:
+class NewLeader(AdmissionCase):
+    def successor(self, *, has_committed: bool) -> AdmissionController:
         """Return the gate of a new leader, which has applied an entry of its term or not yet."""
-        gate = ProgramGate()
+        controller = AdmissionController()
         if has_committed:
             settle = Settle(request_id="x", program="y")
-            gate.note_result(settle, self.state._apply(settle), self.state, TERM + 1)
-        gate.tick(self.state, self.now)
-        return gate
+            controller.note_result(settle, self.state._apply(settle), self.state, TERM + 1)
+        controller.tick(self.state, self.now)
+        return controller
 
     def test_it_makes_sizes_and_claims_from_the_state(self) -> None:
         self.learn()
         self.begin(10)
-        gate = self.successor(has_committed=True)
-        self.assertEqual(gate.claims, self.gate.claims)
-        spent, _lines = gate.refusal(first_turn("late"), self.state, TERM + 1, self.now)
+        controller = self.successor(has_committed=True)
+        self.assertEqual(controller.claims, self.controller.claims)
+        spent, _lines = controller.refusal(first_turn("late"), self.state, TERM + 1, self.now)
         self.assertIsInstance(spent, QuotaSpent)
 
     def test_it_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
@@ -194,15 +198,15 @@
         self.learn()
         self.begin(10)
         late = first_turn("late")
-        for gate in (self.successor(has_committed=False), self.gate):
-            spent, _lines = gate.refusal(late, self.state, TERM + 1, self.now)
+        for controller in (self.successor(has_committed=False), self.controller):
+            spent, _lines = controller.refusal(late, self.state, TERM + 1, self.now)
             self.assertIsNone(spent)
 
     def test_one_that_leads_no_more_holds_nothing(self) -> None:
         self.learn()
         self.begin(10)
-        self.gate.reset()
-        self.assertEqual(self.gate.claims, 0)
+        self.controller.reset()
+        self.assertEqual(self.controller.claims, 0)
 
 
 class Wiring(StorageCase):
@@ -260,9 +264,9 @@
                 cluster.kill(leader)
                 leader = self.leader(cluster)
             assert leader.node is not None
-            refused = leader.node.batches.gate.refused[CAUSE_CLAIMS]
+            refused = leader.node.batches.admission.refused[CAUSE_CLAIMS]
             self.hand(cluster, leader, asked, number=2)
-            self.assertEqual(leader.node.batches.gate.refused[CAUSE_CLAIMS], refused)
+            self.assertEqual(leader.node.batches.admission.refused[CAUSE_CLAIMS], refused)
             self.assertIsInstance(cluster.ask(asked), Granted)
 
     def test_a_new_leader_goes_on_with_the_claims(self) -> None:
@@ -322,7 +326,7 @@
     quotas: TenantQuotas = msgspec.field(default_factory=TenantQuotas)
 
 
-class EarlierBuilds(GateCase):
+class EarlierBuilds(AdmissionCase):
     """Replicas of the release before run side by side with this one during an upgrade."""
 
     def setUp(self) -> None:
