--- a/src/yokeline/ledger/leader_load.py
+++ b/src/yokeline/ledger/leader_load.py
@@ -32,7 +32,7 @@
             self._counts["settlements"] += 1
             self._counts["turns_to_keep"] += operation.turn is not None
 
-    def note_repetition(self, stage: str) -> None:
+    def note_duplicate(self, stage: str) -> None:
         """Count an operation that came again; ``stage`` says where its first copy stands."""
         self._counts[f"repeated_{stage}"] += 1
 
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -33,13 +33,13 @@
 from yokeline.ledger.tenant_places import TenantPlaces
 from yokeline.ledger.turns_under_way import TurnsUnderWay
 
-MAX_BATCHED_OPERATIONS = 1024
+MAX_QUEUED_OPERATIONS = 1024
 """Operations that may wait for an entry under way; the oldest give way, as their askers have."""
 MAX_BATCH_BYTES = 64 * 1024
 """Bytes of an entry after which the next operation goes into the next one: heartbeats wait behind
 an entry on its way to the followers."""
 
-MAX_DRAWN = 4096
+MAX_RECENT_DRAWS = 4096
 """Draws whose results are remembered, so that a repetition takes no second token: at 200 a second
 those of the last 20 s, longer than any of them is repeated. A new leader remembers none."""
 
@@ -47,7 +47,7 @@
 """Kind and request id: two operations of one key are the same one."""
 
 
-class Asker(msgspec.Struct, frozen=True):
+class Requester(msgspec.Struct, frozen=True):
     """Who waits for the result of an operation.
 
     Attributes:
@@ -59,7 +59,7 @@
     number: int
 
 
-class _Waiting(msgspec.Struct):
+class _QueuedOperation(msgspec.Struct):
     """An operation without a result yet, when it came first, and who asked for it.
 
     Attributes:
@@ -68,12 +68,12 @@
 
     operation: Operation
     since: float
-    askers: list[Asker]
+    requesters: list[Requester]
     is_copied: bool = False
 
-    def add_asker(self, asker: Asker) -> None:
-        if asker not in self.askers:
-            self.askers.append(asker)
+    def add_requester(self, requester: Requester) -> None:
+        if requester not in self.requesters:
+            self.requesters.append(requester)
 
 
 class RequestBatches:
@@ -97,16 +97,16 @@
         self._replica = replica
         self._wall = wall
         self._now = now
-        self._waiting: dict[OperationKey, _Waiting] = {}
-        self._proposed: dict[OperationKey, _Waiting] = {}
-        self._told: tuple[EngineTurns, ...] | None = None
+        self._queued: dict[OperationKey, _QueuedOperation] = {}
+        self._proposed: dict[OperationKey, _QueuedOperation] = {}
+        self._engines: tuple[EngineTurns, ...] | None = None
         self._leadership_clock = LeadershipClock()
-        self._drawn: OrderedDict[OperationKey, None] = OrderedDict()
+        self._recent_draws: OrderedDict[OperationKey, None] = OrderedDict()
 
     def note_time(self, now: float) -> None:
         """Note the time of the event that is being handled; answers may come of it."""
         self._now = now
-        self._told = None
+        self._engines = None
 
     def take(self, sender: ReplicaId, request: LedgerRequest, now: float) -> list[Effect]:
         """Take a request in, with its report of turns.
@@ -116,14 +116,14 @@
         self.note_time(now)
         self._take_turns(sender, request, now)
         self._take_relayed_turns(request, now)
-        asker = Asker(sender, request.asker, request.number)
+        requester = Requester(sender, request.asker, request.number)
         effects: list[Effect] = []
         if request.wants_engines is True and self._replica.leads:
-            effects.append(self._tell_engines(asker))
+            effects.append(self._engines_reply(requester))
         for operation in request.operations:
             self.operations += 1
             self.load.note_operation(operation)
-            effects.extend(self._take_operation(asker, operation, request.is_copied))
+            effects.extend(self._take_operation(requester, operation, request.is_copied))
         return [*effects, *self.propose(now)]
 
     def tick(self, now: float) -> list[Effect]:
@@ -133,15 +133,15 @@
             self.admission.tick(self._replica.state(), self._leader_time())
         else:
             self.admission.reset()
-        lines = self.load.report(now, len(self._waiting))
+        lines = self.load.report(now, len(self._queued))
         return [*self.propose(now), *lines, *self.places.report(now)]
 
     def propose(self, now: float) -> list[Effect]:
         """Propose what waits, up to a size, unless an entry is under way."""
         self._now = now
-        if self._proposed or not self._waiting:
+        if self._proposed or not self._queued:
             return []
-        oldest_wait = now - next(iter(self._waiting.values())).since
+        oldest_wait = now - next(iter(self._queued.values())).since
         batch = self._take_batch()
         operations = tuple(item.operation for item in batch)
         size = sum(size_of(operation) for operation in operations)
@@ -181,24 +181,28 @@
         if relayed.tenant_loads is not None:
             self.places.take(relayed.process, relayed.turns.sequence, relayed.tenant_loads, now)
 
-    def _take_operation(self, asker: Asker, operation: Operation, is_copied: bool) -> list[Effect]:
+    def _take_operation(
+        self, requester: Requester, operation: Operation, is_copied: bool
+    ) -> list[Effect]:
         key = _key_of(operation)
-        for stage, known in (("waiting", self._waiting), ("proposed", self._proposed)):
+        for stage, known in (("waiting", self._queued), ("proposed", self._proposed)):
             if key in known:
-                known[key].add_asker(asker)
-                self.load.note_repetition(stage)
+                known[key].add_requester(requester)
+                self.load.note_duplicate(stage)
                 return []
-        result = Drawn() if key in self._drawn else self._replica.state().known_result(operation)
+        result = (
+            Drawn() if key in self._recent_draws else self._replica.state().known_result(operation)
+        )
         if result is not None and self._replica.leads:
-            self.load.note_repetition("applied")
-            return [self._reply(asker, result)]
+            self.load.note_duplicate("applied")
+            return [self._reply(requester, result)]
         if self._replica.leads:
             spent, lines = self._refusal(operation)
             if spent is not None:
-                return [*lines, self._reply(asker, spent)]
-        self._waiting[key] = _Waiting(operation, self._now, [asker], is_copied)
-        if len(self._waiting) > MAX_BATCHED_OPERATIONS:
-            oldest = self._waiting.pop(next(iter(self._waiting)))
+                return [*lines, self._reply(requester, spent)]
+        self._queued[key] = _QueuedOperation(operation, self._now, [requester], is_copied)
+        if len(self._queued) > MAX_QUEUED_OPERATIONS:
+            oldest = self._queued.pop(next(iter(self._queued)))
             self.admission.cancel(oldest.operation)
         return []
 
@@ -212,19 +216,19 @@
             operation, replica.state(), replica.group.term, self._leader_time()
         )
 
-    def _take_batch(self) -> list[_Waiting]:
+    def _take_batch(self) -> list[_QueuedOperation]:
         """Take the oldest operations that fit an entry out of those that wait."""
         size = 0
-        while self._waiting and size < MAX_BATCH_BYTES:
-            key = next(iter(self._waiting))
-            self._proposed[key] = self._waiting.pop(key)
+        while self._queued and size < MAX_BATCH_BYTES:
+            key = next(iter(self._queued))
+            self._proposed[key] = self._queued.pop(key)
             size += size_of(self._proposed[key].operation)
         return list(self._proposed.values())
 
     # ------------------------------------------------------------ answers out
 
     def _answer(
-        self, batch: list[_Waiting], results: tuple[OperationResult, ...] | None
+        self, batch: list[_QueuedOperation], results: tuple[OperationResult, ...] | None
     ) -> list[Effect]:
         effects: list[Effect] = []
         for number, item in enumerate(batch):
@@ -232,7 +236,7 @@
             self._note_result(item.operation, result)
             if isinstance(result, Drawn):
                 self._note_drawn(item.operation)
-            effects.extend(self._reply(asker, result) for asker in item.askers)
+            effects.extend(self._reply(requester, result) for requester in item.requesters)
         return effects
 
     def _note_result(self, operation: Operation, result: OperationResult | None) -> None:
@@ -240,43 +244,43 @@
         self.admission.note_result(operation, result, replica.state(), replica.group.term)
 
     def _note_drawn(self, operation: Operation) -> None:
-        self._drawn[_key_of(operation)] = None
-        if len(self._drawn) > MAX_DRAWN:
-            self._drawn.popitem(last=False)
+        self._recent_draws[_key_of(operation)] = None
+        if len(self._recent_draws) > MAX_RECENT_DRAWS:
+            self._recent_draws.popitem(last=False)
 
-    def _reply(self, asker: Asker, result: OperationResult | None) -> Effect:
+    def _reply(self, requester: Requester, result: OperationResult | None) -> Effect:
         is_granted = isinstance(result, Granted)
         reply = LedgerReply(
-            number=asker.number,
+            number=requester.number,
             results=() if result is None else (result,),
             leader=self._replica.leader_hint(),
             term=self._replica.group.term,
-            engines=self._engines_now() if is_granted else (),
+            engines=self._current_engines() if is_granted else (),
             copies_to=self._replica.copies_to(self._now) if is_granted else (),
-            shares=self._shares_now() if is_granted else UNSET,
+            shares=self._current_shares() if is_granted else UNSET,
         )
         self.load.note_reply(reply)
-        return SendPeer(to=asker.process, address=asker.address, message=reply)
+        return SendPeer(to=requester.process, address=requester.address, message=reply)
 
-    def _tell_engines(self, asker: Asker) -> Effect:
+    def _engines_reply(self, requester: Requester) -> Effect:
         """Tell a node of engines that has asked for nothing else."""
         reply = LedgerReply(
-            number=asker.number,
+            number=requester.number,
             leader=self._replica.leader_hint(),
             term=self._replica.group.term,
-            engines=self._engines_now(),
-            shares=self._shares_now(),
+            engines=self._current_engines(),
+            shares=self._current_shares(),
         )
         self.load.note_reply(reply)
-        return SendPeer(to=asker.process, address=asker.address, message=reply)
+        return SendPeer(to=requester.process, address=requester.address, message=reply)
 
-    def _engines_now(self) -> tuple[EngineTurns, ...]:
+    def _current_engines(self) -> tuple[EngineTurns, ...]:
         """Return what is known of engines, worked out once for all answers of one moment."""
-        if self._told is None:
-            self._told = self.turns.engines(self._now)
-        return self._told
+        if self._engines is None:
+            self._engines = self.turns.engines(self._now)
+        return self._engines
 
-    def _shares_now(self) -> tuple[PoolShares, ...] | UnsetType:
+    def _current_shares(self) -> tuple[PoolShares, ...] | UnsetType:
         """Return how places are shared; nothing until a node has told of tenants."""
         return self.places.shares(self._now) if self.places.is_used else UNSET
 
@@ -285,7 +289,7 @@
     return (type(operation).__name__, operation.request_id)
 
 
-def _copied_turn(item: _Waiting) -> KeptTurn | None:
+def _copied_turn(item: _QueuedOperation) -> KeptTurn | None:
     """Return the turn of an operation whose text followers get from its node."""
     if not item.is_copied or not isinstance(item.operation, Settle):
         return None
