--- a/src/yokeline/ledger/disk_records.py
+++ b/src/yokeline/ledger/disk_records.py
@@ -74,7 +74,7 @@
 )
 
 
-class _Box(msgspec.Struct, frozen=True, array_like=True):
+class _RecordEnvelope(msgspec.Struct, frozen=True, array_like=True):
     record: DiskRecord
 
 
@@ -97,8 +97,8 @@
 
 def encode_record(record: DiskRecord) -> bytes:
     """Return the bytes of one record."""
-    plain = msgspec.to_builtins(_Box(record), builtin_types=(bytes,))
-    payload = ormsgpack.packb(plain, option=ormsgpack.OPT_NON_STR_KEYS)
+    fields = msgspec.to_builtins(_RecordEnvelope(record), builtin_types=(bytes,))
+    payload = ormsgpack.packb(fields, option=ormsgpack.OPT_NON_STR_KEYS)
     return _PREFIX.pack(len(payload), xxhash.xxh32_intdigest(payload)) + payload
 
 
@@ -112,15 +112,15 @@
     offset = 0
     while (payload := _payload_at(data, offset)) is not None:
         try:
-            plain = ormsgpack.unpackb(payload, option=ormsgpack.OPT_NON_STR_KEYS)
-            box = msgspec.convert(plain, _Box, builtin_types=(bytes,))
+            fields = ormsgpack.unpackb(payload, option=ormsgpack.OPT_NON_STR_KEYS)
+            envelope = msgspec.convert(fields, _RecordEnvelope, builtin_types=(bytes,))
         except (ormsgpack.MsgpackDecodeError, msgspec.ValidationError) as error:
-            return Failure(_not_understood(offset, error))
-        _take(log, box.record)
+            return Failure(_unreadable_log(offset, error))
+        _apply_record(log, envelope.record)
         offset += _PREFIX.size + len(payload)
     log.valid_bytes = offset
     if log.replica is None and log.valid_bytes:
-        return Failure(_not_understood(0, ValueError("the first record is no identity")))
+        return Failure(_unreadable_log(0, ValueError("the first record is no identity")))
     return Success(log)
 
 
@@ -136,7 +136,7 @@
     return payload
 
 
-def _take(log: RecoveredLog, record: DiskRecord) -> None:
+def _apply_record(log: RecoveredLog, record: DiskRecord) -> None:
     if isinstance(record, IdentityRecord):
         log.replica = record.replica
         log.first_start = record.first_start
@@ -145,14 +145,14 @@
     elif isinstance(record, HardStateRecord):
         log.hard_state = record.hard_state
     elif isinstance(record, EntriesRecord):
-        _take_entries(log, record.entries)
+        _append_entries(log, record.entries)
     elif isinstance(record, SnapshotRecord):
-        _take_snapshot(log, record.snapshot)
+        _apply_snapshot(log, record.snapshot)
     else:
         log.addresses = record.addresses
 
 
-def _take_entries(log: RecoveredLog, entries: tuple[LogEntry, ...]) -> None:
+def _append_entries(log: RecoveredLog, entries: tuple[LogEntry, ...]) -> None:
     if not entries:
         return
     first = entries[0].index
@@ -161,15 +161,15 @@
     log.entries.extend(entries)
 
 
-def _take_snapshot(log: RecoveredLog, snapshot: Snapshot) -> None:
+def _apply_snapshot(log: RecoveredLog, snapshot: Snapshot) -> None:
     log.snapshot = snapshot
-    at_end = [entry for entry in log.entries if entry.index == snapshot.last_index]
-    follows = bool(at_end) and at_end[0].term == snapshot.last_term
+    covered = [entry for entry in log.entries if entry.index == snapshot.last_index]
+    follows = bool(covered) and covered[0].term == snapshot.last_term
     later = [entry for entry in log.entries if entry.index > snapshot.last_index]
     log.entries = later if follows else []
 
 
-def _not_understood(offset: int, error: Exception) -> YokelineError:
+def _unreadable_log(offset: int, error: Exception) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_SETTING,
         message=f"the replica's log file is not understood at byte {offset}: {error}",
--- a/src/yokeline/ledger/operations.py
+++ b/src/yokeline/ledger/operations.py
@@ -111,14 +111,14 @@
 
 Operation = Reserve | Settle | Draw
 
-_FIELDS_BYTES = 150
+_FIXED_BYTES = 150
 
 
-def size_of(operation: Operation) -> int:
+def approximate_size(operation: Operation) -> int:
     """Return about how many bytes an operation takes in a message or a log entry."""
     if isinstance(operation, Settle) and operation.turn is not None:
-        return _FIELDS_BYTES + len(operation.turn.text)
-    return _FIELDS_BYTES
+        return _FIXED_BYTES + len(operation.turn.text)
+    return _FIXED_BYTES
 
 
 class Granted(msgspec.Struct, frozen=True, kw_only=True, tag="granted"):
--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -57,27 +57,27 @@
     def __init__(self) -> None:
         """Have no turn under way."""
         self.dropped = 0
-        self.earlier_name: Callable[[str, float], str] = _no_other_name
+        self.earlier_name: Callable[[str, float], str] = _no_earlier_name
         self.tenants: TenantLoadSource | None = None
-        self._told_changes = 0
-        self._rows_at = float("-inf")
-        self._lacks_rows = False
+        self._reported_changes = 0
+        self._rows_reported_at = float("-inf")
+        self._owes_rows = False
         self._running: dict[str, str] = {}
         self._served: list[TurnServed] = []
         self._sequence = 0
-        self._has_news = False
+        self._has_changes = False
         self._reported_at = float("-inf")
 
     def begin(self, request_id: str, engine_id: str) -> None:
         """Note that a turn was sent to an engine."""
         self._running[request_id] = engine_id
-        self._has_news = True
+        self._has_changes = True
 
     def end(self, request_id: str, served: TurnServed) -> None:
         """Note that a turn left its engine, and how it was served."""
         self._running.pop(request_id, None)
         self._note_served(served)
-        self._has_news = True
+        self._has_changes = True
 
     def end_call(self, served: TurnServed) -> None:
         """Note how an engine served a request that is no turn; a failure is told at once.
@@ -85,7 +85,7 @@
         The others go with the next report: the leader counts no calls under way.
         """
         self._note_served(served)
-        self._has_news = self._has_news or served.failed
+        self._has_changes = self._has_changes or served.failed
 
     def _note_served(self, served: TurnServed) -> None:
         self._served.append(served)
@@ -95,15 +95,15 @@
 
     def leader_changed(self) -> None:
         """Report soon, since a new leader knows nothing of this node."""
-        self._has_news = self._has_news or self._has_load()
-        self._rows_at = float("-inf")
+        self._has_changes = self._has_changes or self._has_load()
+        self._rows_reported_at = float("-inf")
 
     def report_due(self) -> float | None:
         """Return when a report is due; None while there is nothing to tell."""
-        if self._has_news:
+        if self._has_changes:
             return float("-inf")
-        if self._lacks_rows or self._tenants_changed():
-            return self._rows_at + ROWS_SECONDS
+        if self._owes_rows or self._tenants_changed():
+            return self._rows_reported_at + ROWS_SECONDS
         return self._reported_at + REFRESH_SECONDS if self._has_load() else None
 
     def take_report(self, now: float) -> NodeTurns | None:
@@ -112,7 +112,7 @@
         if due is None or now < due:
             return None
         served, self._served = tuple(self._served), []
-        self._has_news = False
+        self._has_changes = False
         self._reported_at = now
         self._sequence += 1
         return NodeTurns(sequence=self._sequence, loads=self._loads(now), served=served)
@@ -132,13 +132,13 @@
         then, with a report of their own if need be.
         """
         if self.tenants is None or not self.tenants.is_used:
-            self._lacks_rows = False
+            self._owes_rows = False
             return UNSET
-        self._lacks_rows = now < self._rows_at + ROWS_SECONDS
-        if self._lacks_rows:
+        self._owes_rows = now < self._rows_reported_at + ROWS_SECONDS
+        if self._owes_rows:
             return UNSET
-        self._rows_at = now
-        self._told_changes = self.tenants.changes
+        self._rows_reported_at = now
+        self._reported_changes = self.tenants.changes
         return self.tenants.rows()
 
     def _has_load(self) -> bool:
@@ -151,7 +151,7 @@
         tenants = self.tenants
         if tenants is None or not tenants.is_used:
             return False
-        return tenants.changes != self._told_changes
+        return tenants.changes != self._reported_changes
 
     def _loads(self, now: float) -> tuple[EngineLoad, ...]:
         counts = Counter(self._running.values())
@@ -162,5 +162,5 @@
         return tuple(EngineLoad(name, count) for name, count in counts.items())
 
 
-def _no_other_name(_name: str, _now: float) -> str:
+def _no_earlier_name(_name: str, _now: float) -> str:
     return ""
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -26,7 +26,7 @@
     OperationResult,
     QuotaSpent,
     Settle,
-    size_of,
+    approximate_size,
 )
 from yokeline.ledger.quotas import LeadershipClock
 from yokeline.ledger.replica import LedgerReplica
@@ -144,7 +144,7 @@
         oldest_wait = now - next(iter(self._queued.values())).since
         batch = self._take_batch()
         operations = tuple(item.operation for item in batch)
-        size = sum(size_of(operation) for operation in operations)
+        size = sum(approximate_size(operation) for operation in operations)
 
         def answer(results: tuple[OperationResult, ...] | None) -> list[Effect]:
             self._proposed.clear()
@@ -222,7 +222,7 @@
         while self._queued and size < MAX_BATCH_BYTES:
             key = next(iter(self._queued))
             self._proposed[key] = self._queued.pop(key)
-            size += size_of(self._proposed[key].operation)
+            size += approximate_size(self._proposed[key].operation)
         return list(self._proposed.values())
 
     # ------------------------------------------------------------ answers out
--- a/src/yokeline/ledger/state.py
+++ b/src/yokeline/ledger/state.py
@@ -84,7 +84,7 @@
         self.requests += 1
         self.active_at = at
 
-    def counted(self) -> int:
+    def committed_tokens(self) -> int:
         """Return the tokens that count against the budget, open turns at their most."""
         return self.spent + sum(self.reserved.values())
 
@@ -148,9 +148,9 @@
         if operation.is_owed:
             self.quotas.transition_owe(operation.limit)
             return Drawn()
-        beyond_limit = self.quotas.transition_draw(operation.limit, is_new=False)
-        if beyond_limit is not None:
-            return beyond_limit
+        refusal = self.quotas.transition_draw(operation.limit, is_new=False)
+        if refusal is not None:
+            return refusal
         program = self.programs.get(operation.program)
         if program is not None:
             program.note_request(self.quotas.time)
@@ -191,7 +191,7 @@
 
     def _granted(self, program: Program, operation: Reserve) -> Granted:
         return Granted(
-            spent=program.counted(),
+            spent=program.committed_tokens(),
             turns=self.chain(operation.missing_from),
             context=program.context_of(operation.session),
         )
@@ -204,15 +204,15 @@
         if not operation.program:
             return self._draw(operation) or Granted(turns=turns)
         program = self.programs.setdefault(operation.program, Program())
-        self._touch(program, operation.retention)
+        self._extend_expiry(program, operation.retention)
         if program.knows(operation.request_id):
             return self._granted(program, operation)
-        spent = program.counted()
+        spent = program.committed_tokens()
         if spent + operation.tokens > operation.budget:
             return BudgetSpent(spent=spent)
-        beyond_limit = self._draw(operation)
-        if beyond_limit is not None:
-            return beyond_limit
+        refusal = self._draw(operation)
+        if refusal is not None:
+            return refusal
         program.reserved[operation.request_id] = operation.tokens
         if operation.limit is not None:
             program.tenant = operation.limit.tenant
@@ -232,7 +232,7 @@
         """Count what was generated instead of the reservation; keep the turn if there is one."""
         if operation.program:
             program = self.programs.setdefault(operation.program, Program())
-            self._touch(program, program.retention)
+            self._extend_expiry(program, program.retention)
             if operation.request_id not in program.settled:
                 program.reserved.pop(operation.request_id, None)
                 program.settled.append(operation.request_id)
@@ -241,14 +241,14 @@
             if operation.context is not None:
                 program.note_context(operation.session, operation.context)
         if operation.turn is not None:
-            self._keep(operation.turn)
+            self._retain_turn(operation.turn)
         return Settled()
 
-    def _touch(self, program: Program, retention: float) -> None:
+    def _extend_expiry(self, program: Program, retention: float) -> None:
         program.retention = retention
         program.expires = max(program.expires, self.time + retention + EXPIRY_SLACK_SECONDS)
 
-    def _keep(self, turn: KeptTurn) -> None:
+    def _retain_turn(self, turn: KeptTurn) -> None:
         """Keep a turn, and its chain at least as long."""
         expires = self.time + turn.retention + EXPIRY_SLACK_SECONDS
         if turn.turn_id not in self.turns:
--- a/tests/unit/ledger/test_earlier_release.py
+++ b/tests/unit/ledger/test_earlier_release.py
@@ -47,7 +47,7 @@
         again = LedgerCommand(time=1003.0, operations=(release_samples.SETTLE,), passed=4.0)
         kept.transition_apply(again)
         program = kept.programs["p"]
-        self.assertEqual((program.spent, program.counted()), (40, 90))
+        self.assertEqual((program.spent, program.committed_tokens()), (40, 90))
         known = kept.known_result(release_samples.OPEN)
         assert isinstance(known, Granted)
         self.assertEqual(kept.turns["k1"].turn, release_samples.TURN)
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -217,14 +217,14 @@
         self.assertIsInstance(fleet.ask(edge, settle), Settled)
         fleet.run(1.0)
         self.assertGreater(fleet.taken.count(settle), 1, "both ways were used")
-        self.assertEqual(fleet.ledger.programs["p"].counted(), 40)
+        self.assertEqual(fleet.ledger.programs["p"].committed_tokens(), 40)
 
     def test_a_reservation_that_arrives_after_its_release_reserves_nothing(self) -> None:
         fleet = Fleet()
         late = reserve("a")
         for operation in (late, Settle(request_id="a", program="p", tokens=0), late):
             fleet.ask(fleet.edges[1], operation)
-        self.assertEqual(fleet.ledger.programs["p"].counted(), 0)
+        self.assertEqual(fleet.ledger.programs["p"].committed_tokens(), 0)
 
     def test_a_direct_answer_ends_the_detour(self) -> None:
         fleet = Fleet()
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -204,7 +204,7 @@
         entries = leader.node.replica.group.last_index - before
         self.assertLessEqual(entries, 3)
         programs = leader.node.replica.state().programs
-        self.assertEqual({programs[f"r{number}"].counted() for number in range(20)}, {100})
+        self.assertEqual({programs[f"r{number}"].committed_tokens() for number in range(20)}, {100})
 
 
 class TurnsOfCutOffNodes(StorageCase):
