--- a/tests/unit/ledger/cluster.py
+++ b/tests/unit/ledger/cluster.py
@@ -45,8 +45,8 @@
 from yokeline.start_phases import StartPhases
 
 WALL_START = 1_000_000.0
-_EDGE = ReplicaId("edge~1")
-_EDGE_ADDRESS = Address("10.0.9.9", 1)
+_DEFAULT_EDGE = ReplicaId("edge~1")
+_DEFAULT_EDGE_ADDRESS = Address("10.0.9.9", 1)
 _CODEC = LedgerCodec()
 
 
@@ -74,7 +74,7 @@
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
-        self._recipes: dict[RequestId, Callable[[], RegistryAnswer | None]] = {}
+        self._pending_answers: dict[RequestId, Callable[[], RegistryAnswer | None]] = {}
 
     def list_call(
         self, request: RequestId, prefix: str, after_key: str, *, may_lag: bool
@@ -112,17 +112,17 @@
         return self._call(request, answer)
 
     def read_answer(self, response: HttpResponse) -> RegistryAnswer:
-        answer = self._recipes.pop(response.request)()
+        answer = self._pending_answers.pop(response.request)()
         return answer or WatchEvents((), self._store.revision)
 
     def waits(self, request: HttpRequest) -> bool:
         """Return whether a watch has nothing to say yet."""
-        return request.path == "watch" and self._recipes[request.request]() is None
+        return request.path == "watch" and self._pending_answers[request.request]() is None
 
     def _call(
         self, request: RequestId, answer: Callable[[], RegistryAnswer | None], wait: float = 0.0
     ) -> HttpRequest:
-        self._recipes[request] = answer
+        self._pending_answers[request] = answer
         path = "watch" if wait else "call"
         return HttpRequest(
             request=request, address=Address("s", 1), method="GET", path=path, timeout=wait or 1.0
@@ -138,8 +138,8 @@
         self.disk = b""
         self.node: StorageNode | None = None
         self.frozen = False
-        self.cut = False
-        self.cut_from_peers = False
+        self.is_isolated = False
+        self.is_isolated_from_peers = False
         self.disk_hangs = False
         self.sync_seconds = 0.001
         self.started_before = False
@@ -149,7 +149,7 @@
         """Of what the machine sends; 0 for a link without a limit."""
         self.link_free_at = 0.0
         self.sent_bytes = 0
-        self.gets_copies = True
+        self.receives_copies = True
         self.view: StoreView | None = None
         self.watch_calls = 0
 
@@ -159,7 +159,7 @@
         return self.node.replica.replica
 
 
-class Asker:
+class EdgeClient:
     """A forwarding node's client of the ledger, and how to reach it."""
 
     def __init__(self, name: str, address: Address) -> None:
@@ -178,8 +178,8 @@
         self.store_seconds = 0.004
         """What an answer of the key-value service takes."""
         self.machines = [Machine(f"storage-{index}", index) for index in range(count)]
-        self.askers = {_EDGE: Asker(_EDGE, _EDGE_ADDRESS)}
-        self.client = self.askers[_EDGE].client
+        self.edges = {_DEFAULT_EDGE: EdgeClient(_DEFAULT_EDGE, _DEFAULT_EDGE_ADDRESS)}
+        self.client = self.edges[_DEFAULT_EDGE].client
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.frames = 0
@@ -187,13 +187,13 @@
         self.histories: list[HistoryReply] = []
         self.joins: list[ReplicaId] = []
         """Replicas that were asked for membership, once for each request."""
-        self.copied: list[str] = []
+        self.text_copies_sent: list[str] = []
         """Turns whose texts were sent to a follower, once for each."""
-        self.unclaimed: list[tuple[ReplicaId, LedgerReply]] = []
+        self.undelivered: list[tuple[ReplicaId, LedgerReply]] = []
         """Answers to askers that are not played."""
         for machine in self.machines:
             self.start(machine)
-        self._schedule(0.01, self._drive_client)
+        self._schedule(0.01, self._tick_edges)
 
     # ------------------------------------------------------------ machines
 
@@ -240,12 +240,12 @@
             now=self.now,
         )
         machine.started_before = True
-        self._tick_soon(machine, machine.generation)
+        self._tick_repeatedly(machine, machine.generation)
 
     def kill(self, machine: Machine) -> None:
         """End the process; what was written stays."""
         for effect in machine.unsynced:
-            _write(machine, effect)
+            _write_to_disk(machine, effect)
         self._end(machine)
 
     def power_off(self, machine: Machine) -> None:
@@ -253,9 +253,9 @@
         for effect in machine.unsynced:
             if effect.replace or self.random.random() < 0.4:
                 break
-            cut = self.random.randint(0, len(effect.data))
-            machine.disk += effect.data[:cut]
-            if cut < len(effect.data):
+            written_bytes = self.random.randint(0, len(effect.data))
+            machine.disk += effect.data[:written_bytes]
+            if written_bytes < len(effect.data):
                 break
         self._end(machine)
 
@@ -329,25 +329,27 @@
         self.client.set_storage(
             {item.replica: item.address for item in self.machines if item.node is not None}
         )
-        self.carry_out_asker(_EDGE, self.client.ask(operation, done, self.now, self.now + limit))
+        self.carry_out_edge(
+            _DEFAULT_EDGE, self.client.ask(operation, done, self.now, self.now + limit)
+        )
         self.run_until(lambda: bool(answers), limit + 1)
         return answers[0] if answers else None
 
-    def add_asker(self, name: str) -> Asker:
+    def add_edge(self, name: str) -> EdgeClient:
         """Add another forwarding node's client; it knows the machines that run now."""
-        asker = Asker(name, Address(f"10.0.9.{len(self.askers) + 10}", 1))
-        asker.client.set_storage(
+        edge = EdgeClient(name, Address(f"10.0.9.{len(self.edges) + 10}", 1))
+        edge.client.set_storage(
             {item.replica: item.address for item in self.machines if item.node is not None}
         )
-        self.askers[asker.process] = asker
-        return asker
+        self.edges[edge.process] = edge
+        return edge
 
-    def _drive_client(self) -> None:
-        for process, asker in self.askers.items():
-            self.carry_out_asker(process, asker.client.tick(self.now))
-        self._schedule(0.01, self._drive_client)
+    def _tick_edges(self) -> None:
+        for process, edge in self.edges.items():
+            self.carry_out_edge(process, edge.client.tick(self.now))
+        self._schedule(0.01, self._tick_edges)
 
-    def carry_out_asker(self, process: ReplicaId, effects: list[Effect]) -> None:
+    def carry_out_edge(self, process: ReplicaId, effects: list[Effect]) -> None:
         """Carry out what a forwarding node's client wants done."""
         for effect in effects:
             if isinstance(effect, SendPeer):
@@ -364,14 +366,14 @@
     def _schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now + delay, next(self._order), action))
 
-    def _tick_soon(self, machine: Machine, generation: int) -> None:
+    def _tick_repeatedly(self, machine: Machine, generation: int) -> None:
         if machine.generation != generation or machine.node is None:
             return
         if not machine.frozen:
-            self.hand(machine, Tick())
-        self._schedule(0.01, lambda: self._tick_soon(machine, generation))
+            self.deliver_event(machine, Tick())
+        self._schedule(0.01, lambda: self._tick_repeatedly(machine, generation))
 
-    def hand(self, machine: Machine, event: Event) -> None:
+    def deliver_event(self, machine: Machine, event: Event) -> None:
         """Let a machine take an event now."""
         assert machine.node is not None
         generation = machine.generation
@@ -388,7 +390,8 @@
         elif isinstance(effect, HttpRequest):
             machine.watch_calls += effect.path == "watch"
             self._schedule(
-                self.store_seconds, lambda: self._answer(machine, generation, effect, self.now)
+                self.store_seconds,
+                lambda: self._answer_store_call(machine, generation, effect, self.now),
             )
         elif isinstance(effect, LogRecord):
             self.log.append(effect)
@@ -402,22 +405,24 @@
             self._schedule(0.05, lambda: self._sync(machine, generation, effect))
             return
         while machine.unsynced and machine.unsynced[0].ticket <= effect.ticket:
-            _write(machine, machine.unsynced.pop(0))
+            _write_to_disk(machine, machine.unsynced.pop(0))
         self._deliver(machine, generation, FileSynced(effect.ticket))
 
-    def _answer(
+    def _answer_store_call(
         self, machine: Machine, generation: int, request: HttpRequest, asked_at: float
     ) -> None:
         if machine.generation != generation:
             return
-        if self.store.down or machine.cut:
+        if self.store.down or machine.is_isolated:
             failed = HttpFailed(request=request.request, sent=True, reason="silent")
             self._schedule(0.5, lambda: self._deliver(machine, generation, failed))
             return
         waited = self.now - asked_at
         assert machine.view is not None
         if machine.view.waits(request) and waited < request.timeout:
-            self._schedule(0.02, lambda: self._answer(machine, generation, request, asked_at))
+            self._schedule(
+                0.02, lambda: self._answer_store_call(machine, generation, request, asked_at)
+            )
             return
         self._deliver(machine, generation, HttpResponse(request=request.request, status=200))
 
@@ -427,37 +432,39 @@
         if machine.frozen:
             self._schedule(0.05, lambda: self._deliver(machine, generation, event))
             return
-        self.hand(machine, event)
+        self.deliver_event(machine, event)
 
     def _send(self, sender: ReplicaId, source: Machine | None, effect: SendPeer) -> None:
         self.frames += 1
         delay = 0.0005 + 0.002 * self.random.random()
-        to_asker = effect.to in self.askers
-        if source is not None and (source.cut or (source.cut_from_peers and not to_asker)):
+        to_edge = effect.to in self.edges
+        if source is not None and (
+            source.is_isolated or (source.is_isolated_from_peers and not to_edge)
+        ):
             return
         if source is not None and source.link_bytes_per_second:
-            delay += self._pass_link(source, effect)
-        if to_asker:
-            self._schedule(delay, lambda: self._answer_asker(sender, effect))
+            delay += self._link_delay(source, effect)
+        if to_edge:
+            self._schedule(delay, lambda: self._deliver_to_edge(sender, effect))
             return
         if isinstance(effect.message, HistoryReply):
             self.histories.append(effect.message)
         if isinstance(effect.message, LedgerReply):
-            self.unclaimed.append((effect.to, effect.message))
+            self.undelivered.append((effect.to, effect.message))
         if isinstance(effect.message, Join):
             self.joins.append(effect.to)
         if isinstance(effect.message, TextCopy):
-            self.copied.append(effect.message.turn_id)
+            self.text_copies_sent.append(effect.message.turn_id)
         event = PeerMessage(sender=sender, message=effect.message)
         for machine in self.machines:
-            if isinstance(effect.message, TextCopy) and not machine.gets_copies:
+            if isinstance(effect.message, TextCopy) and not machine.receives_copies:
                 continue
             from_peer = source is not None
-            unreachable = machine.cut or (machine.cut_from_peers and from_peer)
+            unreachable = machine.is_isolated or (machine.is_isolated_from_peers and from_peer)
             if machine.address == effect.address and not unreachable:
                 self._schedule(delay, lambda m=machine: self._arrive(m, effect.to, event))
 
-    def _pass_link(self, source: Machine, effect: SendPeer) -> float:
+    def _link_delay(self, source: Machine, effect: SendPeer) -> float:
         """Return how long a message takes through its sender's link, behind the earlier ones."""
         size = len(_CODEC.encode_peer(source.replica, effect.to, effect.message))
         source.sent_bytes += size
@@ -465,20 +472,20 @@
         source.link_free_at += size / source.link_bytes_per_second
         return source.link_free_at - self.now
 
-    def _answer_asker(self, sender: ReplicaId, effect: SendPeer) -> None:
+    def _deliver_to_edge(self, sender: ReplicaId, effect: SendPeer) -> None:
         message = effect.message
-        client = self.askers[effect.to].client
+        client = self.edges[effect.to].client
         if isinstance(message, LeaderAnswer):
-            self.carry_out_asker(effect.to, client.take_leader(sender, message, self.now))
+            self.carry_out_edge(effect.to, client.take_leader(sender, message, self.now))
             return
         assert isinstance(message, LedgerReply)
-        self.carry_out_asker(effect.to, client.take_reply(message, self.now))
+        self.carry_out_edge(effect.to, client.take_reply(message, self.now))
 
     def _arrive(self, machine: Machine, to: ReplicaId, event: PeerMessage) -> None:
-        if machine.node is None or machine.cut or machine.replica != to:
+        if machine.node is None or machine.is_isolated or machine.replica != to:
             return
         self._deliver(machine, machine.generation, event)
 
 
-def _write(machine: Machine, effect: SyncFile) -> None:
+def _write_to_disk(machine: Machine, effect: SyncFile) -> None:
     machine.disk = effect.data if effect.replace else machine.disk + effect.data
--- a/tests/unit/ledger/test_admission_controller.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -282,7 +282,7 @@
         request = LedgerRequest(
             number=number, asker=Address("10.0.9.8", 1), operations=(operation,)
         )
-        cluster.hand(leader, PeerMessage(sender=ReplicaId("edge~2"), message=request))
+        cluster.deliver_event(leader, PeerMessage(sender=ReplicaId("edge~2"), message=request))
 
 
 class _EarlierReserve(msgspec.Struct, frozen=True, kw_only=True, tag="reserve"):
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -28,7 +28,7 @@
     return (play(way, replace(load, seed=seed)) for seed in SEEDS)
 
 
-class Loads(unittest.TestCase):
+class AdmittedLoads(unittest.TestCase):
     def assert_carried(self, load: Load, used: float = USED_SHARE) -> None:
         for outcome in outcomes(load):
             self.assertGreater(len(outcome.began), 50)
@@ -64,7 +64,7 @@
         self.assertGreaterEqual(len(hot.outcome().ended), 0.99 * len(hot.outcome().began))
 
 
-class Ways(unittest.TestCase):
+class AdmissionPolicies(unittest.TestCase):
     """The ways of the design note on the same arrivals."""
 
     def test_by_time_loses_less_than_what_stood_and_uses_more_than_claims_in_full(self) -> None:
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -42,9 +42,9 @@
     )
 
 
-class Books(unittest.TestCase):
+class ClaimCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = ClaimTracker()
+        self.claims = ClaimTracker()
         self.now = 0.0
 
     def learn(self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS) -> None:
@@ -53,21 +53,21 @@
             name = f"{kind}{self.now}/{number}"
             self.update(name, account(requests, self.now, self.now + 2.0, kind=kind))
         self.now += 2.0 + MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
+        self.claims.sweep(self.now)
 
     def update(self, name: str, program: Program, *, is_complete: bool = False) -> None:
-        self.book.update(name, program, is_complete=is_complete)
+        self.claims.update(name, program, is_complete=is_complete)
 
     def decide(self, supply: Supply, kind: str = "k") -> Admission | None:
-        return self.book.decide(candidate("new", kind), supply, self.now)
+        return self.claims.decide(candidate("new", kind), supply, self.now)
 
     def expected(self, kind: str = "k") -> float:
-        size = self.book.size_of(TENANT, kind)
+        size = self.claims.size_of(TENANT, kind)
         assert size is not None
         return size.requests
 
 
-class Learning(Books):
+class Learning(ClaimCase):
     def test_before_enough_programs_have_rested_nothing_is_decided(self) -> None:
         self.learn(count=LEAST_PROGRAMS - 1)
         self.assertIsNone(self.decide(LITTLE))
@@ -79,8 +79,8 @@
 
     def test_a_tenant_goes_by_all_tenants_programs_until_enough_of_its_own_have_ended(self) -> None:
         self.learn(20, "long")
-        self.assertIsNone(self.book.size_of("other", "short"))
-        first = self.book.size_of("other", "long")
+        self.assertIsNone(self.claims.size_of("other", "short"))
+        first = self.claims.size_of("other", "long")
         assert first is not None
         self.assertEqual(first.requests, 20.0)
         for number in range(LEAST_PROGRAMS):
@@ -88,8 +88,8 @@
             own.tenant = "other"
             self.update(f"other{number}", own)
         self.now += 2.0 + MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
-        learned = self.book.size_of("other", "long")
+        self.claims.sweep(self.now)
+        learned = self.claims.size_of("other", "long")
         assert learned is not None
         self.assertEqual(learned.requests, 4.0)
 
@@ -97,28 +97,28 @@
         self.learn(10)
         for number in range(20):
             self.update(f"cut{number}", account(2, self.now, self.now))
-            self.book.note_refused(f"cut{number}")
+            self.claims.note_refused(f"cut{number}")
         self.now += MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
+        self.claims.sweep(self.now)
         self.assertEqual(self.expected(), 10.0)
 
     def test_one_that_was_let_in_again_after_all_does(self) -> None:
         self.learn(10)
         self.update("p", account(2, self.now, self.now))
-        self.book.note_refused("p")
+        self.claims.note_refused("p")
         self.update("p", account(30, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
+        self.claims.sweep(self.now)
         self.assertGreater(self.expected(), 10.0)
 
 
-class Holding(Books):
+class Holding(ClaimCase):
     def test_claims_are_given_back_after_a_rest(self) -> None:
         self.update("p", account(3, 0.0, 1.0))
-        self.book.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
-        self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + MAX_IDLE_SECONDS)
-        self.assertEqual(len(self.book), 0)
+        self.claims.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
+        self.assertEqual(len(self.claims), 1)
+        self.claims.sweep(1.0 + MAX_IDLE_SECONDS)
+        self.assertEqual(len(self.claims), 0)
 
     def test_a_program_of_a_fast_kind_need_not_rest_for_long(self) -> None:
         """Else those that have ended keep others out of a limit that is half used.
@@ -129,30 +129,30 @@
         self.update("p", account(39, self.now - 2.0, self.now, kind="fast"))
         self.update("slow", account(3, self.now, self.now, kind="unknown"))
         self.now += MIN_IDLE_SECONDS
-        self.book.sweep(self.now)
-        self.assertFalse(self.book.has_claim("p"))
-        self.assertTrue(self.book.has_claim("slow"))
+        self.claims.sweep(self.now)
+        self.assertFalse(self.claims.has_claim("p"))
+        self.assertTrue(self.claims.has_claim("slow"))
 
     def test_a_turn_under_way_is_no_rest_but_a_node_that_is_gone_holds_nothing_for_long(
         self,
     ) -> None:
         self.update("p", account(3, 0.0, 1.0, has_open_turn=True))
-        self.book.sweep(1.0 + MAX_TURN_SECONDS - SWEEP_SECONDS)
-        self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + MAX_TURN_SECONDS)
-        self.assertEqual(len(self.book), 0)
+        self.claims.sweep(1.0 + MAX_TURN_SECONDS - SWEEP_SECONDS)
+        self.assertEqual(len(self.claims), 1)
+        self.claims.sweep(1.0 + MAX_TURN_SECONDS)
+        self.assertEqual(len(self.claims), 0)
 
     def test_a_program_that_goes_on_after_a_rest_claims_again_and_is_learned_once(self) -> None:
         self.learn(10)
         self.update("p", account(10, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
+        self.claims.sweep(self.now)
         before = self.expected()
         self.update("p", account(40, 0.0, self.now), is_complete=True)
-        self.assertEqual(len(self.book), 1)
+        self.assertEqual(len(self.claims), 1)
         self.now += MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
-        self.assertEqual((len(self.book), self.expected()), (0, before))
+        self.claims.sweep(self.now)
+        self.assertEqual((len(self.claims), self.expected()), (0, before))
 
     def test_a_program_that_may_begin_holds_a_claim_before_its_turn_is_in_the_log(self) -> None:
         self.learn(10)
@@ -161,17 +161,17 @@
             decision = self.decide(Supply(level=35.0, rate=0.01))
             assert decision is not None
             if decision.is_let_in:
-                self.book.add_provisional(candidate(f"p{number}"), self.now)
+                self.claims.add_provisional(candidate(f"p{number}"), self.now)
                 admitted += 1
         self.assertEqual(admitted, 3)
 
     def test_that_claim_goes_if_the_turn_does_not_get_there(self) -> None:
-        self.book.add_provisional(candidate("p"), 0.0)
-        self.book.cancel_provisional("p")
-        self.assertEqual(len(self.book), 0)
+        self.claims.add_provisional(candidate("p"), 0.0)
+        self.claims.cancel_provisional("p")
+        self.assertEqual(len(self.claims), 0)
         self.update("q", account(1, 0.0, 0.0))
-        self.book.cancel_provisional("q")
-        self.assertEqual(len(self.book), 1)
+        self.claims.cancel_provisional("q")
+        self.assertEqual(len(self.claims), 1)
 
     def test_what_it_keeps_has_a_bound(self) -> None:
         with (
@@ -180,23 +180,23 @@
             patch.object(claims_module, "MAX_KINDS_PER_TENANT", 3),
             patch.object(claims_module, "MAX_SHARED_KINDS", 7),
         ):
-            self.book = ClaimTracker()
+            self.claims = ClaimTracker()
             for number in range(100):
                 program = account(1, 0.0, 0.0, kind=f"k{number}")
                 program.tenant = f"t{number}"
                 self.update(f"p{number}", program)
-                self.assertLessEqual(len(self.book), 10)
-            self.book.sweep(100.0)
+                self.assertLessEqual(len(self.claims), 10)
+            self.claims.sweep(100.0)
             for number in range(100):
                 self.update(f"q{number}", account(1, 100.0, 100.0, kind=f"k{number}"))
-                self.book.sweep(200.0 + number)
-        self.assertLessEqual(len(self.book._tenants), 5 + 10)
-        self.assertLessEqual(len(self.book._tenants[TENANT].sizes), 3)
-        self.assertLessEqual(len(self.book._tenants[TENANT].time_shares), 3)
-        self.assertLessEqual(len(self.book._shared_sizes), 7)
+                self.claims.sweep(200.0 + number)
+        self.assertLessEqual(len(self.claims._tenants), 5 + 10)
+        self.assertLessEqual(len(self.claims._tenants[TENANT].sizes), 3)
+        self.assertLessEqual(len(self.claims._tenants[TENANT].time_shares), 3)
+        self.assertLessEqual(len(self.claims._shared_sizes), 7)
 
 
-class Refusing(Books):
+class Refusing(ClaimCase):
     def test_many_refusals_of_a_moment_are_decided_once_and_tell_the_time_that_is_left(
         self,
     ) -> None:
@@ -260,7 +260,7 @@
         self.assertTrue(any(item is not None and item.is_let_in for item in decision))
 
 
-class Late(Books):
+class Late(ClaimCase):
     """Programs that are refused and come back leave the limit to those that can end in time."""
 
     time_limit = 4.0
@@ -269,13 +269,13 @@
         """Let programs that were given four seconds run, and rest."""
         for number in range(LEAST_PROGRAMS):
             name = f"t{number}"
-            self.book.add_provisional(candidate(name, time_left=self.time_limit), self.now)
+            self.claims.add_provisional(candidate(name, time_left=self.time_limit), self.now)
             self.update(name, account(10, self.now, self.now + seconds))
         self.now += seconds + MAX_IDLE_SECONDS
-        self.book.sweep(self.now)
+        self.claims.sweep(self.now)
 
     def ask(self, name: str, time_left: float, supply: Supply) -> Admission:
-        decision = self.book.decide(candidate(name, time_left=time_left), supply, self.now)
+        decision = self.claims.decide(candidate(name, time_left=time_left), supply, self.now)
         assert decision is not None
         return decision
 
@@ -324,7 +324,7 @@
 
     def replay(self, *, knows_time: bool) -> tuple[int, int]:
         """Return how many programs of ten requests began in time, and at all, in 40 s."""
-        self.book, self.now = ClaimTracker(), 0.0
+        self.claims, self.now = ClaimTracker(), 0.0
         self.learn_times(3.0)
         rate, level, began = 20.0, 0.0, self.now
         returning: list[tuple[float, int, str, float]] = []
@@ -351,10 +351,10 @@
                 time_left = self.time_limit - (self.now - first)
                 told = time_left if knows_time else None
                 supply = Supply(level=max(0.0, level), rate=rate)
-                decision = self.book.decide(candidate(name, time_left=told), supply, self.now)
+                decision = self.claims.decide(candidate(name, time_left=told), supply, self.now)
                 assert decision is not None
                 if decision.is_let_in:
-                    self.book.add_provisional(candidate(name, time_left=told), self.now)
+                    self.claims.add_provisional(candidate(name, time_left=told), self.now)
                     running.append((self.now, name, 0, self.now))
                     let_in += 1
                     in_time += time_left >= 2.7
--- a/tests/unit/ledger/test_histories.py
+++ b/tests/unit/ledger/test_histories.py
@@ -24,7 +24,7 @@
 KEPT = KeptTurn(turn_id="t", previous="", text=b"text", retention=60.0)
 
 
-class Fetches(unittest.TestCase):
+class HistoryFetching(unittest.TestCase):
     def setUp(self) -> None:
         self.fetches = HistoryFetches("edge", OWN)
         self.fetches.set_replicas(
@@ -91,14 +91,14 @@
         self.assertEqual(self.got, [()])
 
 
-class Service(StorageCase):
+class HistoryServing(StorageCase):
     def followers(self, cluster: Cluster) -> list[Machine]:
         leader = self.leader(cluster)
         return [machine for machine in cluster.machines if machine is not leader]
 
     def ask(self, cluster: Cluster, machine: Machine, last: str, known: str = "") -> None:
         message = HistoryAsk(number=1, asker=OWN, last=last, known=known)
-        cluster.hand(machine, PeerMessage(sender=READER, message=message))
+        cluster.deliver_event(machine, PeerMessage(sender=READER, message=message))
 
     def texts(self, cluster: Cluster) -> list[list[bytes]]:
         return [[item.text for item in reply.turns] for reply in cluster.histories]
--- a/tests/unit/ledger/test_load_lines.py
+++ b/tests/unit/ledger/test_load_lines.py
@@ -49,7 +49,7 @@
         cluster.run(1.1)
         cluster.log.clear()
         for _ in range(2):
-            cluster.hand(leader, PeerMessage(sender=EDGE, message=request))
+            cluster.deliver_event(leader, PeerMessage(sender=EDGE, message=request))
         cluster.run(1.1)
         found = [line.fields for line in cluster.log if line.event == "ledger_load"]
         self.assertEqual(len(found), 1)
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -7,7 +7,7 @@
 
 import unittest
 
-from tests.unit.ledger.cluster import Asker, Cluster
+from tests.unit.ledger.cluster import Cluster, EdgeClient
 from yokeline.effects import Effect
 from yokeline.ledger.client import OperationCallback
 from yokeline.ledger.messages import TurnServed
@@ -29,9 +29,9 @@
 class Load:
     """Programs whose turns are reserved, generated and kept, each at another forwarding node."""
 
-    def __init__(self, cluster: Cluster, askers: list[Asker]) -> None:
+    def __init__(self, cluster: Cluster, edges: list[EdgeClient]) -> None:
         self.cluster = cluster
-        self.askers = askers
+        self.edges = edges
         self.answers: list[tuple[float, float, bool]] = []
         """When each operation was asked, the time to its result, and whether there was one."""
         self.kept: list[str] = []
@@ -49,12 +49,12 @@
         self._programs += 1
         self._reserve(f"p{self._programs}", "", TURNS)
 
-    def _asker(self) -> Asker:
+    def _next_edge(self) -> EdgeClient:
         self._turns += 1
-        return self.askers[self._turns % len(self.askers)]
+        return self.edges[self._turns % len(self.edges)]
 
     def _reserve(self, program: str, previous: str, turns_left: int) -> None:
-        asker = self._asker()
+        edge = self._next_edge()
         name = f"{program}-{turns_left}"
         operation = Reserve(
             request_id=name,
@@ -69,23 +69,23 @@
             self.answers.append((asked_at, now - asked_at, result is not None))
             if isinstance(result, Granted):
                 engine = f"engine-{self._turns % ENGINES}"
-                asker.client.turns.begin(name, engine)
+                edge.client.turns.begin(name, engine)
                 self.under_way += 1
                 self.cluster.at(
                     now + TURN_SECONDS * (0.5 + self.cluster.random.random()),
-                    lambda: self._keep(asker, engine, program, name, previous, turns_left),
+                    lambda: self._keep(edge, engine, program, name, previous, turns_left),
                 )
             return []
 
-        self._ask(asker, operation, done)
+        self._ask(edge, operation, done)
 
     def _keep(
-        self, asker: Asker, engine: str, program: str, name: str, previous: str, turns_left: int
+        self, edge: EdgeClient, engine: str, program: str, name: str, previous: str, turns_left: int
     ) -> None:
         turn = KeptTurn(turn_id=name, previous=previous, text=b"x" * TEXT_BYTES, retention=60.0)
         operation = Settle(request_id=name, program=program, tokens=50, turn=turn)
         asked_at = self.cluster.now
-        asker.client.turns.end(name, TurnServed(engine, False, 1.0))
+        edge.client.turns.end(name, TurnServed(engine, False, 1.0))
         self.under_way -= 1
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
@@ -96,12 +96,12 @@
                 self._reserve(program, name, turns_left - 1)
             return []
 
-        self._ask(asker, operation, done)
+        self._ask(edge, operation, done)
 
-    def _ask(self, asker: Asker, operation: Reserve | Settle, done: OperationCallback) -> None:
+    def _ask(self, edge: EdgeClient, operation: Reserve | Settle, done: OperationCallback) -> None:
         now = self.cluster.now
-        effects = asker.client.ask(operation, done, now, now + ANSWER_LIMIT)
-        self.cluster.carry_out_asker(asker.process, effects)
+        effects = edge.client.ask(operation, done, now, now + ANSWER_LIMIT)
+        self.cluster.carry_out_edge(edge.process, effects)
 
     def seconds(self, start: float, end: float) -> list[float]:
         """Return the times to the results of what was asked between two moments, sorted."""
@@ -121,7 +121,7 @@
         cluster.run(0.5)
         for machine in cluster.machines:
             machine.link_bytes_per_second = LINK_BYTES_PER_SECOND
-        load = Load(cluster, [cluster.add_asker(f"edge-{number}~1") for number in range(8)])
+        load = Load(cluster, [cluster.add_edge(f"edge-{number}~1") for number in range(8)])
         start = cluster.now
         load.arrive(start, start + 5.0, PROGRAMS_PER_SECOND)
         load.arrive(start + 5.0, start + 8.0, PROGRAMS_PER_SECOND * BURST)
--- a/tests/unit/ledger/test_shares_told.py
+++ b/tests/unit/ledger/test_shares_told.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tests.unit.ledger.cluster import Asker, Cluster
+from tests.unit.ledger.cluster import Cluster, EdgeClient
 from yokeline.effects import Effect
 from yokeline.ledger.messages import PoolLoad, PoolShares, TenantLoad
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
@@ -39,43 +39,43 @@
         return (PoolLoad("models", PLACES, rows),)
 
 
-class Told(unittest.TestCase):
+class ToldShares(unittest.TestCase):
     """One node has the hot tenant's turns, and another one calm programs that wait."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3, seed=1)
         self.assertTrue(self.cluster.run_until(self.cluster.all_members, 10.0))
-        self.told: list[tuple[PoolShares, ...]] = []
+        self.received: list[tuple[PoolShares, ...]] = []
         self.hot = Tenants({"hot": 11}, {})
         self.calm = Tenants({"calm": 1}, {"calm": 2})
-        self.askers = [self.add("edge-0~1", self.hot), self.add("edge-1~1", self.calm)]
+        self.edges = [self.add("edge-0~1", self.hot), self.add("edge-1~1", self.calm)]
         self._numbers = itertools.count()
 
-    def add(self, name: str, tenants: Tenants) -> Asker:
-        asker = self.cluster.add_asker(name)
-        asker.client.turns.tenants = tenants
-        asker.client.shares_told = lambda shares, now: self.told.append(shares)
+    def add(self, name: str, tenants: Tenants) -> EdgeClient:
+        edge = self.cluster.add_edge(name)
+        edge.client.turns.tenants = tenants
+        edge.client.shares_told = lambda shares, now: self.received.append(shares)
         for number in range(sum(tenants.running.values())):
-            asker.client.turns.begin(f"{name}/{number}", "engine")
-        return asker
+            edge.client.turns.begin(f"{name}/{number}", "engine")
+        return edge
 
     def ask(self) -> tuple[PoolShares, ...] | None:
         """Let each node reserve a turn; return what was told with the last answer."""
-        self.told.clear()
-        for asker in self.askers:
-            self.reserve(asker)
+        self.received.clear()
+        for edge in self.edges:
+            self.reserve(edge)
             self.cluster.run(1.0)
-        return self.told[-1] if self.told else None
+        return self.received[-1] if self.received else None
 
-    def reserve(self, asker: Asker) -> None:
+    def reserve(self, edge: EdgeClient) -> None:
         operation = Reserve(request_id=str(next(self._numbers)), program="p", budget=100, tokens=1)
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
             return []
 
         now = self.cluster.now
-        effects = asker.client.ask(operation, done, now, now + 5.0)
-        self.cluster.carry_out_asker(asker.process, effects)
+        effects = edge.client.ask(operation, done, now, now + 5.0)
+        self.cluster.carry_out_edge(edge.process, effects)
 
     def test_the_answer_to_a_reservation_tells_of_the_loads_of_all_nodes(self) -> None:
         self.ask()
@@ -94,7 +94,7 @@
 
     def test_a_node_that_dies_lacks_nothing_any_more(self) -> None:
         self.ask()
-        del self.cluster.askers[self.askers.pop().process]
+        del self.cluster.edges[self.edges.pop().process]
         self.cluster.run(NODE_SILENCE_SECONDS + REFRESH_SECONDS)
         self.assertEqual(self.ask(), ())
 
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -174,10 +174,10 @@
         cluster = Cluster(3, 1)
         late = cluster.machines[2]
         cluster.run_until(lambda: FOUNDERS_KEY in cluster.store.items, 5.0)
-        late.cut = True
+        late.is_isolated = True
         cluster.run(1.0)
         cluster.ask(turn("t1"))
-        late.cut = False
+        late.is_isolated = False
         cluster.store.down = True
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
         cluster.store.down = False
@@ -199,7 +199,7 @@
                 operations=(Reserve(request_id=name, program=name, budget=100, tokens=100),),
             )
             event = PeerMessage(sender=ReplicaId("edge~1"), message=request)
-            cluster.hand(leader, event)
+            cluster.deliver_event(leader, event)
         cluster.run(1.0)
         entries = leader.node.replica.group.last_index - before
         self.assertLessEqual(entries, 3)
@@ -220,7 +220,7 @@
                 operations=(),
                 passed_turns=PassedTurns(ReplicaId("cut~1"), turns),
             )
-            cluster.hand(leader, PeerMessage(sender=ReplicaId("edge~1"), message=request))
+            cluster.deliver_event(leader, PeerMessage(sender=ReplicaId("edge~1"), message=request))
             self.assertEqual(len(leader.node.batches.turns), running)
 
 
@@ -235,7 +235,9 @@
                 request = LedgerRequest(
                     number=number, asker=Address("10.0.9.9", 1), operations=(operation,)
                 )
-                cluster.hand(leader, PeerMessage(sender=ReplicaId("edge~1"), message=request))
+                cluster.deliver_event(
+                    leader, PeerMessage(sender=ReplicaId("edge~1"), message=request)
+                )
         cluster.run(2.0)
         return leader.node.replica.group.last_index - before
 
@@ -265,10 +267,10 @@
             request = LedgerRequest(
                 number=7, asker=Address(f"10.0.9.{number}", 1), operations=(turn("t1"),)
             )
-            cluster.hand(leader, PeerMessage(sender=ReplicaId(name), message=request))
+            cluster.deliver_event(leader, PeerMessage(sender=ReplicaId(name), message=request))
         cluster.run(0.5)
         self.assertEqual(leader.node.replica.group.last_index, before + 1)
-        answered = {to for to, reply in cluster.unclaimed if reply.results == (Settled(),)}
+        answered = {to for to, reply in cluster.undelivered if reply.results == (Settled(),)}
         self.assertEqual(answered, {ReplicaId("edge~2"), ReplicaId("edge~3")})
 
     def test_a_draw_that_is_repeated_after_its_answer_takes_one_token(self) -> None:
@@ -518,10 +520,10 @@
     def test_a_cut_leader_acknowledges_nothing(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
-        leader.cut = True
+        leader.is_isolated = True
         self.assertEqual(cluster.ask(turn("t1")), Settled())
         cluster.run(1.0)
-        leader.cut = False
+        leader.is_isolated = False
         cluster.run(1.0)
         self.assert_kept(cluster, "t1")
 
@@ -602,7 +604,7 @@
             cluster = self.cluster(2, seed=seed)
             cluster.ask(turn("t1"))
             for machine in cluster.machines:
-                machine.cut_from_peers = True
+                machine.is_isolated_from_peers = True
             names = []
             for number in range(6):
                 name = f"c{number}"
@@ -613,7 +615,7 @@
             sizes = [len(item.node.replica.group.members) for item in cluster.machines if item.node]
             self.assertEqual(sizes.count(1), 1, f"seed {seed}: {sizes}")
             for machine in cluster.machines:
-                machine.cut_from_peers = False
+                machine.is_isolated_from_peers = False
             self.assertTrue(cluster.run_until(cluster.all_members, 6.0), f"seed {seed}")
             self.assert_kept(cluster, "t1", *names)
 
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -136,7 +136,7 @@
         cluster = Cluster(3, seed, link_mbps=LINK_MBPS)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
         cluster.run(0.5)
-        load = Load(cluster, [cluster.add_asker(f"edge-{number}~1") for number in range(4)])
+        load = Load(cluster, [cluster.add_edge(f"edge-{number}~1") for number in range(4)])
         load.arrive(cluster.now, cluster.now + 8.0, PROGRAMS_PER_SECOND)
         cluster.run(4.0)
         leader = self.leader(cluster)
@@ -169,7 +169,7 @@
 
     def test_a_follower_that_gets_no_copies_holds_all_too(self) -> None:
         cluster, _ = self.with_high_utilization(2)
-        self.followers(cluster)[0].gets_copies = False
+        self.followers(cluster)[0].receives_copies = False
         cluster.run(7.0)
         self.assert_same_everywhere(cluster)
 
@@ -198,7 +198,7 @@
 
     def test_a_short_text_goes_with_its_entry(self) -> None:
         cluster, _ = self.with_high_utilization(3)
-        self.assertGreater(len(cluster.copied), 0)
+        self.assertGreater(len(cluster.text_copies_sent), 0)
         kept = KeptTurn(turn_id="short", previous="", text=b"short", retention=60.0)
         self.assertEqual(cluster.ask(Settle(request_id="short", turn=kept)), Settled())
-        self.assertNotIn("short", cluster.copied)
+        self.assertNotIn("short", cluster.text_copies_sent)
