--- a/src/yokeline/ledger/response_times.py
+++ b/src/yokeline/ledger/response_times.py
@@ -1,33 +1,33 @@
-"""How long the ledger's leader takes to answer, and so how long to wait before it is doubted.
+"""Adaptive timeout for answers of the ledger's leader.
 
-The estimate is that of TCP's retransmission timer (RFC 6298): a smoothed mean plus four times the
-smoothed deviation. A leader under load answers later and is given more time, so load does not
-turn into repetitions, which would be more load.
+The estimate follows TCP's retransmission timer (RFC 6298): the smoothed mean plus four times the
+smoothed deviation. The timeout grows with the leader's response times, so that a slow leader does
+not receive more retries because it is slow.
 """
 
 from __future__ import annotations
 
 MEAN_WEIGHT = 1 / 8
 DEVIATION_WEIGHT = 1 / 4
-"""Weights of one answer, from RFC 6298."""
+"""Weights of one sample, from RFC 6298."""
 DEVIATION_FACTOR = 4.0
-"""Deviations above the mean after which an answer is late, from RFC 6298."""
+"""Deviations above the mean in the timeout, from RFC 6298."""
 MIN_TIMEOUT_SECONDS = 0.15
-"""An idle ledger answers in 0.02 s and a busy one in 0.05; an election takes 0.3 s."""
+"""Above the response time of a busy leader, below the election timeout."""
 MAX_TIMEOUT_SECONDS = 0.8
-"""Beyond it a reservation (2 s in all) has no time left for another way."""
+"""Leaves a reservation, which is given up after 2 s, time to be retried through another node."""
 
 
 class ResponseTimeEstimator:
-    """The times of one leader's answers."""
+    """Estimates the response time of one leader."""
 
     def __init__(self) -> None:
-        """Start with the least patience."""
+        """Start with the minimum timeout."""
         self._mean = 0.0
         self._deviation = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Take the time from an operation's send to its result in."""
+        """Add a sample: seconds from sending an operation to receiving its result."""
         if not self._mean:
             self._mean = seconds
             self._deviation = seconds / 2
@@ -38,6 +38,6 @@
 
     @property
     def timeout(self) -> float:
-        """Seconds of silence after which the leader is doubted."""
+        """Seconds without an answer after which the leader counts as unreachable."""
         expected = self._mean + DEVIATION_FACTOR * self._deviation
         return min(MAX_TIMEOUT_SECONDS, max(MIN_TIMEOUT_SECONDS, expected))
