--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -1,9 +1,9 @@
-"""Asks the ledger's leader, wherever it is: repeats until answered or given up.
+"""Client of the ledger: sends operations to the leader and retries until answered or given up.
 
-Operations are idempotent by request id, and the leader takes a repetition of one that it works on
-for what it is, so a repetition is harmless. A node whose leader is silent asks who leads, and asks
-through another forwarding node as well, since it may be cut off from the storage nodes, or from
-the leader alone, while others are not.
+Operations are idempotent by request id, and the leader answers a duplicate of a pending operation
+together with the first copy. While the leader does not answer, the client queries storage replicas
+for the leader and also relays operations through other forwarding nodes, in case only this node is
+partitioned from the leader or from all storage nodes.
 """
 
 from __future__ import annotations
@@ -37,53 +37,55 @@
 from yokeline.ledger.text_copies import MIN_TEXT_BYTES
 
 QUERY_TIMEOUT_FACTOR = 0.5
-"""Silence after which the node asks who leads, in patiences: a leader that lives and is reached
-answers that before it is doubted."""
+"""Silence after which the client queries for the leader, as a multiple of the response timeout;
+below 1, so that a reachable leader answers the query before it counts as unreachable."""
 RETRY_TIMEOUT_FACTOR = 2.0
-"""Silence after which an operation is sent to the same leader again, in patiences (it may be lost
-with a connection); doubled each time."""
+"""Silence after which an operation is resent to the same leader, as a multiple of the response
+timeout; doubled with each attempt."""
 MAX_RETRY_DELAY_SECONDS = 1.2
 NOT_LEADING_RETRY_SECONDS = 0.03
-"""Pause after the answer of a leader that takes nothing, since it hands over; doubled likewise."""
+"""Delay after an answer without results, from a replica that does not lead or that hands leadership
+over; doubled with each attempt."""
 MAX_NOT_LEADING_RETRY_SECONDS = 0.1
 RELAY_TIMEOUT_SECONDS = 1.0
-"""How long an operation of another node is repeated; its asker repeats it too."""
+"""Time for which an operation of another node is retried; that node retries it as well."""
 ENGINES_SECONDS = 0.05
-"""Age of what was told of engines after which a node with requests that wait for one asks anew. A
-turn takes some tenths of a second, so a place that falls free is known within a part of one."""
+"""Age of the engine data after which a node with requests waiting for an engine asks for an update;
+short in comparison with the duration of a turn."""
 MAX_RELAYED_OPERATIONS = 256
-"""Operations of other nodes under way at once; more are dropped, and their askers ask again."""
+"""Pending operations of other nodes; further ones are dropped, and their nodes retry."""
 
 OperationCallback = Callable[[OperationResult | None, float], list[Effect]]
-"""Told the result of an operation and the time; None if given up (it may have been taken)."""
+"""Called with the result of an operation and the time. The result is None if the operation was
+given up; it may still have been applied."""
 
 
 class PeerNode(msgspec.Struct, frozen=True):
-    """Another forwarding node, through which the ledger can be asked."""
+    """Another forwarding node that can relay operations to the ledger."""
 
     process: ReplicaId
     address: Address
 
 
 EnginesCallback = Callable[[tuple[EngineTurns, ...], float], None]
-"""Told what the leader knows of engines, and the time."""
+"""Called with the leader's data on engines and the time."""
 
 SharesCallback = Callable[[tuple[PoolShares, ...], float], None]
-"""Told how the places of pools are shared between tenants, and the time."""
+"""Called with the shares of tenants by pool and the time."""
 
 PeerProvider = Callable[[], list[PeerNode]]
-"""Returns the nodes that say they reach the ledger, the nearest first."""
+"""Returns the nodes that report the ledger as reachable, the nearest first."""
 
 
 class _PendingOperation(msgspec.Struct, kw_only=True):
-    """An operation without a result yet.
+    """An operation without a result.
 
     Attributes:
-        sent_to: The replica that has it; None while it waits for a leader.
-        sent_at: When that replica got it first.
-        repeat_at: When it is sent again.
-        is_passed_on: It is another node's.
-        passed_turns: The turns of that node.
+        sent_to: The replica to which it was sent; None while no leader is known.
+        sent_at: When it was first sent to that replica.
+        retry_at: When it is due to be sent again.
+        is_relayed: The operation is relayed for another node.
+        relayed_turns: That node's report of turns.
     """
 
     operation: Operation
@@ -99,23 +101,23 @@
 
 
 class LedgerClient:
-    """Operations under way; a pure state machine.
+    """Pending operations of one forwarding node; a state machine without I/O.
 
     Attributes:
-        turns: The turns that this node has at engines, of which the leader is told.
-        counts: What it has sent again, late, or other ways.
-        answer_seconds: Time from the question to the leader's answer.
+        turns: This node's turns at engines, reported to the leader.
+        counts: Counters of retries, late answers and relayed operations.
+        answer_seconds: Time from submitting an operation to its result.
         has_answered: The ledger has answered this process at least once.
-        helpful_peers: The nodes to ask through; none unless set.
-        engines_told: Told what the leader knows of engines; nobody unless set.
-        engines: What the leader last told of engines.
-        wants_engines: Requests wait for an engine with room, so the leader is asked for news of
-            engines while no answer to anything else brings them.
-        shares_told: Told how places are shared between tenants; nobody unless set.
+        helpful_peers: Returns the nodes that can relay; none by default.
+        engines_told: Called with the leader's data on engines; ignored by default.
+        engines: The leader's latest data on engines.
+        wants_engines: Requests are waiting for an engine, so the client asks the leader for engine
+            data when no other answer brings it.
+        shares_told: Called with the shares of tenants; ignored by default.
     """
 
     def __init__(self, own_address: Address) -> None:
-        """Ask from ``own_address``, where answers are to be sent."""
+        """Create a client that receives answers at ``own_address``."""
         self._own_address = own_address
         self._search = LeaderSearch(own_address)
         self._response_times = ResponseTimeEstimator()
@@ -137,22 +139,22 @@
         self.has_answered = False
 
     def set_storage(self, storage: dict[ReplicaId, Address]) -> None:
-        """Note the storage replicas that are known."""
+        """Set the known storage replicas."""
         self._search.set_storage(storage)
 
     @property
     def leader(self) -> ReplicaId | None:
-        """The replica that is believed to lead, if any."""
+        """The known leader, if any."""
         return self._search.leader.replica if self._search.leader is not None else None
 
     @property
     def reaches_ledger(self) -> bool:
-        """Whether the last operations were answered, or there were none."""
+        """Whether the ledger answered the latest operations, or none was sent."""
         return not self._is_unreachable
 
     @property
     def under_way(self) -> int:
-        """Operations without an answer yet."""
+        """Number of operations without a result."""
         return len(self._pending)
 
     # ------------------------------------------------------------ operations
@@ -160,7 +162,7 @@
     def ask(
         self, operation: Operation, done: OperationCallback, now: float, give_up_at: float
     ) -> list[Effect]:
-        """Send an operation; ``done`` is called once."""
+        """Submit an operation; ``done`` is called once, unless the operation is forgotten."""
         pending = _PendingOperation(
             operation=operation, done=done, give_up_at=give_up_at, submitted_at=now
         )
@@ -169,9 +171,9 @@
     def pass_on(
         self, sender: ReplicaId, request: PassedOnRequest, done: OperationCallback, now: float
     ) -> list[Effect]:
-        """Ask for another node; a repetition of a question under way changes nothing.
+        """Submit an operation of another node; a duplicate of a pending one is ignored.
 
-        Nothing is passed on twice: a node that gets no answer itself lets it be.
+        A relayed operation is not relayed again.
         """
         key = (sender, request.number)
         if key in self._relayed or len(self._relayed) >= MAX_RELAYED_OPERATIONS:
@@ -194,7 +196,7 @@
         return self._add(pending, now)
 
     def forget(self, operation: Operation) -> None:
-        """Stop asking; ``done`` is not called."""
+        """Stop retrying an operation; ``done`` is not called."""
         for number, pending in list(self._pending.items()):
             if pending.operation is operation:
                 del self._pending[number]
@@ -228,7 +230,7 @@
         return min(dues, default=None)
 
     def tick(self, now: float) -> list[Effect]:
-        """Send again what went unanswered, give up what is late, and look for the leader."""
+        """Retry unanswered operations, give up expired ones, and check the leader."""
         effects: list[Effect] = []
         for number, pending in list(self._pending.items()):
             if now >= pending.give_up_at:
@@ -242,7 +244,7 @@
         return effects
 
     def _silent_since(self) -> float | None:
-        """Return since when an operation has waited without a word of the leader."""
+        """Return since when operations wait without an answer of the leader; None if none wait."""
         if not self._pending:
             return None
         if self._search.leader is None:
@@ -254,7 +256,7 @@
         return max(first, self._search.heard_at)
 
     def _check_leader(self, now: float) -> list[Effect]:
-        """Ask who leads while operations wait, and doubt the way there after a silence."""
+        """Query for the leader while operations wait; after the timeout, mark it unreachable."""
         silent_since = self._silent_since()
         if silent_since is None:
             return []
@@ -268,7 +270,7 @@
         return effects
 
     def _mark_unreachable(self, silence: float, now: float) -> list[Effect]:
-        """Send all that waits through peers: nothing at all is heard, not even who leads."""
+        """Relay all pending operations through peers."""
         self._is_unreachable = True
         fields: dict[str, str | int | float | bool | None] = {
             "silent": round(silence, 3),
@@ -283,7 +285,7 @@
         return effects
 
     def _send_turn_report(self, now: float) -> list[Effect]:
-        """Tell the leader of turns that no operation took along, and ask for news of engines."""
+        """Report turns that no operation carried to the leader, and ask for engine data."""
         leader = self._search.leader
         if leader is None:
             return []
@@ -318,7 +320,7 @@
     # ------------------------------------------------------------ answers
 
     def take_leader(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> list[Effect]:
-        """Take a storage node's word on who leads."""
+        """Handle a storage node's answer to a leader query."""
         is_new_leader = self._search.take_answer(sender, answer, now)
         effects: list[Effect] = []
         if answer.leader is not None and answer.leader.replica == sender:
@@ -330,7 +332,7 @@
         return effects
 
     def take_reply(self, reply: LedgerReply, now: float) -> list[Effect]:
-        """Take an answer in."""
+        """Handle a reply to an operation or to a request for engine data."""
         effects: list[Effect] = []
         pending = self._pending.get(reply.number)
         if not reply.passed_on:
@@ -353,7 +355,7 @@
     def _note_leader_reply(
         self, reply: LedgerReply, pending: _PendingOperation | None, now: float
     ) -> list[Effect]:
-        """Learn from a direct answer who leads, and how soon it answers."""
+        """Update the leader and its response time from a reply that was not relayed."""
         effects: list[Effect] = []
         is_new_leader = reply.leader is not None and self._search.update_leader(
             reply.leader, reply.term
@@ -375,7 +377,7 @@
     def _handle_not_leading(
         self, reply: LedgerReply, pending: _PendingOperation, now: float
     ) -> list[Effect]:
-        """Nothing was done: another one leads, nobody does, or the leader hands over."""
+        """Retry after a reply without results: the replica does not lead, or is handing over."""
         leader = self._search.leader
         if reply.leader is None and leader is not None and leader.replica == pending.sent_to:
             self._search.forget()
@@ -392,7 +394,7 @@
         return self._send(reply.number, pending, now)
 
     def _unassign_all(self) -> None:
-        """Let what the leader had wait for the next one."""
+        """Mark all operations as not sent, so that they wait for the next leader."""
         for pending in self._pending.values():
             pending.sent_to = None
 
@@ -403,7 +405,7 @@
         return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._pending)})]
 
     def _switch_leader(self, now: float) -> list[Effect]:
-        """Send what waits to a leader that is new, once."""
+        """Send all pending operations to a new leader."""
         leader = self._search.leader
         assert leader is not None
         self.turns.leader_changed()
@@ -431,7 +433,7 @@
         return effects
 
     def _send(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
-        """Send an operation to the leader; without one it waits."""
+        """Send an operation to the leader; without a known leader, schedule a retry."""
         leader = self._search.leader
         if leader is None:
             pending.sent_to = None
@@ -452,22 +454,22 @@
             passed_turns=pending.relayed_turns,
             tenant_loads=self._tenant_loads_due(turns, now),
         )
-        # The copies go first, so that they arrive before the entry that leaves them out.
+        # Copies are sent first, so that they arrive before the log entry that omits the texts.
         return [*copies, SendPeer(to=leader.replica, address=leader.address, message=message)]
 
     def _tenant_loads_due(
         self, turns: NodeTurns | None, now: float
     ) -> tuple[PoolLoad, ...] | UnsetType:
-        """Return the rows of tenants that go with a report of turns to the leader.
+        """Return the tenants' loads that accompany a report of turns to the leader.
 
-        While the leader is out of reach they are kept for operations that peers pass on.
+        While the leader is unreachable, they are left for relayed operations.
         """
         if turns is None or self._is_unreachable:
             return UNSET
         return self.turns.take_rows(now)
 
     def _text_copies(self, operation: Operation) -> list[Effect]:
-        """Return the messages that bring a turn's text to the followers, if the leader asks."""
+        """Return the messages that carry a turn's text to the followers named by the leader."""
         turn = operation.turn if isinstance(operation, Settle) else None
         if turn is None or len(turn.text) < MIN_TEXT_BYTES:
             return []
@@ -486,7 +488,7 @@
         pending.attempts += 1
 
     def _send_via_peer(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
-        """Ask through the next of the nodes that reach the ledger; another one each time."""
+        """Relay an operation through a reachable peer, a different one with each attempt."""
         peers = [] if pending.is_relayed else self.helpful_peers()
         if not peers:
             return []
@@ -505,7 +507,7 @@
 
 
 def _relayed_turns(sender: ReplicaId, request: PassedOnRequest) -> PassedTurns | UnsetType:
-    """Return what a node tells of its turns with an operation that is passed on."""
+    """Return the report of turns that accompanies a relayed operation."""
     if isinstance(request.turns, UnsetType):
         return UNSET
     rows = None if isinstance(request.tenant_loads, UnsetType) else request.tenant_loads
@@ -513,8 +515,8 @@
 
 
 def _ignore_shares(shares: tuple[PoolShares, ...], now: float) -> None:
-    """Tell nobody."""
+    """Ignore the shares."""
 
 
 def _ignore_engines(engines: tuple[EngineTurns, ...], now: float) -> None:
-    """Tell nobody."""
+    """Ignore the engines."""
--- a/src/yokeline/ledger/client_report.py
+++ b/src/yokeline/ledger/client_report.py
@@ -1,4 +1,4 @@
-"""What a forwarding node counts of its way to the ledger, and says in the log once a second."""
+"""Counters of a forwarding node's ledger client, and their log line."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from yokeline.effects import LogRecord
 
 REPORT_SECONDS = 1.0
-"""Time between two log lines: one a node and second at most."""
+"""Minimum time between two log lines."""
 
 
 class ClientCounts:
@@ -15,11 +15,11 @@
 
     Attributes:
         repetitions: Operations sent again, by cause.
-        late_answers: Results of operations that were answered or given up before.
-        through_peers: Operations sent to other forwarding nodes.
-        for_peers: Operations of other nodes that this one has asked for.
-        texts_copied: Turns whose texts were sent to the followers as well.
-        engine_asks: Questions for news of engines alone, while requests waited for one.
+        late_answers: Results of operations that were already answered or given up.
+        through_peers: Operations relayed through other forwarding nodes.
+        for_peers: Operations relayed for other forwarding nodes.
+        texts_copied: Turns whose texts were also sent to the followers.
+        engine_asks: Requests for engine data alone, while requests waited for an engine.
     """
 
     def __init__(self) -> None:
@@ -34,13 +34,13 @@
         self._next_report = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Return whether the last report was long enough ago."""
+        """Return whether a report is due."""
         return now >= self._next_report
 
     def report(
         self, now: float, *, under_way: int, oldest_seconds: float, timeout: float
     ) -> list[LogRecord]:
-        """Return a line if more than first questions was sent since the last one."""
+        """Return a log line if a counter has grown since the last report."""
         self._next_report = now + REPORT_SECONDS
         counts = Counter(self.repetitions)
         counts["late_answers"] = self.late_answers
