--- a/src/yokeline/ledger/leader_search.py
+++ b/src/yokeline/ledger/leader_search.py
@@ -1,8 +1,8 @@
-"""Which storage replica a forwarding node believes to lead the ledger, and how it finds out.
+"""Discovery of the ledger's leader by a forwarding node.
 
-Operations carry the texts of turns, so they go to the leader alone. While it is not known, or has
-been silent, the node asks replicas who leads: a message of a few bytes, at a bounded rate for all
-operations together, so that a leader that is slow is not asked more because it is slow.
+Operations may carry long texts, so they are sent to the leader only. While the leader is unknown or
+silent, the node sends small queries to storage replicas, at a rate that does not depend on the
+number of pending operations.
 """
 
 from __future__ import annotations
@@ -12,26 +12,25 @@
 from yokeline.ledger.messages import LeaderAnswer, LeaderHint, LeaderQuery
 
 QUERY_SECONDS = 0.1
-"""Pause between two rounds of queries while a leader is known but silent: a third of the election
-timeout, so a new leader is found soon after its election."""
+"""Time between two rounds of queries while a leader is known but silent: a third of the election
+timeout."""
 NO_LEADER_QUERY_SECONDS = 0.03
-"""The same while none is known."""
+"""Time between two rounds of queries while no leader is known."""
 REPLICAS_PER_QUERY = 3
-"""Replicas asked in one round beside the believed leader: of eight, of which five are members, one
-that knows is among them; all are asked in a few rounds."""
+"""Replicas queried in one round, besides the known leader; successive rounds cover all replicas."""
 
 
 class LeaderSearch:
-    """The believed leader and the queries to storage replicas; a pure state machine.
+    """The known leader and the queries to storage replicas; a state machine without I/O.
 
     Attributes:
-        leader: The believed leader; None while none is known.
-        term: The latest term of which a leader was heard.
-        heard_at: When the believed leader itself last said a word.
+        leader: The known leader; None if unknown.
+        term: The latest term in which a leader was reported.
+        heard_at: When the known leader itself last answered.
     """
 
     def __init__(self, own_address: Address) -> None:
-        """Ask from ``own_address``, where answers are to be sent."""
+        """Create a search that receives answers at ``own_address``."""
         self.leader: LeaderHint | None = None
         self.term = 0
         self.heard_at = float("-inf")
@@ -41,11 +40,11 @@
         self._next_query = float("-inf")
 
     def set_storage(self, storage: dict[ReplicaId, Address]) -> None:
-        """Note the storage replicas that are known."""
+        """Set the known storage replicas."""
         self._storage = storage
 
     def update_leader(self, leader: LeaderHint, term: int) -> bool:
-        """Take in who leads; return whether that is another leader, or one elected anew."""
+        """Set the leader of a term, unless a later term is known; return whether it changed."""
         if term < self.term:
             return False
         is_new_leader = leader != self.leader or term > self.term
@@ -54,12 +53,12 @@
         return is_new_leader
 
     def forget(self) -> None:
-        """Note that the believed leader does not lead any more."""
+        """Forget the leader, which no longer leads."""
         self.leader = None
         self._next_query = float("-inf")
 
     def take_answer(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> bool:
-        """Take the answer to a query in; return whether another leader is believed in."""
+        """Handle the answer to a query; return whether the leader changed."""
         if answer.leader is None:
             if self.leader is not None and self.leader.replica == sender:
                 self.forget()
@@ -70,11 +69,11 @@
         return is_new_leader
 
     def next_query_at(self) -> float:
-        """Return when the next round of queries may be sent."""
+        """Return the earliest time of the next round of queries."""
         return self._next_query
 
     def send_queries(self, now: float) -> list[SendPeer]:
-        """Ask the believed leader and a few others who leads, unless asked a moment ago."""
+        """Query the known leader and some other replicas, if a round is due."""
         if now < self._next_query:
             return []
         self._next_query = now + (NO_LEADER_QUERY_SECONDS if self.leader is None else QUERY_SECONDS)
@@ -84,7 +83,7 @@
         return [SendPeer(to=item.replica, address=item.address, message=query) for item in asked]
 
     def _candidates(self) -> list[LeaderHint]:
-        """Return the next replicas that are not the believed leader, in turn."""
+        """Return the next replicas in rotation, without the known leader."""
         leader = self.leader.replica if self.leader is not None else None
         replicas = [replica for replica in sorted(self._storage) if replica != leader]
         count = min(REPLICAS_PER_QUERY, len(replicas))
