--- a/src/yokeline/ledger/link_utilization.py
+++ b/src/yokeline/ledger/link_utilization.py
@@ -30,7 +30,7 @@
         self._bytes += size
 
     def is_high(self, now: float) -> bool:
-        """Return whether complete entries take too much of the link; False if its rate is unknown."""
+        """Return whether complete entries take too much of the link; False for an unknown rate."""
         self._decay(now)
         limit = LOW_UTILIZATION if self._is_high else HIGH_UTILIZATION
         per_second = self._bytes / AVERAGE_SECONDS
