--- a/src/yokeline/ledger/history_fetches.py
+++ b/src/yokeline/ledger/history_fetches.py
@@ -1,8 +1,7 @@
-"""Texts of kept turns, read from a replica that does not lead.
+"""Reads the texts of retained turns from followers.
 
-A kept turn never changes, so any replica that has it may give it out. The leader sends each new
-turn to all followers and answers every reservation; the texts of histories would be a quarter of
-what its link carries, and another replica may be in the reader's own zone.
+A retained turn never changes, so any replica that holds it can serve it. Followers serve histories
+to relieve the leader's link, preferably to readers in their own zone.
 """
 
 from __future__ import annotations
@@ -19,20 +18,26 @@
 from yokeline.ledger.operations import KeptTurn
 
 FETCH_SECONDS = 0.15
-"""Longest wait for a replica, then the leader is asked: a replica holds a question for 0.1 s, and
-the text of a long chain takes a few hundredths on a link of 15 Mbit/s."""
+"""Time to wait for a replica before the leader is asked; longer than the time for which the replica
+itself waits for a missing turn."""
 SILENT_BACKOFF_SECONDS = 3.0
-"""Time for which a replica that was silent is not asked: a machine that lost power is back in 2 to
-4 s."""
+"""Time for which a replica that did not answer is not asked again; about the restart time of a
+machine."""
 NON_MEMBER_BACKOFF_SECONDS = 15.0
-"""The same for one that is no member of the group: members change when a machine is lost."""
+"""Time for which a replica outside the group is not asked again; members change when a machine is
+lost."""
 
 HistoryCallback = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
-"""Told the turns, the oldest first, and the time; none if the replica did not help."""
+"""Called with the turns, the oldest first, and the time. Without turns the replica could not
+help."""
 
 
 class NearReplica(msgspec.Struct, frozen=True):
-    """A storage replica, and whether it is in the reader's zone."""
+    """A storage replica.
+
+    Attributes:
+        is_near: It is in the reader's zone.
+    """
 
     replica: ReplicaId
     address: Address
@@ -46,14 +51,17 @@
 
 
 class HistoryFetches:
-    """Questions of one forwarding node; a pure state machine.
+    """Pending history requests of one forwarding node; a state machine without I/O.
 
     Attributes:
-        counts: Questions by how they ended.
+        counts: Requests by outcome.
     """
 
     def __init__(self, node: str, own_address: Address) -> None:
-        """Ask from ``own_address``; ``node`` parts the nodes over replicas that are as near."""
+        """Create a client that receives answers at ``own_address``.
+
+        ``node`` seeds the order of equally near replicas, so that nodes spread over them.
+        """
         self.counts: Counter[str] = Counter()
         self._node = node
         self._own_address = own_address
@@ -63,7 +71,7 @@
         self._last_number = 0
 
     def set_replicas(self, replicas: list[NearReplica]) -> None:
-        """Note the storage replicas that are known."""
+        """Set the known storage replicas."""
         self._replicas = sorted(replicas, key=lambda item: (not item.is_near, self._rank(item)))
         known = {item.replica for item in replicas}
         self._avoided_until = {
@@ -78,7 +86,7 @@
         done: HistoryCallback,
         now: float,
     ) -> list[Effect] | None:
-        """Ask for a chain from after ``known`` up to ``last``; None if there is nobody to ask."""
+        """Request the chain after ``known`` up to ``last``; None if there is no replica to ask."""
         chosen = self._choose(leader, now)
         if chosen is None:
             return None
@@ -90,7 +98,7 @@
         return [SendPeer(to=chosen.replica, address=chosen.address, message=message)]
 
     def take_reply(self, reply: HistoryReply, now: float) -> list[Effect]:
-        """Take an answer in."""
+        """Handle an answer."""
         fetch = self._fetches.pop(reply.number, None)
         if fetch is None:
             self.counts["late"] += 1
@@ -109,7 +117,7 @@
         return min((fetch.give_up_at for fetch in self._fetches.values()), default=None)
 
     def tick(self, now: float) -> list[Effect]:
-        """Give up what a replica did not answer."""
+        """Give up requests that a replica did not answer in time."""
         effects: list[Effect] = []
         for number, fetch in list(self._fetches.items()):
             if now < fetch.give_up_at:
--- a/src/yokeline/ledger/history_service.py
+++ b/src/yokeline/ledger/history_service.py
@@ -1,4 +1,4 @@
-"""A storage replica's side of reading kept turns; see :mod:`yokeline.ledger.history_fetches`."""
+"""Serves retained turns from a replica; see :mod:`yokeline.ledger.history_fetches`."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from yokeline.ledger.replica import LedgerReplica
 
 MISSING_TURN_WAIT_SECONDS = 0.1
-"""Time for which a replica waits for a turn that it does not have yet: it hears what is committed
-with the next message of its leader, 0.06 s later at most."""
+"""Time to wait for a turn that the replica does not hold yet; a follower learns what is committed
+with the leader's next heartbeat."""
 MAX_PENDING_REQUESTS = 512
-"""Questions held at once; more are answered at once that the turn is not there."""
+"""Requests waiting at once; further ones are answered without turns immediately."""
 
 
 class _PendingRequest(msgspec.Struct, frozen=True):
@@ -24,15 +24,15 @@
 
 
 class HistoryService:
-    """Gives out the turns that one replica has."""
+    """Serves the turns that one replica holds."""
 
     def __init__(self, replica: LedgerReplica) -> None:
-        """Read from ``replica``."""
+        """Serve the turns of ``replica``."""
         self._replica = replica
         self._pending: list[_PendingRequest] = []
 
     def handle_request(self, sender: ReplicaId, ask: HistoryAsk, now: float) -> list[Effect]:
-        """Answer a question, or hold it while the turn may still be on its way here."""
+        """Answer a request, or keep it while the turn may still be replicated."""
         turns = self._replica.state().chain(ask.last, ask.known)
         may_come = self._replica.is_member and len(self._pending) < MAX_PENDING_REQUESTS
         if turns or not may_come:
@@ -41,7 +41,7 @@
         return []
 
     def tick(self, now: float) -> list[Effect]:
-        """Answer what was held and has come, or has waited long enough."""
+        """Answer pending requests whose turns have arrived or whose time is over."""
         if not self._pending:
             return []
         effects: list[Effect] = []
