--- a/src/yokeline/ledger/leader_load.py
+++ b/src/yokeline/ledger/leader_load.py
@@ -1,4 +1,4 @@
-"""What a ledger leader was asked and how it kept up, as one log line a second while it is busy."""
+"""Counters of the leader's load, logged once a second while it is busy."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from yokeline.ledger.operations import Draw, Granted, Operation, OperationResult, Reserve
 
 REPORT_SECONDS = 1.0
-"""Time between two lines; a leader that is asked nothing writes none."""
+"""Time between two log lines; an idle leader logs none."""
 
 
 class LeaderLoad:
-    """Counts requests and answers between two lines."""
+    """Counts requests and answers between two log lines."""
 
     def __init__(self, now: float) -> None:
-        """Begin to count."""
+        """Start counting."""
         self._report_at = now + REPORT_SECONDS
         self._counts: Counter[str] = Counter()
         self._longest_entry = 0.0
         self._longest_wait = 0.0
 
     def note_operation(self, operation: Operation) -> None:
-        """Count an operation that was asked for."""
+        """Count a requested operation."""
         if isinstance(operation, Reserve):
             self._counts["reservations"] += 1
         elif isinstance(operation, Draw):
@@ -33,18 +33,18 @@
             self._counts["turns_to_keep"] += operation.turn is not None
 
     def note_duplicate(self, stage: str) -> None:
-        """Count an operation that came again; ``stage`` says where its first copy stands."""
+        """Count a duplicate of an operation; ``stage`` is how far the first copy has come."""
         self._counts[f"repeated_{stage}"] += 1
 
     def note_entry(self, seconds: float, size: int, oldest_wait: float) -> None:
-        """Count a log entry from its proposal to its results."""
+        """Count a log entry; ``seconds`` is the time from its proposal to its results."""
         self._counts["entries"] += 1
         self._counts["entry_bytes"] += size
         self._longest_entry = max(self._longest_entry, seconds)
         self._longest_wait = max(self._longest_wait, oldest_wait)
 
     def note_reply(self, reply: LedgerReply) -> None:
-        """Count an answer, with the texts of kept turns in it."""
+        """Count a reply and the bytes of retained turns in it."""
         if not reply.results:
             self._counts["not_leading"] += 1
             return
@@ -53,7 +53,7 @@
         self._counts["history_bytes"] += sum(_history_bytes(item) for item in reply.results)
 
     def report(self, now: float, waiting: int) -> list[LogRecord]:
-        """Return the line about what was counted, if it is time for one."""
+        """Return the log line, if one is due."""
         if now < self._report_at:
             return []
         self._report_at = now + REPORT_SECONDS
--- a/src/yokeline/ledger/node_reports.py
+++ b/src/yokeline/ledger/node_reports.py
@@ -1,4 +1,4 @@
-"""The latest report of each node to the ledger's leader, until the node falls silent."""
+"""The latest report of each node to the ledger's leader."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from yokeline.ledger.own_turns import REFRESH_SECONDS
 
 NODE_SILENCE_SECONDS = 3 * REFRESH_SECONDS
-"""A node that has not reported for this long is gone, or has no turn under way; two reports in a
-row may be lost with a connection."""
+"""Time without a report after which a node's loads no longer count; covers the loss of two reports
+in a row."""
 MAX_NODES = 10_000
 
 _Load = TypeVar("_Load")
@@ -25,19 +25,23 @@
 
 
 class NodeReports(Generic[_Load]):
-    """What each process told last; whoever keeps sums of it counts what is taken out no more."""
+    """The latest loads reported by each process.
+
+    A caller that keeps sums of the loads subtracts what :meth:`pop_report` and
+    :meth:`pop_silent_loads` return.
+    """
 
     def __init__(self) -> None:
-        """Know of no node."""
+        """Start without reports."""
         self._reports: dict[ReplicaId, _Report[_Load]] = {}
         self._next_sweep = -math.inf
 
     def has_room(self, process: ReplicaId) -> bool:
-        """Return whether a process is known, or one more can be."""
+        """Return whether a report of this process can be kept."""
         return process in self._reports or len(self._reports) < MAX_NODES
 
     def is_newer(self, process: ReplicaId, sequence: int) -> bool:
-        """Return whether no later report of a process came before."""
+        """Return whether a report is newer than the one that is kept."""
         known = self._reports.get(process)
         return known is None or known.sequence < sequence
 
@@ -46,14 +50,14 @@
         self._reports[process] = _Report(sequence, loads, now)
 
     def pop_report(self, process: ReplicaId) -> tuple[_Load, ...]:
-        """Forget a process, and return what it told last."""
+        """Remove the report of a process, and return its loads."""
         known = self._reports.pop(process, None)
         return known.loads if known is not None else ()
 
     def pop_silent_loads(self, now: float) -> list[_Load] | None:
-        """Forget the processes that fell silent, and return what they told last.
+        """Remove the reports of silent processes, and return their loads.
 
-        None if the last look at them was a short while ago.
+        Return None if the last removal was less than :data:`REFRESH_SECONDS` ago.
         """
         if now < self._next_sweep:
             return None
@@ -66,5 +70,5 @@
         return [load for process in silent for load in self.pop_report(process)]
 
     def clear(self) -> None:
-        """Forget all processes."""
+        """Remove all reports."""
         self._reports.clear()
