--- a/src/yokeline/ledger/bootstrap.py
+++ b/src/yokeline/ledger/bootstrap.py
@@ -1,4 +1,4 @@
-"""How the ledger's group begins: several founders, named once in the key-value service."""
+"""Bootstrap of the ledger's group: its founders are written once to the key-value service."""
 
 from __future__ import annotations
 
@@ -19,20 +19,21 @@
 from yokeline.registry.protocol import StoredItem
 
 REGISTRATION_WAIT_SECONDS = 0.5
-"""Time for storage nodes to register before founders are named; most start within it."""
+"""Time for storage nodes to register before founders are chosen."""
 MIN_FOUNDERS = 3
-"""Registered nodes that make waiting longer needless: a group that bears a lost disk."""
+"""Registered nodes with which no further waiting is needed; a group of three tolerates a lost
+disk."""
 MAX_REGISTRATION_WAIT_SECONDS = 3.0
-"""Time after which fewer are named: callers come some 10 s after the first start."""
+"""Time after which fewer nodes are accepted as founders."""
 
 
 class Bootstrap:
-    """Registers a storage node, and begins the group if the node is one of its founders."""
+    """Registers a storage node, and bootstraps the group if the node is a founder."""
 
     def __init__(
         self, record: NodeRecord, replica: LedgerReplica, registry: RegistryClient
     ) -> None:
-        """Found with ``replica`` of the node of ``record``."""
+        """Create the bootstrap of ``replica`` on the node of ``record``."""
         self._record = record
         self._replica = replica
         self._registry = registry
@@ -41,9 +42,9 @@
         self._waits_since: float | None = None
 
     def register(self) -> None:
-        """Tell the others of this node once a restart would keep its replica's id.
+        """Register this node once its replica's id is on disk.
 
-        Else a loss of all power in the first moments would leave founders that nobody ever is.
+        Registered earlier, a node could become a founder, lose power, and return under another id.
         """
         if self._registered or not self._replica.identity_saved:
             return
@@ -51,10 +52,10 @@
         self._registry.ensure(node_key(self._record.name), encode_node(self._record))
 
     def tick(self, now: float) -> list[Effect]:
-        """Begin the group if this node is one of its founders, or let the founders be named.
+        """Bootstrap the group if this node is a founder, or propose the founders.
 
-        The first write of their names counts, so all nodes begin the same group. Several are
-        named, since a replica that loses its disk never comes back under its id.
+        Only the first write of the founders succeeds, so all nodes bootstrap the same group. There
+        are several founders, because a replica that loses its disk never returns under its id.
         """
         if not self._replica.is_empty or not self._registry.complete:
             return []
@@ -82,7 +83,7 @@
         return [log, *self._replica.bootstrap(founders, now)]
 
     def _may_propose_founders(self, now: float) -> bool:
-        """Return whether there was time for the other nodes to register."""
+        """Return whether the other nodes have had time to register."""
         if not self._replica.first_start or self._proposed:
             return False
         if self._waits_since is None:
--- a/src/yokeline/ledger/joining.py
+++ b/src/yokeline/ledger/joining.py
@@ -1,4 +1,4 @@
-"""How a storage node that is no member of the ledger's group asks to become one."""
+"""Requests of a storage node to become a member of the ledger's group."""
 
 from __future__ import annotations
 
@@ -11,19 +11,20 @@
 
 JOIN_PERIOD_SECONDS = 0.25
 EAGER_JOIN_SECONDS = 5.0
-"""Time after the start in which a node that is no member asks all others, and often: its earlier
-replica may be a member, and who knows that its disk is lost counts it in no majority."""
+"""Time after the start in which a node that is not a member sends frequent requests to all others:
+its previous replica may still be a member, and members that know that its disk is lost do not count
+it in a majority."""
 STANDBY_JOIN_PERIOD_SECONDS = 0.7
-"""Pause between its requests after that: the group is probably full, and it stands by."""
+"""Time between requests after that, while the node is a standby."""
 LEADER_SILENCE_SECONDS = 1.0
 """A member that knows no leader for this long asks to join, in case it was removed."""
 LEADER_HINT_TTL_SECONDS = 2.0
-"""Time for which a node that stands by believes who leads after it was told: it is told again
-with each of its requests, so this is two that went unanswered."""
+"""Time for which a standby trusts the last leader that it was told of; long enough for two
+unanswered requests."""
 
 
 class JoinRequester:
-    """Asks to join while the node is no member, or knows no leader.
+    """Asks to join while the node is not a member, or is a member that knows no leader.
 
     Attributes:
         leader_seen_at: When this node last knew a leader of its group.
@@ -32,7 +33,7 @@
     def __init__(
         self, record: NodeRecord, replica: LedgerReplica, registry: RegistryClient, now: float
     ) -> None:
-        """Ask for ``replica`` of the node of ``record``."""
+        """Create requests for ``replica`` of the node of ``record``."""
         self.leader_seen_at = now
         self._record = record
         self._replica = replica
@@ -44,24 +45,24 @@
         self._leader_hint_at = float("-inf")
 
     def knows_leader(self, now: float) -> bool:
-        """Whether this node knows a leader, as a member of its group or as one that stands by."""
+        """Whether this node knows a leader, as a member of the group or as a standby."""
         if self._replica.is_member:
             return self._replica.group.leader is not None
         return self._recent_leader_hint(now) is not None
 
     def take_leader_answer(self, answer: LeaderAnswer, now: float) -> None:
-        """Note who leads, as a member tells a node that asked."""
+        """Note the leader from a member's answer to a join request."""
         if answer.leader is None or answer.term < self._leader_hint_term:
             return
         if answer.leader != self._leader_hint:
-            # A new leader does not know yet who stands by, and may need a member now.
+            # A new leader does not know the standbys yet, and may need one now.
             self._next_request = now
         self._leader_hint = answer.leader
         self._leader_hint_term = answer.term
         self._leader_hint_at = now
 
     def tick(self, now: float) -> list[Effect]:
-        """Ask, if it is time."""
+        """Send requests, if they are due."""
         if self._replica.group.leader is not None:
             self.leader_seen_at = now
         has_leader = now - self.leader_seen_at < LEADER_SILENCE_SECONDS
@@ -84,7 +85,7 @@
         return self._leader_hint if now - self._leader_hint_at < LEADER_HINT_TTL_SECONDS else None
 
     def _storage_addresses(self) -> dict[ReplicaId, Address]:
-        """Return every storage replica known from the registry or from messages."""
+        """Return the storage replicas known from the registry or from messages."""
         known = dict(self._replica.addresses)
         registered = storage_nodes(self._registry.items(NODE_PREFIX).values())
         known.update({node.replica: node.address for node in registered})
--- a/src/yokeline/ledger/leadership.py
+++ b/src/yokeline/ledger/leadership.py
@@ -1,4 +1,4 @@
-"""Since when a replica leads, and which replicas it saw leave the group."""
+"""Tracks since when a replica leads, and which replicas have left the group."""
 
 from __future__ import annotations
 
@@ -7,19 +7,19 @@
 from yokeline.identifiers import ReplicaId
 
 MAX_FORMER_MEMBERS = 256
-"""Replicas that left and are remembered; each lost disk adds one in the life of a process."""
+"""Former members that are remembered; every lost disk adds one."""
 
 
 class LeadershipTracker:
-    """What a leader needs to tell news of its own time from what was heard before.
+    """Tracks the leadership of a replica and the former members of its group.
 
     Attributes:
-        since: When it began to lead in the present term (monotonic seconds); ``inf`` for a replica
-            that does not lead.
+        since: When the replica began to lead in the current term (monotonic seconds); ``inf`` if it
+            does not lead.
     """
 
     def __init__(self) -> None:
-        """Begin as a replica that does not lead."""
+        """Start as a replica that does not lead."""
         self.since = float("inf")
         self._term = -1
         self._members: tuple[ReplicaId, ...] = ()
@@ -27,13 +27,13 @@
 
     @property
     def former_members(self) -> frozenset[ReplicaId]:
-        """Replicas that were members and are not."""
+        """Replicas that were members and no longer are."""
         return frozenset(self._former_members)
 
     def observe(
         self, *, is_leader: bool, term: int, members: tuple[ReplicaId, ...], now: float
     ) -> None:
-        """Take the state of the group in; called several times a second."""
+        """Record the current state of the group."""
         if not is_leader:
             self.since = float("inf")
         elif self.since > now or term != self._term:
