--- a/src/yokeline/ledger/members.py
+++ b/src/yokeline/ledger/members.py
@@ -1,4 +1,4 @@
-"""Which storage nodes are members of the ledger's group: one change at a time, decided purely."""
+"""Chooses the next change of the ledger group's members; pure functions."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 MAX_MEMBERS = 5
 MIN_MEMBERS_AFTER_REPLACEMENT = 3
-"""A silent member is removed only if that many are left."""
+"""A silent member is removed only if at least this many members remain."""
 REPLACE_AFTER_SECONDS = 2.0
-"""Silence after which a member is replaced by a node that waits to join."""
+"""Silence after which a member is replaced by a standby."""
 JOIN_REQUEST_TTL_SECONDS = 1.5
-"""A node that asked to join within this time counts as alive."""
+"""A node counts as alive for this long after a join request."""
 CATCH_UP_SILENCE_SECONDS = 0.5
-"""Silence after which a member that has yet to catch up is no longer awaited."""
+"""Silence after which the group no longer waits for a member to catch up."""
 MIN_LOST_SILENCE_SECONDS = 0.3
-"""A replica that was heard within this time has not lost its disk, whatever a request says."""
+"""A replica heard from within this time has not lost its disk, even if a join request says so."""
 
 
 class JoinRequest(msgspec.Struct, frozen=True):
@@ -38,14 +38,14 @@
 
 
 class RemoveMember(msgspec.Struct, frozen=True):
-    """Remove a replica from the group; ``reason`` is for the log."""
+    """Remove a replica from the group; ``reason`` is logged."""
 
     replica: ReplicaId
     reason: str
 
 
 class HandOver(msgspec.Struct, frozen=True):
-    """Hand leadership to another member, since this node is to be emptied."""
+    """Transfer leadership to another member, because the leader's node is retiring."""
 
     replica: ReplicaId
 
@@ -54,21 +54,21 @@
 
 
 class GroupView(msgspec.Struct, frozen=True, kw_only=True):
-    """What the leader knows when it decides.
+    """The leader's view of the group.
 
     Attributes:
         own: The leader's replica id.
-        members: The configuration in force, committed.
-        joins: Requests to join, by node.
+        members: The committed configuration.
+        joins: Join requests by node.
         silence: Seconds for which each follower has left a message unanswered.
-        retiring: Nodes that are to be emptied.
+        retiring: Nodes that an operator has ordered to retire.
         lost: Replicas that are known to have lost their disks.
         caught_up: Members that hold every committed entry.
-        leads_since: When the leader began to lead; what it heard before may be of nodes that are
-            gone since, at an order that went to the leader before it.
-        knows_orders: It has read the operator's orders since then.
-        former: Replicas that were members and are not.
-        zones: Where nodes stand, as far as it is known.
+        leads_since: When the leader began to lead. Earlier join requests may come from nodes that
+            have since been retired by an order to the previous leader.
+        has_read_orders: The leader has read the operator's orders since then.
+        former: Replicas that were members and no longer are.
+        zones: Zones of nodes, where known.
     """
 
     own: ReplicaId
@@ -85,7 +85,7 @@
 
 
 def choose_founders(nodes: list[NodeRecord]) -> tuple[ReplicaId, ...]:
-    """Return the members to begin a group with: spread over the zones, then by name."""
+    """Return the founders of a group: spread over the zones, then by name."""
     candidates = sorted(nodes, key=lambda node: node.name)
     founders: list[NodeRecord] = []
     while candidates and len(founders) < MAX_MEMBERS:
@@ -97,11 +97,11 @@
 
 
 def next_step(view: GroupView, now: float) -> MembershipStep | None:
-    """Return the next change of members, or None if all is as it should be.
+    """Return the next change of members, or None if none is needed.
 
-    A replica that lost its disk goes first: it counts in no majority and its node waits to
-    come back as a new member. Newcomers come before a silent member or one that is to be emptied
-    goes, so that the group does not shrink more than it must.
+    A replica that lost its disk is removed first: it counts in no majority, and its node waits to
+    join as a new member. Candidates are added before a silent or retiring member is removed, so
+    that the group does not shrink more than necessary.
     """
     return (
         _remove_lost(view)
@@ -130,7 +130,7 @@
 
 
 def _has_enough_members(view: GroupView) -> bool:
-    """Return whether there are enough members without those that are to be emptied."""
+    """Return whether enough members are not retiring."""
     staying = [item for item in view.members if node_name_of(item) not in view.retiring]
     return len(staying) >= MAX_MEMBERS
 
@@ -140,16 +140,16 @@
     is_fresh = request.heard_at >= max(view.leads_since, now - JOIN_REQUEST_TTL_SECONDS)
     if not is_fresh or request.replica in view.members or node in view.retiring:
         return False
-    # A member that was removed may have been emptied at an order that this leader has not read.
-    # Taken in again it counts in each majority while its machine goes: no turn for 4 s (log).
+    # A former member may have been retired by an order that this leader has not read yet. Added
+    # again, it would count in each majority although its machine is about to go.
     return view.has_read_orders or request.replica not in view.former
 
 
 def _remove_retiring(view: GroupView, now: float) -> MembershipStep | None:
-    """Take out a member once others hold what it holds; its successor comes first.
+    """Remove a retiring member once the others hold its entries and its successor has joined.
 
-    Whoever stands by asks a new leader within a moment; the group could bear one loss less if the
-    member went before that.
+    A new leader first waits for the join requests of standbys: without a successor, the group would
+    tolerate one loss less.
     """
     if not _has_enough_members(view) and now - view.leads_since < JOIN_REQUEST_TTL_SECONDS:
         return None
@@ -166,14 +166,14 @@
 
 
 def _is_catching_up(member: ReplicaId, view: GroupView) -> bool:
-    """Return whether a member is about to catch up; one that is silent may never do."""
+    """Return whether a member is about to catch up; a silent member may never do."""
     if member in view.caught_up or member == view.own:
         return False
     return view.silence.get(member, 0.0) <= CATCH_UP_SILENCE_SECONDS
 
 
 def _choose_successor(staying: list[ReplicaId], view: GroupView) -> ReplicaId:
-    """Return who is to lead; one that is to be emptied as well only if all are."""
+    """Return the next leader; a retiring member only if all members are retiring."""
     return min(staying, key=lambda member: node_name_of(member) in view.retiring)
 
 
