--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -1,8 +1,8 @@
-"""One replica of the ledger: the Raft group, its state machine, and what is on the disk.
+"""A replica of the ledger: its Raft group, state machine and log file.
 
-Nothing that follows from a change of term, vote or log leaves this replica before the change
-is on the disk: effects wait, in order, behind the write that they follow from. Writes of one
-moment share a sync. While a disk hangs the replica is silent, and the others elect a leader.
+Messages and results that depend on a change of term, vote or log are held back until that change is
+synced to disk. Changes of one event share a sync. While its disk hangs, a replica sends nothing,
+and the others elect a leader.
 """
 
 from __future__ import annotations
@@ -48,17 +48,18 @@
 
 LOG_FILE = "ledger.log"
 MIN_COMPACT_BYTES = 48 * 1024 * 1024
-"""Least size of the log file after which it is replaced by a snapshot and what follows. Each
-replica adds up to half of it by lot, so that they do not all stand still at one moment."""
+"""Minimum size of the log file for compaction. Each replica adds a random share of up to half, so
+that replicas do not all compact at once."""
 COMPACT_GROWTH_FACTOR = 2.0
-"""A file is replaced again once it has grown by this factor: what it holds may be larger than
-the least size, and would else be written anew at every sync."""
+"""Growth of a compacted file after which it is compacted again; a state larger than the minimum
+size would otherwise be rewritten at every sync. A leader that cannot hand over compacts anyway once
+the file exceeds its limit by the same factor."""
 MAX_APPLIED_PER_TICK = 200
-"""Operations applied in one turn of the loop; after a start there are thousands, and a leader
-that applies them all in one go sends no heartbeat meanwhile."""
+"""Committed operations applied in one event-loop iteration, so that heartbeats are not delayed
+after a restart."""
 MAX_APPEND_BYTES = 128 * 1024
-"""Most bytes of entries in flight to one follower: with four followers on a link of 47 Mbit/s a
-heartbeat waits 90 ms behind them, well below the election timeout."""
+"""Bytes of entries in flight to one follower; heartbeats queue behind them, and must arrive within
+the election timeout."""
 
 RAFT_SETTINGS = RaftSettings(
     heartbeat_seconds=0.06,
@@ -73,38 +74,38 @@
 )
 
 BOOTSTRAP_INDEX = 1
-"""Index of the snapshot that all founders begin with."""
+"""Index of the snapshot with which all founders start."""
 BOOTSTRAP_TERM = 1
-"""Its term, in which nobody is elected: the first leader's is higher."""
+"""Term of that snapshot; no leader is elected in it."""
 
 IMMEDIATELY = float("-inf")
-"""A time that has always come."""
+"""A deadline that is always due."""
 
 ResultsCallback = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
-"""Told the results of proposed operations; None if they may not have been taken."""
+"""Called with the results of proposed operations, or with None if they may not be committed."""
 
 
 class _DeferredEffects(msgspec.Struct):
-    """Effects that wait until the write with this ticket is on the disk."""
+    """Effects that wait for the write with this ticket to be synced."""
 
     ticket: int
     effects: list[RaftEffect]
 
 
 class _PendingProposal(msgspec.Struct):
-    """Operations proposed in a term, waiting for their entry to be committed."""
+    """Operations proposed in a term, whose entry is not committed yet."""
 
     term: int
     callback: ResultsCallback
 
 
 class LedgerReplica:
-    """A replica with its disk; the host routes messages and tickets to it.
+    """A replica and its log file; the host delivers messages and completed tickets.
 
     Attributes:
-        addresses: Where the other replicas listen.
-        first_start: This replica is of the first start of the whole system. The disk remembers
-            it, so that a process that ends before the group has begun may still begin it.
+        addresses: Addresses of the other replicas.
+        first_start: The replica was created at the first start of the deployment, and may bootstrap
+            the group. Stored on disk, so that a restart before the bootstrap keeps it.
     """
 
     def __init__(
@@ -120,9 +121,9 @@
         settings: RaftSettings = RAFT_SETTINGS,
         compact_bytes: int = MIN_COMPACT_BYTES,
     ) -> None:
-        """Start from what was recovered; an empty log makes a newcomer.
+        """Start from a recovered log; an empty log makes a new replica.
 
-        ``link_mbps`` is what the machine's link bears, in megabits a second; 0 if not known.
+        ``link_mbps`` is the capacity of the machine's link in megabits a second; 0 if unknown.
         """
         self.replica = replica
         self.first_start = first_start or recovered.first_start
@@ -153,7 +154,7 @@
             self._write([IdentityRecord(replica, self.first_start)], [])
             self._identity_ticket = self._ticket
 
-    # ------------------------------------------------------------ what is known
+    # ------------------------------------------------------------ status
 
     @property
     def leads(self) -> bool:
@@ -162,36 +163,36 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether this replica is in the configuration that it knows."""
+        """Whether this replica is in the latest configuration that it knows."""
         return self.replica in self.group.members
 
     @property
     def identity_saved(self) -> bool:
-        """Whether the replica's id is on the disk, so that a restart keeps it."""
+        """Whether the replica's id is on disk, so that a restart keeps it."""
         return self._synced_ticket >= self._identity_ticket
 
     @property
     def is_empty(self) -> bool:
-        """Whether this replica holds nothing and belongs to no group yet."""
+        """Whether this replica holds no entries and belongs to no group."""
         return not self.group.members and self.group.last_index == 0
 
     @property
     def needs_compaction(self) -> bool:
-        """Whether the log file has grown enough to be replaced by a snapshot."""
+        """Whether the log file has grown enough to be compacted."""
         return self._file_bytes >= self._compact_bytes and self._applied > 0
 
     @property
     def entries_restored(self) -> int:
-        """Entries that this follower has put together with texts from nodes."""
+        """Entries restored with texts received from nodes."""
         return self._restorer.restored
 
     @property
     def messages_missing_texts(self) -> int:
-        """Messages of a leader that this follower dropped, since a text did not come."""
+        """Messages of a leader that were dropped because a text was missing."""
         return self._restorer.incomplete
 
     def leader_hint(self) -> LeaderHint | None:
-        """Return the leader and where it listens, if it is known."""
+        """Return the leader and its address, if both are known."""
         leader = self.group.leader
         if leader is None:
             return None
@@ -213,11 +214,10 @@
     # ------------------------------------------------------------ events
 
     def bootstrap(self, founders: tuple[ReplicaId, ...], now: float) -> list[Effect]:
-        """Begin the group with ``founders``, of which this replica is one.
+        """Bootstrap the group with ``founders``, which include this replica.
 
-        All founders begin with the same snapshot, before any of them can lead, so that one that
-        is late gets it from a leader with the members in it. What this replica has voted
-        before stays.
+        All founders start with the same snapshot, and none can lead before. A late founder receives
+        the snapshot, with the members in it, from the leader. The replica keeps its term and vote.
         """
         snapshot = Snapshot(BOOTSTRAP_INDEX, BOOTSTRAP_TERM, founders, encode_state(self._state))
         hard_state = self.group.hard_state
@@ -231,35 +231,35 @@
         return self._persist(self.group.tick(now))
 
     def set_lost(self, lost: frozenset[ReplicaId]) -> None:
-        """Name the replicas that are known to have lost their disks."""
+        """Set the replicas that are known to have lost their disks."""
         self._lost = lost
         self.group.set_lost(lost)
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due, and apply more of what is committed."""
+        """Run due timers, and apply more committed entries."""
         self._now = now
         self._apply_some()
         effects = self._step_restored(now)
         return [*effects, *self._persist(self.group.tick(now))]
 
     def step(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> list[Effect]:
-        """Take a message of another replica in."""
+        """Handle a message of another replica."""
         self._now = now
         self.learn_address(sender, envelope.sender_address)
         self._restorer.take(sender, envelope, now)
         return self._step_restored(now)
 
     def take_text(self, copy: TextCopy, now: float) -> list[Effect]:
-        """Take a text in that a message of the leader leaves out."""
+        """Store a text that the leader omits from its messages."""
         self._restorer.texts.put(copy.turn_id, copy.text)
         return self._step_restored(now)
 
     def note_missing_text(self, follower: ReplicaId, now: float) -> None:
-        """Note that a follower needs whole entries for a while."""
+        """Send complete entries to a follower for a while, because it lacked a text."""
         self._stripper.note_missing(follower, now)
 
     def copies_to(self, now: float) -> tuple[LeaderHint, ...]:
-        """Return the followers to which nodes are to send texts; none while the link bears them."""
+        """Return the followers to which nodes send texts; none at low utilization of the link."""
         if not self.leads or not self._link.is_high(now):
             return ()
         followers = (member for member in self.group.members if member != self.replica)
@@ -267,7 +267,7 @@
         return tuple(LeaderHint(member, address) for member, address in known if address)
 
     def _step_restored(self, now: float) -> list[Effect]:
-        """Step the messages that are whole, in their order."""
+        """Step the messages that are complete, in order of arrival."""
         complete, missing_at = self._restorer.ready(now)
         effects: list[Effect] = []
         for sender in missing_at:
@@ -285,7 +285,7 @@
         return [*self._take_effects(), report]
 
     def learn_address(self, replica: ReplicaId, address: Address) -> None:
-        """Note where a replica listens."""
+        """Set the address of a replica."""
         self.addresses[replica] = address
 
     def propose(
@@ -297,9 +297,9 @@
         copied: tuple[KeptTurn, ...] = (),
         leader_time: float = 0.0,
     ) -> list[Effect]:
-        """Propose operations; ``ready`` is called once with their results or None.
+        """Propose operations; ``callback`` is called once with their results or None.
 
-        ``copied`` are turns among them whose texts the followers get from their node.
+        ``copied`` are the turns among them whose texts their node sends to the followers.
         """
         self._now = now
         command = encode_command(
@@ -314,19 +314,19 @@
         return self._persist(list(proposal.effects))
 
     def add_member(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Add a member, if this replica leads and may."""
+        """Add a member, if this replica leads and no other change is pending."""
         return self._persist(list(self.group.add_member(member, now).effects))
 
     def remove_member(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Remove a member, if this replica leads and may."""
+        """Remove a member, if this replica leads and no other change is pending."""
         return self._persist(list(self.group.remove_member(member, now).effects))
 
     def transfer_leadership(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Hand leadership over."""
+        """Transfer leadership to a member."""
         return self._persist(self.group.transfer_leadership(member, now))
 
     def synced(self, ticket: int) -> list[Effect]:
-        """Carry out what waited for a write, now that it is on the disk."""
+        """Carry out the effects that waited for a write, now synced."""
         self._synced_ticket = max(self._synced_ticket, ticket)
         while self._deferred and self._deferred[0].ticket <= self._synced_ticket:
             self._carry_out(self._deferred.popleft().effects)
@@ -336,7 +336,7 @@
     # ------------------------------------------------------------ disk
 
     def _persist(self, effects: list[RaftEffect]) -> list[Effect]:
-        """Write what changed, and let the effects follow once it is on the disk."""
+        """Write changed state, and defer the effects until the write is synced."""
         records: list[DiskRecord] = []
         for effect in effects:
             if isinstance(effect, HardStateChanged):
@@ -365,10 +365,10 @@
         self._carry_out(effects)
 
     def _compact_if_large(self) -> None:
-        """Replace the file by a snapshot and what follows it.
+        """Replace the log file by a snapshot and the entries after it.
 
-        A leader does not: it would be silent meanwhile. The host lets another replica lead;
-        if none can for long, the disk goes before the silence.
+        A leader would be silent meanwhile, so the host first transfers leadership. If that fails
+        for long, the leader compacts to save disk space.
         """
         if not self.needs_compaction:
             return
@@ -427,7 +427,7 @@
             operations += self._apply_entry(self._to_apply.popleft())
 
     def _apply_entry(self, entry: LogEntry) -> int:
-        """Apply an entry; return the number of its operations, at least one."""
+        """Apply an entry; return the number of its operations, at least 1."""
         self._applied = entry.index
         results: tuple[OperationResult, ...] = ()
         if entry.kind is EntryKind.COMMAND:
@@ -477,7 +477,7 @@
         self._effects = []
         return effects
 
-    # ------------------------------------------------------------ start
+    # ------------------------------------------------------------ recovery
 
     def _new_group(self, recovered: RecoveredLog, now: float) -> RaftGroup:
         has_run = recovered.hard_state is not None
