--- a/src/yokeline/ledger/text_copies.py
+++ b/src/yokeline/ledger/text_copies.py
@@ -1,11 +1,10 @@
-"""Texts of kept turns that reach the followers from the node that has them, not from the leader.
-
-A leader that sends each text to all followers needs four times the texts' bytes on its link, which
-binds first when turns are long and links are small. So when its followers' share of its link grows
-large, it asks nodes to send each text to the followers as well (:class:`TextCopy`); what it sends
-them then is the log entry without the texts, and they put the entry together again, byte for byte,
-as a checksum shows. A follower that lacks a text says so and gets whole entries for a while. So
-the log, its order and what a majority holds are as before; only the way of the bytes differs.
+"""Replicates texts of retained turns from their nodes to the followers, past the leader.
+
+Sending every text to all followers takes most of the leader's link when turns are long. At high
+utilization, the leader asks nodes to send the texts to the followers as well (:class:`TextCopy`),
+and strips them from the log entries that it sends. Followers insert the texts again and verify a
+checksum of the entry. A follower that lacks a text reports it and receives complete entries for a
+while. The log itself is unaffected.
 """
 
 from __future__ import annotations
@@ -22,21 +21,22 @@
 from yokeline.ledger.operations import KeptTurn
 
 MIN_TEXT_BYTES = 512
-"""A shorter text is sent with its entry: a message of its own costs about as much."""
+"""Shorter texts are sent with their entry; a separate message costs about as much."""
 MAX_CACHED_BYTES = 8 * 1024 * 1024
-"""Texts that a follower keeps for entries that have not come yet: five seconds of the busiest
-deployment played (1.2 MB a second)."""
+"""Bytes of texts that a follower caches for entries that have not arrived yet; some seconds of a
+busy deployment."""
 MAX_TRACKED_ENTRIES = 512
-"""Entries of which a leader remembers the texts; a follower lags by fewer, or gets them whole."""
+"""Entries whose texts a leader can strip; a follower that lags further behind gets them
+complete."""
 MISSING_TEXT_WAIT_SECONDS = 0.02
-"""Time for which a follower waits for a text: it was sent before the entry was proposed, on a link
-that may be as slow as 15 Mbit/s (a text of 14 kB takes 7 ms there)."""
+"""Time for which a follower waits for a missing text, which was sent before its entry was proposed;
+covers the transmission of a long text over a slow link."""
 FULL_ENTRIES_SECONDS = 0.5
-"""Time for which a follower that lacked a text gets whole entries."""
+"""Time for which a follower that lacked a text gets complete entries."""
 
 
 class TextCache:
-    """Texts that nodes have sent to a follower, the oldest dropped first."""
+    """Texts received by a follower; the oldest are evicted first."""
 
     def __init__(self) -> None:
         """Create an empty cache."""
@@ -44,7 +44,7 @@
         self._bytes = 0
 
     def put(self, turn_id: str, text: bytes) -> None:
-        """Keep a text for a while."""
+        """Cache a text."""
         before = self._texts.pop(turn_id, b"")
         self._texts[turn_id] = text
         self._bytes += len(text) - len(before)
@@ -53,20 +53,20 @@
             self._bytes -= len(oldest)
 
     def get(self, turn_id: str) -> bytes | None:
-        """Return a text; None if it did not come or was dropped."""
+        """Return a text; None if it has not arrived or was evicted."""
         return self._texts.get(turn_id)
 
 
 class TextStripper:
-    """The entries of one leader whose texts followers have from elsewhere."""
+    """Strips texts from the entries that a leader sends."""
 
     def __init__(self) -> None:
-        """Know of none."""
+        """Create a stripper without known texts."""
         self._stripped: OrderedDict[int, StrippedTexts] = OrderedDict()
         self._full_entries_until: dict[ReplicaId, float] = {}
 
     def note(self, index: int, term: int, command: bytes, turns: Iterable[KeptTurn]) -> None:
-        """Note that followers have the texts of some turns of a proposed entry."""
+        """Note a proposed entry, and the turns whose texts followers receive from their node."""
         cuts: list[TextSpan] = []
         end = 0
         for turn in turns:
@@ -81,15 +81,15 @@
             self._stripped.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget all, since another replica leads."""
+        """Forget all entries, because another replica leads."""
         self._stripped.clear()
 
     def note_missing(self, follower: ReplicaId, now: float) -> None:
-        """Note that a follower did not have a text."""
+        """Note that a follower lacked a text."""
         self._full_entries_until[follower] = now + FULL_ENTRIES_SECONDS
 
     def strip(self, follower: ReplicaId, envelope: ReplicaMessage, now: float) -> ReplicaMessage:
-        """Return a message for a follower without the texts that it has."""
+        """Return a message without the texts that the follower has received."""
         message = envelope.message
         if not isinstance(message, AppendEntries) or not self._stripped:
             return envelope
@@ -120,27 +120,27 @@
 
 
 class TextRestorer:
-    """Messages that reach a follower without texts, in their order.
+    """Restores messages without texts, in order of arrival.
 
     Attributes:
-        texts: What nodes have sent.
-        restored: Entries put together so far.
-        lacking: Messages dropped, since a text did not come.
+        texts: The texts received from nodes.
+        restored: Entries restored so far.
+        incomplete: Messages dropped because a text was missing.
     """
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Create a restorer without messages."""
         self.texts = TextCache()
         self.restored = 0
         self.incomplete = 0
         self._pending: deque[_PendingMessage] = deque()
 
     def take(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> None:
-        """Take a message in; :meth:`ready` gives it out."""
+        """Queue a message for :meth:`ready`."""
         self._pending.append(_PendingMessage(sender, envelope, now + MISSING_TEXT_WAIT_SECONDS))
 
     def ready(self, now: float) -> tuple[list[tuple[ReplicaId, ReplicaMessage]], list[ReplicaId]]:
-        """Return the whole messages that may be stepped, and the senders of those dropped."""
+        """Return the complete messages, and the senders of dropped ones."""
         complete: list[tuple[ReplicaId, ReplicaMessage]] = []
         missing_at: list[ReplicaId] = []
         while self._pending:
@@ -157,7 +157,7 @@
         return complete, missing_at
 
     def next_deadline(self) -> float | None:
-        """Return when the first held message has waited long enough."""
+        """Return when the first queued message expires."""
         return self._pending[0].until if self._pending else None
 
     def _restore(self, envelope: ReplicaMessage) -> ReplicaMessage | None:
@@ -189,7 +189,7 @@
 
 
 def _insert_texts(entry: LogEntry, cuts: StrippedTexts | None, texts: TextCache) -> LogEntry | None:
-    """Return the entry as its leader has it; None if a text is not there or another one."""
+    """Return the leader's entry; None if a text is missing or does not match the checksum."""
     if cuts is None:
         return entry
     parts: list[bytes] = []
