--- a/src/yokeline/ledger/members.py
+++ b/src/yokeline/ledger/members.py
@@ -160,7 +160,7 @@
         if any(_is_catching_up(other, view) for other in staying):
             continue
         if member != view.own:
-            return RemoveMember(member, "to be emptied")
+            return RemoveMember(member, "retiring")
         return HandOver(_choose_successor(staying, view))
     return None
 
@@ -182,5 +182,5 @@
         return None
     for member in view.members:
         if view.silence.get(member, 0.0) > REPLACE_AFTER_SECONDS:
-            return RemoveMember(member, "silent, and enough others are members")
+            return RemoveMember(member, "silent, and enough other members remain")
     return None
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -1,4 +1,4 @@
-"""The service of a storage node: a ledger replica, its requests, and its group's members."""
+"""Service of a storage node: a ledger replica, requests to it, and membership of its group."""
 
 from __future__ import annotations
 
@@ -57,9 +57,9 @@
 
 MEMBERSHIP_PERIOD_SECONDS = 0.1
 SURVIVOR_TIMEOUT_SECONDS = 1.5
-"""Silence of the other one of two members after which this one asks to go on alone."""
+"""Silence of the other of two members after which this one tries to continue alone."""
 HANDOVER_SECONDS = 0.5
-"""Time that a planned stop leaves to a hand-over of leadership."""
+"""Time for transferring leadership during a planned stop."""
 
 
 class StorageNode:
@@ -76,7 +76,7 @@
         phases: StartPhases,
         now: float,
     ) -> None:
-        """Create the service; ``wall`` reads the time of day (seconds since the epoch)."""
+        """Create the service; ``wall`` returns seconds since the epoch."""
         self.replica = replica
         self.phases = phases
         self._record = record
@@ -98,7 +98,7 @@
     # ------------------------------------------------------------ service
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take an event in and return effects."""
+        """Handle an event and return effects."""
         self.batches.note_time(now)
         effects: list[Effect] = []
         is_handled, _changed, log = self._registry.take(event, now)
@@ -169,7 +169,7 @@
         return []
 
     def _answer_join(self, request: Join) -> list[Effect]:
-        """Tell a node that stands by who leads, if this one knows."""
+        """Tell a node that asks to join which replica leads, if known."""
         leader = self.replica.leader_hint()
         if leader is None:
             return []
@@ -181,7 +181,7 @@
         return SendPeer(to=sender, address=query.asker, message=answer)
 
     def _begin_shutdown(self, now: float) -> list[Effect]:
-        """Hand leadership over, then end."""
+        """Transfer leadership, then stop."""
         if self._stop_at is not None:
             return []
         self._stop_at = now + HANDOVER_SECONDS
@@ -193,27 +193,24 @@
             effects.extend(self.replica.transfer_leadership(target, now))
         return effects
 
-    # ------------------------------------------------------------ founding, joining, going on alone
+    # ------------------------------------------------------------ bootstrap, joining, sole survivor
 
     def _needs_no_watch(self, now: float) -> bool:
         """Return whether this node need not watch the key-value service.
 
-        The leader takes the operator's orders and chooses members; the others watch only while
-        they know no leader. Each watching call is paid for, and two dozen storage nodes made
-        more of them than all forwarding nodes together.
+        Only the leader needs the operator's orders. The others watch only while they know no
+        leader, because every call to the service is billed.
         """
         return not self.replica.leads and self._join_requester.knows_leader(now)
 
     def _tick_bootstrap(self, now: float) -> list[Effect]:
         effects = self._bootstrap.tick(now)
         if effects:
-            self._join_requester.leader_seen_at = (
-                now  # nobody led before: no silence says anything yet
-            )
+            self._join_requester.leader_seen_at = now  # the group had no leader before
         return effects
 
     def _note_join_request(self, request: Join, now: float) -> list[Effect]:
-        """Note a request; a new id from a member's node says that the member's disk is lost."""
+        """Note a join request; a member's node with a new replica id has lost its disk."""
         if request.replica in self._superseded_replicas:
             return []
         known = self._joins.get(request.node)
@@ -232,7 +229,7 @@
         return self._mark_lost(lost, successor=request.replica, reason="its disk is empty")
 
     def _mark_lost(self, lost: set[ReplicaId], *, successor: str, reason: str) -> list[Effect]:
-        """Count replicas in no majority any more, until they are removed."""
+        """Exclude replicas from majorities until they are removed."""
         if not lost - self._lost:
             return []
         self._lost = self._lost | lost
@@ -245,19 +242,19 @@
         return [LogRecord(event="replica_lost", fields=fields, level="warning")]
 
     def _forget_removed(self) -> None:
-        """Let a replica that was removed count again, should it be added again."""
+        """Count removed replicas again if they are added again."""
         still_members = self._lost & frozenset(self.replica.group.members)
         if still_members != self._lost:
             self._lost = still_members
             self.replica.set_lost(still_members)
 
     def _try_sole_survivor(self, now: float) -> list[Effect]:
-        """Of two members, let one go on without the other, which may be gone for good.
+        """Let one of two members continue without the other, which may be lost for good.
 
-        Each of two members holds everything that was committed while there were two, so either
-        may go on, but only one: the key-value service decides, by one key for each
-        configuration, written under the condition that it is absent. The configuration must
-        be known to be committed, or a group of more members could go on elsewhere.
+        Each of two members holds every entry committed by both, so either may continue, but only
+        one of them. The key-value service decides: it accepts the first write of one key per
+        configuration. The configuration must be committed, because a larger group could otherwise
+        continue elsewhere.
         """
         group = self.replica.group
         if len(group.members) != 2 or not self.replica.is_member or group.membership_pending:
@@ -280,12 +277,14 @@
             return []
         if record.value != own:
             return []
-        return self._mark_lost({other}, successor="", reason="the store lets this one go on")
+        return self._mark_lost(
+            {other}, successor="", reason="the key-value service chose this replica as the survivor"
+        )
 
     # ------------------------------------------------------------ members
 
     def _update_membership(self, now: float) -> list[Effect]:
-        """Take the next step of membership, as the leader."""
+        """Apply the next membership change, if this replica leads."""
         if now < self._next_membership_update:
             return []
         self._next_membership_update = now + MEMBERSHIP_PERIOD_SECONDS
@@ -330,7 +329,7 @@
         return {record.name: record.zone for record in records}
 
     def _hand_over_to_compact(self, now: float) -> list[Effect]:
-        """Hand leadership over, so that this replica may compact its log."""
+        """Transfer leadership, so that this replica can compact its log."""
         group = self.replica.group
         successor = next(
             (
@@ -346,7 +345,7 @@
             return []
         fields: dict[str, str | int | float | bool | None] = {
             "successor": successor,
-            "reason": "the log is to be compacted",
+            "reason": "log compaction",
         }
         log = LogRecord(event="leadership_handed_over", fields=fields)
         return [log, *self.replica.transfer_leadership(successor, now)]
@@ -367,7 +366,7 @@
         return nodes
 
     def _report_retirement(self, retiring: set[NodeName], now: float) -> list[Effect]:
-        """Tell the operator how far each order has come, once for each change."""
+        """Report the progress of each retirement, once for each change."""
         effects: list[Effect] = []
         members = {node_name_of(member) for member in self.replica.group.members}
         for node in sorted(retiring):
@@ -398,7 +397,7 @@
 
 
 def storage_figures(node: StorageNode) -> NodeFigures:
-    """Return the figures of a storage node, by metric name."""
+    """Return the counters and gauges of a storage node, by metric name."""
     state = node.replica.state()
     gauges = {
         "yokeline_ledger_programs": float(len(state.programs)),
--- a/tests/unit/ledger/test_members.py
+++ b/tests/unit/ledger/test_members.py
@@ -62,19 +62,19 @@
         grown = (*MEMBERS, SPARE)
         silence = {SPARE: CATCH_UP_SILENCE_SECONDS + 0.1}
         behind = view(grown, retiring="b", caught_up=frozenset(MEMBERS), silence=silence)
-        self.assertEqual(next_step(behind, NOW), RemoveMember(MEMBERS[1], "to be emptied"))
+        self.assertEqual(next_step(behind, NOW), RemoveMember(MEMBERS[1], "retiring"))
 
     def test_then_it_goes_and_nobody_else_joins(self) -> None:
         grown = (*MEMBERS, SPARE)
         step = next_step(view(grown, retiring="b", joins=(ReplicaId("g~1"),)), NOW)
-        self.assertEqual(step, RemoveMember(MEMBERS[1], "to be emptied"))
+        self.assertEqual(step, RemoveMember(MEMBERS[1], "retiring"))
 
     def test_a_new_leader_waits_to_hear_of_nodes_that_stand_by(self) -> None:
         self.assertIsNone(next_step(view(retiring="b", leads_for=1.0), NOW))
 
     def test_without_a_node_that_stands_by_it_goes_at_once(self) -> None:
         step = next_step(view(retiring="b"), NOW)
-        self.assertEqual(step, RemoveMember(MEMBERS[1], "to be emptied"))
+        self.assertEqual(step, RemoveMember(MEMBERS[1], "retiring"))
 
     def test_a_leader_that_is_to_be_emptied_waits_for_its_successor_and_hands_over(self) -> None:
         self.assertEqual(next_step(view(retiring="a", joins=(SPARE,)), NOW), AddMember(SPARE))
