--- a/src/yokeline/ledger/__init__.py
+++ b/src/yokeline/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The replicated ledger of programs: token budgets and retained turns, on the storage nodes."""
+"""The replicated ledger of programs on the storage nodes: token budgets and retained turns."""
--- a/src/yokeline/ledger/codec.py
+++ b/src/yokeline/ledger/codec.py
@@ -1,4 +1,4 @@
-"""Frames and datagrams of the ledger's nodes, for the transports."""
+"""Encoding of the ledger's frames, datagrams, log entries and snapshots."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     def encode_peer(
         self, sender: ReplicaId, recipient: ReplicaId, message: msgspec.Struct
     ) -> bytes:
-        """Return the payload of a frame."""
+        """Return the encoded frame."""
         assert isinstance(message, LedgerMessage)
         return encode_struct(LedgerFrame(sender, recipient, message))
 
@@ -27,7 +27,7 @@
         return decode_struct(data, LedgerFrame)
 
     def encode_datagram(self, message: msgspec.Struct) -> bytes:
-        """Return the bytes of a datagram."""
+        """Return the encoded datagram."""
         assert isinstance(message, LoadMessage)
         return encode_struct(LoadFrame(message))
 
@@ -37,20 +37,20 @@
 
 
 def encode_command(command: LedgerCommand) -> bytes:
-    """Return a command as the bytes of a log entry."""
+    """Return the encoded command of a log entry."""
     return encode_struct(command)
 
 
 def decode_command(data: bytes) -> Result[LedgerCommand, YokelineError]:
-    """Return the command of a log entry."""
+    """Return the decoded command of a log entry."""
     return decode_struct(data, LedgerCommand)
 
 
 def encode_state(state: LedgerState) -> bytes:
-    """Return the state as the data of a snapshot."""
+    """Return the encoded data of a snapshot."""
     return encode_struct(state)
 
 
 def decode_state(data: bytes) -> Result[LedgerState, YokelineError]:
-    """Return the state in a snapshot's data."""
+    """Return the state decoded from a snapshot's data."""
     return decode_struct(data, LedgerState)
--- a/src/yokeline/ledger/disk_records.py
+++ b/src/yokeline/ledger/disk_records.py
@@ -1,8 +1,8 @@
 """Records of a replica's log file: identity, hard state, entries, snapshot, addresses.
 
 The file is a sequence of records, each a length, a checksum and a MessagePack payload. It is
-only appended to, or replaced as a whole. A torn tail, as a loss of power leaves it, is cut off
-at the first record that is not whole; what was synced is never in that tail.
+appended to, or replaced as a whole. Recovery truncates it at the first incomplete record, as a loss
+of power may leave; synced records are never truncated.
 """
 
 from __future__ import annotations
@@ -24,10 +24,10 @@
 
 
 class IdentityRecord(msgspec.Struct, frozen=True, tag="identity"):
-    """The replica whose file this is; the first record.
+    """The replica that owns the file; the first record.
 
     Attributes:
-        first_start: It was made when the whole system started for the first time.
+        first_start: The replica was created at the first start of the deployment.
     """
 
     replica: ReplicaId
@@ -35,31 +35,31 @@
 
 
 class FoundedRecord(msgspec.Struct, frozen=True, tag="founded"):
-    """The group began with these members; only read: now a snapshot names them."""
+    """The founders of the group; found in older files only, as snapshots now list the members."""
 
     members: tuple[ReplicaId, ...]
 
 
 class HardStateRecord(msgspec.Struct, frozen=True, tag="hard_state"):
-    """Term and vote; the latest counts."""
+    """Term and vote; the latest record applies."""
 
     hard_state: HardState
 
 
 class EntriesRecord(msgspec.Struct, frozen=True, tag="entries"):
-    """Log entries; they replace all entries from the first one's index on."""
+    """Log entries; they replace all entries from the first entry's index on."""
 
     entries: tuple[LogEntry, ...]
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, tag="snapshot"):
-    """State up to an index; entries after it stay if they follow from it."""
+    """State up to an index; later entries stay if the snapshot's last entry precedes them."""
 
     snapshot: Snapshot
 
 
 class AddressesRecord(msgspec.Struct, frozen=True, tag="addresses"):
-    """Where the other replicas were last seen."""
+    """Last known addresses of the other replicas."""
 
     addresses: dict[ReplicaId, Address]
 
@@ -79,10 +79,10 @@
 
 
 class RecoveredLog(msgspec.Struct, kw_only=True):
-    """What a replica's file says.
+    """Contents of a replica's log file.
 
     Attributes:
-        valid_bytes: Length of the part that is whole; the rest is to be cut off.
+        valid_bytes: Length of the complete records; the rest is to be truncated.
     """
 
     replica: ReplicaId | None = None
@@ -96,17 +96,17 @@
 
 
 def encode_record(record: DiskRecord) -> bytes:
-    """Return the bytes of one record."""
+    """Return the encoded record."""
     fields = msgspec.to_builtins(_RecordEnvelope(record), builtin_types=(bytes,))
     payload = ormsgpack.packb(fields, option=ormsgpack.OPT_NON_STR_KEYS)
     return _PREFIX.pack(len(payload), xxhash.xxh32_intdigest(payload)) + payload
 
 
 def recover(data: bytes) -> Result[RecoveredLog, YokelineError]:
-    """Return what a log file says.
+    """Return the contents of a log file.
 
-    A failure means that a whole record is not understood: a file of another release, or of
-    another program. It is not to be overwritten.
+    A failure means that a complete record cannot be decoded: the file is from another release or
+    another program, and must not be overwritten.
     """
     log = RecoveredLog()
     offset = 0
@@ -120,12 +120,12 @@
         offset += _PREFIX.size + len(payload)
     log.valid_bytes = offset
     if log.replica is None and log.valid_bytes:
-        return Failure(_unreadable_log(0, ValueError("the first record is no identity")))
+        return Failure(_unreadable_log(0, ValueError("the first record is not an identity record")))
     return Success(log)
 
 
 def _payload_at(data: bytes, offset: int) -> bytes | None:
-    """Return the payload of the record at ``offset``; None if no whole one begins there."""
+    """Return the payload of the record at ``offset``; None if no complete record starts there."""
     start = offset + _PREFIX.size
     if start > len(data):
         return None
@@ -172,6 +172,6 @@
 def _unreadable_log(offset: int, error: Exception) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_SETTING,
-        message=f"the replica's log file is not understood at byte {offset}: {error}",
+        message=f"the replica's log file cannot be decoded at byte {offset}: {error}",
         remedy="start the release that wrote it, or empty the data folder to join as a new member",
     )
