--- a/src/yokeline/ledger/messages.py
+++ b/src/yokeline/ledger/messages.py
@@ -10,26 +10,26 @@
 from yokeline.identifiers import NodeName, ReplicaId
 from yokeline.ledger.operations import KeptTurn, Operation, OperationResult
 
-# ---------------------------------------------------------------- turns under way
+# ---------------------------------------------------------------- turns at engines
 
 
 class EngineLoad(msgspec.Struct, frozen=True, array_like=True):
-    """Requests of one node that an engine has under way."""
+    """Requests of one node that are running at an engine."""
 
     engine_id: str
     running: int
 
 
 class TurnServed(msgspec.Struct, frozen=True, array_like=True):
-    """How an engine served a turn that left it, or an app a call.
+    """Outcome of a turn at an engine, or of a call to an app.
 
     Attributes:
-        failed: The engine broke off, fell silent or answered with a failure of its own.
-        slowness: Time between its events, as a multiple of what is usual at that load; 0 if
-            too few came to tell.
-        is_call: It was a call of an app.
-        pace: Time between its events as it would be if it ran alone, in :data:`PACE_UNIT_SECONDS`;
-            0 if that cannot be told.
+        failed: The engine aborted, timed out or returned an error of its own.
+        slowness: Time between stream events relative to the usual time at that load; 0 if there
+            were too few events.
+        is_call: The request was a call to an app.
+        pace: Time between stream events, normalized to an engine that runs one turn, in
+            :data:`PACE_UNIT_SECONDS`; 0 if unknown.
     """
 
     engine_id: str
@@ -40,10 +40,10 @@
 
 
 class NodeTurns(msgspec.Struct, frozen=True, array_like=True):
-    """All turns that one node has at engines, and what it saw of engines since its last report.
+    """All turns of one node at engines, and their outcomes since its last report.
 
     Attributes:
-        sequence: Rises with each report of one process.
+        sequence: Increases with each report of a process.
     """
 
     sequence: int
@@ -53,23 +53,23 @@
 
 PERCENT = 100.0
 PACE_UNIT_SECONDS = 1e-5
-"""Unit of paces in messages; far finer than engines differ."""
+"""Unit of paces in messages; far finer than the differences between engines."""
 NOT_COUNTED = -1
-"""In place of the turns under way at an app, whose calls the leader does not count."""
+"""Replaces the number of running turns at an app, whose calls the leader does not count."""
 
 
 class EngineTurns(msgspec.Struct, frozen=True, array_like=True):
-    """What the ledger's leader knows of an engine; whole percents, since each answer has all.
+    """The leader's data on an engine, in whole percents to keep replies small.
 
     Attributes:
-        running: Turns of all nodes under way there; :data:`NOT_COUNTED` at an app.
-        failed_percent: Share of the latest turns that failed there, faded with time.
-        slowness_percent: Time between events as a share of what is usual at its load, for nodes
-            that know no paces.
-        pace: Lasting time between the events of a turn that runs alone, in
-            :data:`PACE_UNIT_SECONDS`; 0 if not known.
-        samples: How many samples that pace counts as.
-        spell_percent: Present time as a share of the lasting one.
+        running: Turns of all nodes running there; :data:`NOT_COUNTED` at an app.
+        failed_percent: Share of recent turns that failed there, decaying with time.
+        slowness_percent: Time between stream events relative to the usual time at that load, for
+            nodes that do not report paces.
+        pace: Long-term time between stream events of a turn that runs alone, in
+            :data:`PACE_UNIT_SECONDS`; 0 if unknown.
+        samples: Number of samples that the pace is worth.
+        spell_percent: Current time between stream events relative to the long-term time.
     """
 
     engine_id: str
@@ -85,11 +85,11 @@
 
 
 class TenantLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What a tenant has of one pool's engines, and what it asks for, at one node.
+    """A tenant's turns at the engines of one pool, and its demand, at one node.
 
     Attributes:
         tenant: Empty for requests without one.
-        weight: Its part of the places relative to others; above zero.
+        weight: Its share of the places relative to other tenants; above zero.
         running: Turns at engines.
         waiting: First turns of programs that wait for an engine.
     """
@@ -101,10 +101,10 @@
 
 
 class PoolLoad(msgspec.Struct, frozen=True, array_like=True):
-    """What the tenants of one node have of a pool's engines.
+    """Loads of one node's tenants at the engines of a pool.
 
     Attributes:
-        places: Requests that all engines of the pool work on at once, as the node knows them.
+        places: Requests that all engines of the pool serve concurrently, as the node knows them.
     """
 
     pool: str
@@ -113,11 +113,11 @@
 
 
 class PoolShares(msgspec.Struct, frozen=True, array_like=True):
-    """How the places of a pool with too few of them are shared.
+    """Shares of a pool that has fewer places than its tenants demand.
 
     Attributes:
-        level: Places for a weight of one.
-        beyond: Tenants that hold more than their share while others lack theirs.
+        level: Places per unit of weight.
+        beyond: Tenants that exceed their share while others lack theirs.
     """
 
     pool: str
@@ -129,11 +129,11 @@
 
 
 class PassedTurns(msgspec.Struct, frozen=True, array_like=True):
-    """The report of a node that does not reach the ledger, as another one passes it on.
+    """The report of a node that cannot reach the ledger, relayed by another node.
 
     Attributes:
-        process: Whose report it is.
-        tenant_loads: What its tenants have; None if that is not due.
+        process: The process that made the report.
+        tenant_loads: Loads of its tenants; None if none are due.
     """
 
     process: ReplicaId
@@ -142,16 +142,18 @@
 
 
 class LedgerRequest(msgspec.Struct, frozen=True, kw_only=True, tag="request"):
-    """Operations for the ledger's leader; ``number`` is the asker's own.
+    """Operations for the ledger's leader; ``number`` identifies the request at its sender.
+
+    A request without operations gets no answer, unless it asks for engine data.
 
     Attributes:
-        turns: The asker's turns at engines, if they changed; nothing that lasts. A request
-            without operations gets no answer.
-        is_copied: The asker has sent the texts to the followers that it was told of.
-        wants_engines: The asker has requests that wait for an engine with room, and is to be told
-            what is known of engines though it asks for nothing else. Not sent otherwise.
-        passed_turns: The turns of a node whose operation the asker passes on.
-        tenant_loads: What the asker's tenants have, with ``turns``; not sent without tenants.
+        asker: Address to which the answer is sent.
+        turns: The sender's turns at engines, if they have changed; not replicated.
+        is_copied: The sender has sent the texts to the followers named by the leader.
+        wants_engines: Requests of the sender wait for an engine, so it asks for engine data. Unset
+            otherwise.
+        passed_turns: The turns of a node whose operation the sender relays.
+        tenant_loads: Loads of the sender's tenants, together with ``turns``; unset without tenants.
     """
 
     number: int
@@ -165,14 +167,14 @@
 
 
 class PassedOnRequest(msgspec.Struct, frozen=True, kw_only=True, tag="passed_on"):
-    """An operation of a forwarding node that gets no answer from the ledger itself.
+    """An operation to be relayed to the ledger, from a node that cannot reach it.
 
-    The receiver is another forwarding node, which asks the ledger and sends its answer to
-    ``asker``; it never passes the operation on once more.
+    The receiver is another forwarding node; it submits the operation and sends the answer to
+    ``asker``. It does not relay the operation to a third node.
 
     Attributes:
-        turns: All turns that the asker has at engines: the leader hears of them no other way.
-        tenant_loads: What its tenants have, if that is due.
+        turns: All turns of the sender at engines, which the leader receives in no other way.
+        tenant_loads: Loads of the sender's tenants, if due.
     """
 
     number: int
@@ -183,24 +185,24 @@
 
 
 class LeaderHint(msgspec.Struct, frozen=True, array_like=True):
-    """Where the leader is."""
+    """The leader and its address."""
 
     replica: ReplicaId
     address: Address
 
 
 class LeaderQuery(msgspec.Struct, frozen=True, kw_only=True, tag="who_leads"):
-    """A forwarding node asks a storage node who leads the ledger."""
+    """A query of a forwarding node to a storage node for the ledger's leader."""
 
     asker: Address
 
 
 class LeaderAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="leader"):
-    """What a storage node knows of the leader.
+    """Answer to a query for the leader.
 
     Attributes:
-        term: The replica's current term, which says whose knowledge is later.
-        leader: None if it knows none.
+        term: The replica's current term; answers with a later term are more recent.
+        leader: None if unknown.
     """
 
     term: int
@@ -208,18 +210,18 @@
 
 
 class LedgerReply(msgspec.Struct, frozen=True, kw_only=True, tag="reply"):
-    """Answer to a request: one result for each operation, or who leads instead.
+    """Answer to a request: one result for each operation, or the leader instead.
 
     Attributes:
-        results: Empty if the receiver does not lead, and then nothing was done.
-        term: The replica's term, which says whose knowledge of the leader is later.
-        passed_on: It comes from another forwarding node, so it says nothing of the way there.
-        engines: The turns under way, with the answer to a reservation or if they were asked for;
-            empty if not known.
-        copies_to: Followers to which texts are to be sent as well; none while the leader's link
-            bears them. With the answer to a reservation.
-        shares: Of the pools that have too few places, with the answer to a reservation; not sent
-            without tenants.
+        results: Empty if the receiver does not lead; nothing was applied then.
+        term: The replica's term; leaders of a later term are more recent.
+        passed_on: The answer was relayed, so it does not show that the ledger is reachable
+            directly.
+        engines: Data on engines, with the answer to a reservation or on request; empty if unknown.
+        copies_to: Followers to which nodes send texts, with the answer to a reservation; empty
+            while the leader's link has spare capacity.
+        shares: Shares of pools with too few places, with the answer to a reservation; unset without
+            tenants.
     """
 
     number: int
@@ -233,11 +235,11 @@
 
 
 class HistoryAsk(msgspec.Struct, frozen=True, kw_only=True, tag="history_ask"):
-    """A forwarding node asks a replica that need not lead for the texts of kept turns.
+    """A request of a forwarding node to a replica for the texts of retained turns.
 
     Attributes:
-        last: The latest turn of the chain that it lacks.
-        known: A turn of the same chain that it has; what came before is left out.
+        last: The latest turn of the chain that the sender lacks.
+        known: An earlier turn of the chain that the sender has; the answer starts after it.
     """
 
     number: int
@@ -247,11 +249,11 @@
 
 
 class HistoryReply(msgspec.Struct, frozen=True, kw_only=True, tag="history"):
-    """The turns asked for, the oldest first.
+    """The requested turns, the oldest first.
 
     Attributes:
-        turns: None if the replica does not have the last one.
-        is_member: The replica belongs to the ledger's group, so it gets new turns.
+        turns: Empty if the replica does not hold the last turn.
+        is_member: The replica belongs to the ledger's group, so it receives new turns.
     """
 
     number: int
@@ -260,14 +262,14 @@
 
 
 class TextCopy(msgspec.Struct, frozen=True, kw_only=True, tag="text_copy"):
-    """The text of a turn that its node asks the leader to keep, for a follower."""
+    """The text of a turn to retain, sent to a follower by the turn's node."""
 
     turn_id: str
     text: bytes
 
 
 class TextSpan(msgspec.Struct, frozen=True, array_like=True):
-    """Where the text of a turn stands in the command of a log entry."""
+    """Position of a turn's text in the command of a log entry."""
 
     offset: int
     size: int
@@ -275,10 +277,10 @@
 
 
 class StrippedTexts(msgspec.Struct, frozen=True, array_like=True):
-    """The texts that were left out of a log entry's command, in order.
+    """The texts that were stripped from a log entry's command, in order.
 
     Attributes:
-        digest: Of the whole command.
+        digest: Checksum of the complete command.
     """
 
     index: int
@@ -288,14 +290,14 @@
 
 
 class MissingTexts(msgspec.Struct, frozen=True, kw_only=True, tag="texts_lacking"):
-    """A follower tells its leader that it lacked a text and dropped a message."""
+    """A follower's report that it dropped a message because a text was missing."""
 
 
 class ReplicaMessage(msgspec.Struct, frozen=True, kw_only=True, tag="raft"):
-    """A Raft message, with where its sender listens.
+    """A Raft message and its sender's address.
 
     Attributes:
-        cuts: Of entries whose texts the receiver gets from elsewhere.
+        cuts: Texts stripped from the entries; the receiver gets them from nodes.
     """
 
     sender_address: Address
@@ -304,10 +306,10 @@
 
 
 class Join(msgspec.Struct, frozen=True, kw_only=True, tag="join"):
-    """A storage node that is no member asks to become one.
+    """A request of a storage node to become a member of the group.
 
-    A replica id belongs to one disk. So a request under a new id from a known node says that
-    the disk of the earlier replica is lost, and that it will never vote or answer again.
+    A replica id belongs to one disk. A request of a known node under a new id therefore means that
+    the disk of the previous replica is lost, and that it will never vote or answer again.
     """
 
     node: NodeName
@@ -316,10 +318,10 @@
 
 
 class RegistryAsk(msgspec.Struct, frozen=True, kw_only=True, tag="registry_ask"):
-    """A node asks one that has read later changes of the key-value service.
+    """A request for later changes of the key-value service that another node has read.
 
     Attributes:
-        after: The asker has read everything up to this revision; 0 for nothing.
+        after: The sender has read all changes up to this revision; 0 for none.
     """
 
     asker: Address
@@ -327,7 +329,7 @@
 
 
 class RegistryItem(msgspec.Struct, frozen=True, array_like=True):
-    """An item as the key-value service gave it; without a value it is gone."""
+    """An item of the key-value service; deleted if it has no value."""
 
     key: str
     value: bytes | None
@@ -335,7 +337,7 @@
 
 
 class RegistryNews(msgspec.Struct, frozen=True, kw_only=True, tag="registry_news"):
-    """What a node has read, complete up to a revision.
+    """Changes of the key-value service that a node has read, complete up to a revision.
 
     Attributes:
         since: The items are the changes after this revision, in order; 0 for all items.
@@ -347,10 +349,10 @@
 
 
 class ConfigurationAsk(msgspec.Struct, frozen=True, kw_only=True, tag="configuration_ask"):
-    """A node asks another one to prove which configuration is the newest.
+    """A request for proof of the newest configuration.
 
     Attributes:
-        known: Revision of the configuration's item that the asker has; 0 for none.
+        known: Revision of the configuration item that the sender has; 0 for none.
     """
 
     number: int
@@ -359,12 +361,12 @@
 
 
 class ConfigurationProof(msgspec.Struct, frozen=True, kw_only=True, tag="configuration_proof"):
-    """Which configuration was the newest one, as of ``age`` before this answer was sent.
+    """Proof of the configuration that was the newest ``age`` before the answer was sent.
 
     Attributes:
-        revision: Of the configuration's item.
+        revision: Revision of the configuration item.
         age: Seconds.
-        item: The item itself, if the asker's is older.
+        item: The item itself, if the sender's is older.
     """
 
     number: int
@@ -393,15 +395,15 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True, tag="load"):
-    """What a forwarding node has under way (a datagram to the others).
+    """Load of a forwarding node, sent to the others as a datagram.
 
     Attributes:
-        sequence: Rises with each report of one process.
+        sequence: Increases with each report of a process.
         waiting: Requests that wait at the node, by pool.
-        revision: Of the latest change that the node has read from the key-value service.
-        process: The node's process, which answers questions at ``address``.
-        reaches_ledger: The ledger answers the node, or the node has had nothing to ask.
-        watches: The node watches the key-value service, and was answered lately.
+        revision: Latest change of the key-value service that the node has read.
+        process: The node's process, which answers requests at ``address``.
+        reaches_ledger: The ledger answers the node, or the node has sent no operation.
+        watches: The node watches the key-value service, and has recently been answered.
     """
 
     node: NodeName
@@ -416,10 +418,10 @@
 
 
 class LoadDigest(msgspec.Struct, frozen=True, kw_only=True, tag="digest"):
-    """Reports of several nodes, passed on by a relay (a datagram).
+    """Reports of several nodes, forwarded by a relay as a datagram.
 
     Attributes:
-        zone: Of the relay; a relay of another zone passes them on within its own.
+        zone: Zone of the relay; a relay of another zone forwards the reports within its own.
     """
 
     sender: NodeName
@@ -431,7 +433,7 @@
 
 
 class LedgerFrame(msgspec.Struct, frozen=True, array_like=True):
-    """What travels in one frame between two processes; see ``messages.codec.PeerFrame``."""
+    """Payload of one frame between two processes; see ``messages.codec.PeerFrame``."""
 
     sender: ReplicaId
     recipient: ReplicaId
@@ -439,6 +441,6 @@
 
 
 class LoadFrame(msgspec.Struct, frozen=True, array_like=True):
-    """What one datagram holds."""
+    """Payload of one datagram."""
 
     message: LoadMessage
