--- a/src/yokeline/ledger/operations.py
+++ b/src/yokeline/ledger/operations.py
@@ -1,4 +1,4 @@
-"""What forwarding nodes ask the ledger to do, and what it answers: parts of its log's entries."""
+"""Operations on the ledger and their results, as stored in log entries."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class CachedContext(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a line of turns was last read, and so is probably cached.
+    """The engine that probably has a session's prompt in its cache.
 
     Attributes:
-        engine_id: The engine that generated its last turn.
+        engine_id: The engine that generated the session's last turn.
         tokens: Prompt and generated tokens of that turn.
     """
 
@@ -18,11 +18,11 @@
 
 
 class RateLimit(msgspec.Struct, frozen=True, array_like=True):
-    """What a tenant is given over all nodes, in one version of the configuration.
+    """A tenant's limit over all nodes, in one version of the configuration.
 
     Attributes:
-        rate: Requests a second.
-        burst: Requests on top of that, once they were not used.
+        rate: Requests per second.
+        burst: Requests above the rate that may accumulate while unused.
     """
 
     tenant: str
@@ -32,21 +32,22 @@
 
 
 class Reserve(msgspec.Struct, frozen=True, kw_only=True, tag="reserve"):
-    """Reserve the most that a turn may generate, and fetch what it continues.
+    """Reserve the maximum tokens of a turn, and fetch the turns that it continues.
 
     Attributes:
-        request_id: Names the request; a repeated reservation of it is the same one.
-        program: Whose budget; empty for none (only ``previous`` is looked up then).
-        session: The line of turns within the program.
-        budget: Tokens that the program may generate in all.
-        tokens: The most that this turn generates.
+        request_id: Identifies the request; a reservation with the same id is a duplicate.
+        program: Program whose budget is charged; empty for none, so that only ``previous`` is
+            looked up.
+        session: Session of the turn within the program.
+        budget: Tokens that the program may generate in total.
+        tokens: Maximum tokens that this turn generates.
         retention: Seconds for which the program is kept after its last turn.
         previous: The turn that this one continues; empty for none.
-        missing_from: The latest turn of the chain whose text the asker lacks; empty if it
-            has them all.
-        limit: The limit that the turn counts against, as one request; None for none.
-        kind: Which programs are alike (the route's name); empty if the asker names none.
-        left: Seconds that the program has left until it should be over; None if that is not said.
+        missing_from: The latest turn of the chain whose text the sender lacks; empty if it has all
+            texts.
+        limit: The limit against which the turn counts as one request; None for none.
+        kind: Kind of program (the route's name); empty if unknown.
+        left: Seconds until the program's deadline; None if it has none.
     """
 
     request_id: str
@@ -63,13 +64,13 @@
 
 
 class KeptTurn(msgspec.Struct, frozen=True, kw_only=True):
-    """A turn that was answered whole.
+    """A turn that was answered completely.
 
     Attributes:
         turn_id: Its request id.
-        previous: The turn that it continued; empty for none.
-        text: Its input followed by what it generated.
-        retention: Seconds for which it is kept, with its chain.
+        previous: The turn that it continues; empty for none.
+        text: Its input followed by its output.
+        retention: Seconds for which it is retained, with its chain.
     """
 
     turn_id: str
@@ -79,12 +80,12 @@
 
 
 class Settle(msgspec.Struct, frozen=True, kw_only=True, tag="settle"):
-    """Replace a reservation by what was really generated, and keep the turn if asked.
+    """Replace a reservation by the generated tokens, and retain the turn on request.
 
     Attributes:
-        session: The line of turns within the program.
-        tokens: Generated in this turn.
-        context: Where the turn was generated, if it was generated whole.
+        session: Session of the turn within the program.
+        tokens: Tokens generated in this turn.
+        context: Where the turn was generated, if it was generated completely.
     """
 
     request_id: str
@@ -96,11 +97,11 @@
 
 
 class Draw(msgspec.Struct, frozen=True, kw_only=True, tag="draw"):
-    """Count a request that needs nothing else of the ledger against its tenant's limit.
+    """Count a request against its tenant's limit, without a reservation.
 
     Attributes:
-        is_owed: It runs in any case, since it has run before; the bucket may go into debt for it.
-        program: Whose request it is; empty if of none.
+        is_owed: The request runs in any case, since it has run before; the bucket may go into debt.
+        program: Program of the request; empty for none.
     """
 
     request_id: str
@@ -115,19 +116,19 @@
 
 
 def approximate_size(operation: Operation) -> int:
-    """Return about how many bytes an operation takes in a message or a log entry."""
+    """Return the approximate size of an operation in a message or a log entry, in bytes."""
     if isinstance(operation, Settle) and operation.turn is not None:
         return _FIXED_BYTES + len(operation.turn.text)
     return _FIXED_BYTES
 
 
 class Granted(msgspec.Struct, frozen=True, kw_only=True, tag="granted"):
-    """The reservation stands.
+    """The reservation was made.
 
     Attributes:
-        spent: Tokens of the program that count so far, this reservation not included.
-        turns: The turns asked for with ``missing_from``, the oldest first.
-        context: Where the line of turns, or else its program, was last read.
+        spent: Tokens that count against the budget, without this reservation.
+        turns: The turns requested with ``missing_from``, the oldest first.
+        context: Where the session's last turn was generated, or else the program's last turn.
     """
 
     spent: int = 0
@@ -136,32 +137,31 @@
 
 
 class BudgetSpent(msgspec.Struct, frozen=True, kw_only=True, tag="budget_spent"):
-    """The turn does not fit the budget; nothing was reserved."""
+    """The turn exceeds the budget; nothing was reserved."""
 
     spent: int
 
 
 class NoSuchTurn(msgspec.Struct, frozen=True, kw_only=True, tag="no_such_turn"):
-    """There is no turn of that name (any more); nothing was reserved."""
+    """The continued turn is unknown or expired; nothing was reserved."""
 
     turn_id: str
 
 
 class Settled(msgspec.Struct, frozen=True, tag="settled"):
-    """What was generated counts, and the turn is kept."""
+    """The generated tokens were counted, and the turn is retained."""
 
 
 class Drawn(msgspec.Struct, frozen=True, tag="drawn"):
-    """The request counts, and may run."""
+    """The request was counted, and may run."""
 
 
 class QuotaSpent(msgspec.Struct, frozen=True, kw_only=True, tag="quota_spent"):
-    """The tenant has used its limit; nothing was reserved or counted.
+    """The tenant's limit is exhausted; nothing was reserved or counted.
 
     Attributes:
-        retry_after: Seconds until the limit lets such a request in, if no other one comes.
-        is_empty: No request of the tenant may run now, whatever its program has done before.
-            Otherwise only a program that has not begun is refused.
+        retry_after: Seconds until the limit admits such a request, if there is no other.
+        is_empty: The limit admits no request at all. Otherwise it refuses only new programs.
     """
 
     retry_after: float
--- a/src/yokeline/ledger/state.py
+++ b/src/yokeline/ledger/state.py
@@ -1,7 +1,7 @@
 """The ledger's state machine: budgets of programs and retained turns.
 
-A transition is a function of the state and the command alone; every replica applies the same
-commands in the same order. Ledger time is what the leader's clock said, made monotonic.
+A transition depends on the state and the command alone, and every replica applies the same commands
+in the same order. Ledger time is the leader's wall clock, made monotonic.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from yokeline.ledger.quotas import TenantQuotas
 
 EXPIRY_SLACK_SECONDS = 20.0
-"""Kept beyond the retention, since clocks differ and a change of leader takes time."""
+"""Retention beyond the requested one, to cover clock differences and leader changes."""
 EXPIRY_PERIOD_SECONDS = 5.0
 DEFAULT_RETENTION_SECONDS = 60.0
 MAX_CONTEXTS = 8
-"""Lines of turns of one program whose engine is remembered; the oldest gives way."""
+"""Sessions of a program whose engine is remembered; the oldest is evicted."""
 
 
 class LedgerCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """One log entry: operations, and the leader's time.
+    """One log entry: operations and the leader's time.
 
     Attributes:
         time: Seconds since the epoch.
-        passed: Seconds that have passed under all leaders so far (:class:`QuotaClock`).
+        passed: Leader time in seconds (:class:`yokeline.ledger.quotas.LeadershipClock`).
     """
 
     time: float
@@ -49,20 +49,21 @@
 class Program(msgspec.Struct, kw_only=True):
     """The account of one program, in tokens.
 
+    The fields from ``tenant`` on are used by :mod:`yokeline.ledger.claims` only. Replicas of an
+    earlier release do not have them, so no result of a transition may depend on them.
+
     Attributes:
-        spent: Generated in turns that are settled.
-        reserved: The most of each turn that is not, by request id.
-        settled: Request ids that were settled, so that a late repetition changes nothing.
-        contexts: Where its lines of turns were last read, the latest last.
-        retention: Seconds kept after the last operation.
-        expires: Ledger time at which it may be forgotten.
-        tenant: Against whose limit it counts; empty if against none. This and what follows is for
-            :mod:`yokeline.ledger.claims` alone. Replicas of an earlier release do without it, so
-            no result of a transition may depend on it.
-        kind: Which programs are alike, as its first turn said.
-        requests: Of it that were counted against the limit.
-        began_at: When the first of them was (passed time of the ledger's leaders, seconds).
-        active_at: When it last began or ended a turn, or made a call (the same).
+        spent: Tokens generated in settled turns.
+        reserved: Maximum tokens of each open turn, by request id.
+        settled: Request ids of settled turns, so that a late duplicate has no effect.
+        contexts: Where the last turn of each session was generated, the latest last.
+        retention: Seconds for which the account is kept after the last operation.
+        expires: Ledger time at which the account may be deleted.
+        tenant: Tenant whose limit the program counts against; empty for none.
+        kind: Kind of program, from its first turn.
+        requests: Requests that were counted against the limit.
+        began_at: Leader time of the first counted request, in seconds.
+        active_at: Leader time of the latest counted request or settled turn, in seconds.
     """
 
     spent: int = 0
@@ -78,36 +79,36 @@
     active_at: float = 0.0
 
     def note_request(self, at: float) -> None:
-        """Note a request that was counted against its tenant's limit."""
+        """Count a request against the tenant's limit."""
         if not self.requests:
             self.began_at = at
         self.requests += 1
         self.active_at = at
 
     def committed_tokens(self) -> int:
-        """Return the tokens that count against the budget, open turns at their most."""
+        """Return the tokens that count against the budget, with open turns at their maximum."""
         return self.spent + sum(self.reserved.values())
 
     @property
     def has_begun(self) -> bool:
-        """Whether a turn of it was reserved or settled before."""
+        """Whether the program has an open or settled turn."""
         return bool(self.reserved or self.settled)
 
     def knows(self, request_id: str) -> bool:
-        """Return whether a turn is reserved or settled already."""
+        """Return whether a turn is open or settled."""
         return request_id in self.reserved or request_id in self.settled
 
     def note_context(self, session: str, context: CachedContext) -> None:
-        """Remember where a line of turns was last read."""
+        """Remember where the last turn of a session was generated."""
         self.contexts.pop(session, None)
         self.contexts[session] = context
         if len(self.contexts) > MAX_CONTEXTS:
             del self.contexts[next(iter(self.contexts))]
 
     def context_of(self, session: str) -> CachedContext | None:
-        """Return where a line of turns was last read, or else the program's latest one.
+        """Return where a session's last turn was generated, or else the program's last turn.
 
-        The prompt of a new line begins with that of the line that started it.
+        The prompt of a new session begins with that of the session that started it.
         """
         known = self.contexts.get(session)
         if known is not None or not self.contexts:
@@ -116,14 +117,14 @@
 
 
 class StoredTurn(msgspec.Struct, kw_only=True):
-    """A kept turn and the ledger time at which it may be forgotten."""
+    """A retained turn and the ledger time at which it may be deleted."""
 
     turn: KeptTurn
     expires: float
 
 
 class LedgerState(msgspec.Struct, kw_only=True):
-    """The whole state; also its snapshot form."""
+    """The replicated state, also its snapshot form."""
 
     time: float = 0.0
     next_expiry: float = 0.0
@@ -157,9 +158,9 @@
         return Drawn()
 
     def known_result(self, operation: Operation) -> OperationResult | None:
-        """Return the result of an operation whose effect stands already; None for a new one.
+        """Return the result of an operation that was already applied; None for a new one.
 
-        A function of the state that changes nothing, so a repetition needs no log entry.
+        Changes nothing, so a duplicate needs no log entry.
         """
         if isinstance(operation, Draw):
             return None
@@ -176,7 +177,7 @@
         return Settled() if is_counted and is_kept and has_effect else None
 
     def known_refusal(self, operation: Operation, leader_time: float) -> QuotaSpent | None:
-        """Return the refusal of an operation whose tenant's limit is used at a time, if it is."""
+        """Return the refusal of an operation whose tenant's limit is exhausted; None for others."""
         if isinstance(operation, Settle) or operation.limit is None:
             return None
         if isinstance(operation, Draw) and operation.is_owed:
@@ -185,7 +186,7 @@
         return self.quotas.known_refusal(operation.limit, leader_time, is_new=is_new)
 
     def begins_program(self, operation: Reserve) -> bool:
-        """Return whether a turn is the first one of its program, as far as is known here."""
+        """Return whether a turn is the first of its program, as far as this replica knows."""
         program = self.programs.get(operation.program)
         return not operation.previous and (program is None or not program.has_begun)
 
@@ -197,7 +198,7 @@
         )
 
     def transition_reserve(self, operation: Reserve) -> OperationResult:
-        """Reserve a turn's most, unless it does not fit or continues an unknown turn."""
+        """Reserve a turn's tokens, unless it exceeds the budget or continues an unknown turn."""
         if operation.previous and operation.previous not in self.turns:
             return NoSuchTurn(turn_id=operation.previous)
         turns = self.chain(operation.missing_from)
@@ -222,14 +223,14 @@
         return Granted(spent=spent, turns=turns, context=context)
 
     def _draw(self, operation: Reserve) -> QuotaSpent | None:
-        """Count a turn against its tenant's limit; return None if that lets it in."""
+        """Count a turn against its tenant's limit; return the refusal if it is exhausted."""
         if operation.limit is None:
             return None
         is_new = self.begins_program(operation)
         return self.quotas.transition_draw(operation.limit, is_new=is_new)
 
     def transition_settle(self, operation: Settle) -> OperationResult:
-        """Count what was generated instead of the reservation; keep the turn if there is one."""
+        """Count the generated tokens instead of the reservation, and retain the turn, if given."""
         if operation.program:
             program = self.programs.setdefault(operation.program, Program())
             self._extend_expiry(program, program.retention)
@@ -249,7 +250,7 @@
         program.expires = max(program.expires, self.time + retention + EXPIRY_SLACK_SECONDS)
 
     def _retain_turn(self, turn: KeptTurn) -> None:
-        """Keep a turn, and its chain at least as long."""
+        """Retain a turn, and its chain at least as long."""
         expires = self.time + turn.retention + EXPIRY_SLACK_SECONDS
         if turn.turn_id not in self.turns:
             self.turns[turn.turn_id] = StoredTurn(turn=turn, expires=expires)
