--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -1,8 +1,7 @@
-"""Operations of forwarding nodes on their way into the log: batched, proposed, answered.
+"""Operations of forwarding nodes: queued, proposed in batches, and answered.
 
-An operation that comes again while its first copy is on the way is not proposed once more: its
-asker is answered with the first copy. One whose effect is in the log already is answered from the
-state. So a repetition costs its own bytes and no more.
+A duplicate of a queued or proposed operation is answered together with the first copy. A duplicate
+of an applied operation is answered from the state. Duplicates therefore cost no log entry.
 """
 
 from __future__ import annotations
@@ -34,24 +33,25 @@
 from yokeline.ledger.turns_under_way import TurnsUnderWay
 
 MAX_QUEUED_OPERATIONS = 1024
-"""Operations that may wait for an entry under way; the oldest give way, as their askers have."""
+"""Operations that wait for the entry in flight; the oldest are dropped, as their senders have given
+up."""
 MAX_BATCH_BYTES = 64 * 1024
-"""Bytes of an entry after which the next operation goes into the next one: heartbeats wait behind
-an entry on its way to the followers."""
+"""Size after which an entry is closed; heartbeats queue behind the entry on its way to
+followers."""
 
 MAX_RECENT_DRAWS = 4096
-"""Draws whose results are remembered, so that a repetition takes no second token: at 200 a second
-those of the last 20 s, longer than any of them is repeated. A new leader remembers none."""
+"""Draws whose results are remembered, so that a duplicate takes no second token; covers the time
+for which draws are retried. A new leader remembers none."""
 
 OperationKey = tuple[str, str]
-"""Kind and request id: two operations of one key are the same one."""
+"""Type and request id; operations with the same key are duplicates."""
 
 
 class Requester(msgspec.Struct, frozen=True):
-    """Who waits for the result of an operation.
+    """A process that waits for the result of an operation.
 
     Attributes:
-        number: The asker's own number of the operation.
+        number: Number of the request at that process.
     """
 
     process: ReplicaId
@@ -60,7 +60,7 @@
 
 
 class _QueuedOperation(msgspec.Struct):
-    """An operation without a result yet, when it came first, and who asked for it.
+    """An operation without a result, the time of its arrival, and its requesters.
 
     Attributes:
         is_copied: Its node has sent its text to the followers.
@@ -77,18 +77,18 @@
 
 
 class RequestBatches:
-    """Proposes what came while the last entry was under way as one entry.
+    """Proposes the operations that arrive during one entry together in the next.
 
     Attributes:
-        turns: What nodes have told of the turns under way.
-        places: What they have told of their tenants, and how places are shared between these.
-        operations: Operations asked for so far.
-        load: What is logged of the leader's work.
-        gate: Refuses new programs that their tenants' limits would not carry to their end.
+        turns: The nodes' reports of turns at engines.
+        places: The tenants' loads and shares.
+        operations: Operations received so far.
+        load: Counters of the leader's load, for the log.
+        admission: Refuses new programs that their tenants' limits cannot carry.
     """
 
     def __init__(self, replica: LedgerReplica, wall: Callable[[], float], now: float) -> None:
-        """Propose to ``replica``; ``wall`` reads the time of day (seconds since the epoch)."""
+        """Propose to ``replica``; ``wall`` returns seconds since the epoch."""
         self.turns = TurnsUnderWay()
         self.places = TenantPlaces()
         self.operations = 0
@@ -104,14 +104,14 @@
         self._recent_draws: OrderedDict[OperationKey, None] = OrderedDict()
 
     def note_time(self, now: float) -> None:
-        """Note the time of the event that is being handled; answers may come of it."""
+        """Set the time of the event being handled, which answers and proposals use."""
         self._now = now
         self._engines = None
 
     def take(self, sender: ReplicaId, request: LedgerRequest, now: float) -> list[Effect]:
-        """Take a request in, with its report of turns.
+        """Handle a request and its report of turns.
 
-        One without operations gets no answer, unless it wants to know of engines.
+        A request without operations gets no answer, unless it asks for engine data.
         """
         self.note_time(now)
         self._take_turns(sender, request, now)
@@ -127,7 +127,7 @@
         return [*effects, *self.propose(now)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Propose what waits, and log the load if it is time."""
+        """Propose queued operations, and log the load if due."""
         self._now = now
         if self._replica.leads:
             self.admission.tick(self._replica.state(), self._leader_time())
@@ -137,7 +137,7 @@
         return [*self.propose(now), *lines, *self.places.report(now)]
 
     def propose(self, now: float) -> list[Effect]:
-        """Propose what waits, up to a size, unless an entry is under way."""
+        """Propose queued operations up to the size limit, unless an entry is in flight."""
         self._now = now
         if self._proposed or not self._queued:
             return []
@@ -157,11 +157,11 @@
         )
 
     def _leader_time(self) -> float:
-        """Return the time that has passed under all leaders so far."""
+        """Return the current leader time in seconds."""
         applied = self._replica.state().quotas.time
         return self._leadership_clock.time(self._replica.group.term, applied, self._now)
 
-    # ------------------------------------------------------------ operations in
+    # ------------------------------------------------------------ requests
 
     def _take_turns(self, sender: ReplicaId, request: LedgerRequest, now: float) -> None:
         if not self._replica.leads:
@@ -173,7 +173,7 @@
                 self.places.take(sender, request.turns.sequence, request.tenant_loads, now)
 
     def _take_relayed_turns(self, request: LedgerRequest, now: float) -> None:
-        """Take the report of a node that reaches the leader through another one."""
+        """Handle the report of a node that reaches the leader through another node."""
         relayed = request.passed_turns
         if isinstance(relayed, UnsetType) or not self._replica.leads:
             return
@@ -207,9 +207,9 @@
         return []
 
     def _refusal(self, operation: Operation) -> tuple[QuotaSpent | None, list[LogRecord]]:
-        """Return the refusal by its tenant's limit of an operation that came for the first time.
+        """Return the refusal of a new operation by its tenant's limit, and log lines.
 
-        Repetitions were answered before: they are on their way into the log, or in the state.
+        Duplicates were answered before.
         """
         replica = self._replica
         return self.admission.refusal(
@@ -217,7 +217,7 @@
         )
 
     def _take_batch(self) -> list[_QueuedOperation]:
-        """Take the oldest operations that fit an entry out of those that wait."""
+        """Take the oldest operations that fit into one entry from the queue."""
         size = 0
         while self._queued and size < MAX_BATCH_BYTES:
             key = next(iter(self._queued))
@@ -225,7 +225,7 @@
             size += approximate_size(self._proposed[key].operation)
         return list(self._proposed.values())
 
-    # ------------------------------------------------------------ answers out
+    # ------------------------------------------------------------ answers
 
     def _answer(
         self, batch: list[_QueuedOperation], results: tuple[OperationResult, ...] | None
@@ -263,7 +263,7 @@
         return SendPeer(to=requester.process, address=requester.address, message=reply)
 
     def _engines_reply(self, requester: Requester) -> Effect:
-        """Tell a node of engines that has asked for nothing else."""
+        """Return the answer to a request for engine data alone."""
         reply = LedgerReply(
             number=requester.number,
             leader=self._replica.leader_hint(),
@@ -275,13 +275,13 @@
         return SendPeer(to=requester.process, address=requester.address, message=reply)
 
     def _current_engines(self) -> tuple[EngineTurns, ...]:
-        """Return what is known of engines, worked out once for all answers of one moment."""
+        """Return the data on engines, computed once per event."""
         if self._engines is None:
             self._engines = self.turns.engines(self._now)
         return self._engines
 
     def _current_shares(self) -> tuple[PoolShares, ...] | UnsetType:
-        """Return how places are shared; nothing until a node has told of tenants."""
+        """Return the tenants' shares; unset until a node has reported loads of tenants."""
         return self.places.shares(self._now) if self.places.is_used else UNSET
 
 
@@ -290,7 +290,7 @@
 
 
 def _copied_turn(item: _QueuedOperation) -> KeptTurn | None:
-    """Return the turn of an operation whose text followers get from its node."""
+    """Return the turn of an operation whose text followers receive from its node."""
     if not item.is_copied or not isinstance(item.operation, Settle):
         return None
     return item.operation.turn
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -1,8 +1,8 @@
-"""What the ledger's leader knows of the places that tenants have, and how these are shared.
+"""The leader's data on tenants' use of engines, and their shares.
 
-Nodes tell what their tenants have at engines and what waits, with their reports of turns. Like
-the book of turns it is neither replicated nor kept: it is whole again once each node has reported,
-and a node that falls silent counts no more.
+Places are the requests that a pool's engines serve concurrently. Nodes report their tenants'
+running and waiting turns together with their own turns. The data is neither replicated nor stored:
+a new leader has it once each node has reported, and the loads of silent nodes are dropped.
 """
 
 from __future__ import annotations
@@ -19,16 +19,15 @@
 from yokeline.scheduling.tenant_shares import Shares, TenantDemand, shares_of
 
 SHARES_MAX_AGE_SECONDS = 0.025
-"""Age up to which shares are told without being worked out anew; turns last longer by far."""
+"""Age up to which computed shares are reused; short in comparison with the duration of a turn."""
 SHARES_MAX_AGE_SECONDS_PER_TENANT = 4e-5
-"""The same for each tenant, if that is longer, so that the cost does not grow with their number."""
+"""Maximum age per tenant, if that is longer, to bound the cost with many tenants."""
 WITHIN_SHARE_LOG_SECONDS = 1.0
-"""Time within its share after which a tenant is logged as such; turns end all the time, so that
-one which asks for more comes and goes several times a second."""
+"""Time within its share after which a tenant is logged as such; suppresses short changes."""
 MAX_LOGGED_TENANTS = 32
-"""Tenants whose way beyond their share and back is logged; more at once are not told apart."""
+"""Tenants tracked in the log; changes of further ones are not logged."""
 MAX_TENANTS = 4096
-"""Tenants of one pool; the load of more is not counted."""
+"""Tenants of one pool; loads of further ones are not counted."""
 MIN_WEIGHT = 1e-6
 LEVEL_DIGITS = 3
 
@@ -36,7 +35,7 @@
 
 
 class _Pool(msgspec.Struct):
-    """The sums of one pool over all nodes; demands by tenant."""
+    """Sums of one pool over all nodes, and demands by tenant."""
 
     places: int = 0
     wanted: int = 0
@@ -44,11 +43,11 @@
     demands: dict[str, TenantDemand] = msgspec.field(default_factory=dict)
 
     def add(self, load: TenantLoad) -> None:
-        """Count what a node tells of a tenant."""
+        """Add a node's load of a tenant."""
         self._change(load, 1, max(MIN_WEIGHT, load.weight))
 
     def remove(self, load: TenantLoad) -> None:
-        """Count it no more."""
+        """Subtract a node's load of a tenant."""
         self._change(load, -1, self.demands[load.tenant].weight)
 
     def _change(self, load: TenantLoad, sign: int, weight: float) -> None:
@@ -65,21 +64,21 @@
             self.demands.pop(load.tenant, None)
 
     def shares(self) -> Shares:
-        """Return how the places are shared; without a look at each tenant if there are enough."""
+        """Return the shares of the pool; skips the computation if there are enough places."""
         if not self.waiting or self.wanted <= self.places:
             return Shares()
         return shares_of(self.demands.values(), self.places)
 
 
 class TenantPlaces:
-    """The latest rows of each node, their sums by pool and tenant, and the shares.
+    """The latest loads of each node, their sums by pool and tenant, and the shares.
 
     Attributes:
-        is_used: A node has told of tenants.
+        is_used: A node has reported loads of tenants.
     """
 
     def __init__(self) -> None:
-        """Know of no tenant."""
+        """Start without loads."""
         self.is_used = False
         self._nodes = NodeReports[PoolLoad]()
         self._pools: dict[str, _Pool] = {}
@@ -91,7 +90,7 @@
     def take(
         self, process: ReplicaId, sequence: int, loads: tuple[PoolLoad, ...], now: float
     ) -> None:
-        """Take the rows of a node's process in, unless later ones came before."""
+        """Handle the loads reported by a node, unless they are outdated."""
         if not self._nodes.has_room(process) or not self._nodes.is_newer(process, sequence):
             return
         self.is_used = True
@@ -105,7 +104,7 @@
                 pool.add(row)
 
     def clear(self) -> None:
-        """Forget everything, since another replica leads."""
+        """Drop all data, because another replica leads."""
         self.is_used = False
         self._nodes.clear()
         self._pools.clear()
@@ -115,7 +114,7 @@
         self._beyond_share_at.clear()
 
     def shares(self, now: float) -> tuple[PoolShares, ...]:
-        """Return how the places are shared in the pools that have too few of them."""
+        """Return the shares of the pools that have too few places."""
         self._forget_silent(now)
         if now - self._computed_at < self._max_age():
             return self._messages
@@ -129,12 +128,12 @@
         return self._messages
 
     def _max_age(self) -> float:
-        """Return for how long shares are told without being worked out anew (seconds)."""
+        """Return the time for which computed shares are reused, in seconds."""
         tenants = sum(len(pool.demands) for pool in self._pools.values())
         return max(SHARES_MAX_AGE_SECONDS, SHARES_MAX_AGE_SECONDS_PER_TENANT * tenants)
 
     def gauges(self) -> dict[str, float]:
-        """Return the level of each pool with too few places, and the turns of who is beyond it."""
+        """Return the level of each pool with too few places, and the turns of tenants beyond it."""
         gauges: dict[str, float] = {}
         for pool, shares in self._shares.items():
             gauges[f'yokeline_ledger_share_level{{pool="{pool}"}}'] = shares.level
@@ -144,7 +143,7 @@
         return gauges
 
     def report(self, now: float) -> list[LogRecord]:
-        """Return a line for each tenant that came to be beyond its share, or no longer is."""
+        """Return a log line for each tenant that has exceeded its share, or no longer does."""
         if not self._shares and not self._beyond_share_at:
             return []
         lines: list[LogRecord] = []
@@ -181,7 +180,7 @@
         return [line]
 
     def _countable(self, load: PoolLoad) -> PoolLoad:
-        """Leave out the rows that count nothing or would be too many for the pool."""
+        """Return the load without empty rows, and without tenants beyond :data:`MAX_TENANTS`."""
         pool = self._pools.get(load.pool)
         rows = tuple(row for row in load.tenants if row.running > 0 or row.waiting > 0)
         if pool is not None and len(pool.demands) >= MAX_TENANTS:
