--- a/src/yokeline/ledger/quotas.py
+++ b/src/yokeline/ledger/quotas.py
@@ -1,11 +1,11 @@
-"""How many requests each tenant may still send: token buckets, replicated with the ledger.
+"""Rate limits of tenants: token buckets, replicated with the ledger.
 
-One bucket a tenant for all nodes: a request takes a token out of it before it may go to an engine,
-by an entry of the log. So the bound holds through cuts, restarts and changes of the leader, and
-nothing below the limit is refused because of how requests spread over nodes.
+Each tenant has one bucket for all nodes. Every request takes a token by a log entry before it is
+sent to an engine, so the limit holds across partitions, restarts and leader changes, and does not
+depend on how requests are distributed over nodes.
 
-Time is what has passed under the leaders (:class:`QuotaClock`). It never runs ahead of real time,
-whatever the time of day is set to: a bucket that refilled too soon would break the bound.
+Buckets refill by leader time (:class:`LeadershipClock`), which never runs ahead of real time, even
+if a wall clock is changed.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from yokeline.scheduling.program_admission import Supply
 
 RESERVED_SHARE = 0.25
-"""Share of a bucket that is kept for programs that have begun: at the limit a program is better
-refused before its first turn than in its midst, when what it has used is lost."""
+"""Share of a bucket that is reserved for programs that have begun. Refusing a program before its
+first turn wastes less than refusing it halfway."""
 MIN_BURST = 1.0
-"""Size of a bucket without a burst: a smaller one would never hold a whole request."""
+"""Minimum size of a bucket, so that it can hold a token."""
 FULL_BUCKET_RETENTION_SECONDS = 60.0
-"""An account that was full for this long may be forgotten; a new one begins full."""
+"""Time after which a full bucket is deleted; a new bucket starts full."""
 
 
 class TokenBucket(msgspec.Struct, kw_only=True):
-    """The bucket of one tenant.
+    """The token bucket of one tenant.
 
     Attributes:
-        level: Tokens in it at ``at`` (passed time of the ledger's leaders, seconds).
-        version: Of the configuration that its limit comes from.
+        level: Tokens at ``at`` (leader time in seconds).
+        version: Version of the configuration that set the limit.
     """
 
     level: float
@@ -39,13 +39,13 @@
     version: int
 
     def refill(self, now: float) -> None:
-        """Add what has come since."""
+        """Add the tokens that have accrued."""
         passed = max(0.0, now - self.at)
         self.level = min(self.burst, self.level + self.rate * passed)
         self.at = max(self.at, now)
 
     def update_limit(self, limit: RateLimit) -> None:
-        """Take a limit over if it is of a later configuration than the present one."""
+        """Apply a limit of a later configuration."""
         if limit.version <= self.version:
             return
         self.rate, self.version = limit.rate, limit.version
@@ -53,7 +53,7 @@
         self.level = min(self.level, self.burst)
 
     def seconds_full(self, now: float) -> float:
-        """Return for how long it would have been full (seconds); negative if it is not."""
+        """Return for how many seconds the bucket has been full; negative if it is not."""
         missing = self.burst - self.level
         return now - self.at - (missing / self.rate if self.rate > 0 else 0.0)
 
@@ -62,18 +62,18 @@
     """The buckets of all tenants; part of the ledger's state.
 
     Attributes:
-        time: Passed time of the leaders that the latest entry told.
+        time: Leader time of the latest log entry, in seconds.
     """
 
     time: float = 0.0
     accounts: dict[str, TokenBucket] = {}
 
     def transition_advance(self, time: float) -> None:
-        """Let time pass, as an entry says."""
+        """Advance the leader time to that of a log entry."""
         self.time = max(self.time, time)
 
     def transition_draw(self, limit: RateLimit, *, is_new: bool) -> QuotaSpent | None:
-        """Take a token for a request; return None if there is one, else when there will be."""
+        """Take a token for a request; return the refusal if there are too few."""
         bucket = self._bucket(limit)
         required = required_level(bucket, is_new=is_new)
         if bucket.level < required:
@@ -82,15 +82,15 @@
         return None
 
     def transition_owe(self, limit: RateLimit) -> None:
-        """Take a token for a request that runs in any case; later ones wait until it is made good.
+        """Take a token for a request that runs in any case; the level may become negative.
 
-        A stream that goes on at another engine runs there as well. Without this, a tenant at its
-        limit whose engines break off would exceed what the limit gives by its repeated requests.
+        Counts streams that continue at another engine. Their retries would otherwise exceed the
+        limit of a tenant whose engines fail.
         """
         self._bucket(limit).level -= 1.0
 
     def _bucket(self, limit: RateLimit) -> TokenBucket:
-        """Return the bucket of a limit, with what has come into it since."""
+        """Return the refilled bucket of a limit, created if necessary."""
         bucket = self.accounts.get(limit.tenant)
         if bucket is None:
             burst = max(MIN_BURST, limit.burst)
@@ -102,10 +102,10 @@
         return bucket
 
     def known_refusal(self, limit: RateLimit, time: float, *, is_new: bool) -> QuotaSpent | None:
-        """Return what a draw at a time would surely meet; changes nothing.
+        """Return the refusal that a draw is certain to get; changes nothing.
 
-        What is on its way into the log can only take more out, so a refusal by the state as it
-        stands is right and needs no entry: a tenant far beyond its limit costs no disk anything.
+        Entries in flight can only take further tokens, so the refusal is final and needs no log
+        entry.
         """
         bucket = self.accounts.get(limit.tenant)
         if bucket is None or limit.version > bucket.version:
@@ -116,7 +116,7 @@
         return _refusal(bucket, required, level) if level < required else None
 
     def available_supply(self, limit: RateLimit, time: float) -> Supply:
-        """Return what a tenant may ask for from a time on; changes nothing."""
+        """Return the tokens and rate of a tenant at a time; changes nothing."""
         bucket = self.accounts.get(limit.tenant)
         if bucket is None:
             return Supply(level=max(MIN_BURST, limit.burst), rate=limit.rate)
@@ -126,7 +126,7 @@
         return Supply(level=copy.level, rate=copy.rate)
 
     def transition_forget(self) -> None:
-        """Forget accounts that have been full for long."""
+        """Delete buckets that have been full for long."""
         expired = [
             name
             for name, bucket in self.accounts.items()
@@ -137,7 +137,7 @@
 
 
 def required_level(bucket: TokenBucket, *, is_new: bool) -> float:
-    """Return how many tokens there must be for a request."""
+    """Return the tokens that a bucket must hold for a request."""
     return 1.0 + (RESERVED_SHARE * bucket.burst if is_new else 0.0)
 
 
@@ -147,29 +147,29 @@
 
 
 class LeadershipClock:
-    """Time that passes while a replica leads, on from what the log says at its beginning.
+    """Clock that runs while a replica leads, starting at the leader time in its log.
 
-    Each leader adds no more than what passes while it leads, and goes on from what it has applied,
-    so that all leaders together never add more than has really passed.
+    Each leader adds at most the time for which it leads to the applied leader time, so that all
+    leaders together never add more than real time.
     """
 
     def __init__(self) -> None:
-        """Begin as a replica that does not lead."""
+        """Start as a replica that does not lead."""
         self._term = -1
         self._base = 0.0
         self._base_at = 0.0
 
     def time(self, term: int, applied: float, now: float) -> float:
-        """Return the time for an entry of ``term``.
+        """Return the leader time for an entry.
 
         Args:
             term: The replica's term.
-            applied: The time of the latest entry that it has applied.
+            applied: Leader time of the latest applied entry.
             now: Monotonic seconds.
         """
         leader_time = self._base + (now - self._base_at)
-        # A leader that has just started may be asked before it has applied its log; left behind, no
-        # bucket would refill until its time had come to where they stand.
+        # A new leader may be asked before it has applied its log. If its time stayed behind that of
+        # the buckets, they would not refill until it had caught up.
         if term != self._term or applied > leader_time:
             self._term = term
             self._base = applied
