--- a/src/yokeline/ledger/admission_controller.py
+++ b/src/yokeline/ledger/admission_controller.py
@@ -1,8 +1,8 @@
-"""The leader's answer to the first turn of a new program, before it is proposed.
+"""Admission control of new programs by the leader, before their first turn is proposed.
 
-Refused here is only what has left no trace: neither the state nor an entry on its way knows it. So
-a new leader refuses nothing until an entry of its own term is applied, and with it all earlier
-ones; then it makes its book of claims from the state, some programs at a time.
+Only operations without any trace in the log or the state may be refused here. A new leader
+therefore refuses nothing until it has applied an entry of its own term, and with it all earlier
+ones. It then rebuilds the claims from the state.
 """
 
 from __future__ import annotations
@@ -25,31 +25,29 @@
 from yokeline.scheduling.program_admission import Admission, Supply
 
 MAX_PROGRAMS_PER_TICK = 500
-"""Programs that a new leader takes into its book in one turn of the loop, so that requests do not
-wait for it."""
+"""Program accounts that a new leader reads in one event-loop iteration."""
 MAX_LOG_RECORDS_PER_SECOND = 20
-"""Log lines on programs that were not let in; of a tenant far beyond its limit there would be
-hundreds."""
+"""Log lines on refused programs per second."""
 
 NOT_LEADING = -1
 CAUSE_CLAIMS = "claims"
-"""Other programs claim what the limit gives."""
+"""Claims of other programs exhaust the limit."""
 CAUSE_RESERVED_SHARE = "kept_share"
-"""What is left in the bucket is kept for programs that have begun."""
+"""The remaining tokens are reserved for programs that have begun."""
 CAUSE_LIMIT = "limit"
-"""Nothing is left."""
+"""No tokens are left."""
 CAUSES = (CAUSE_CLAIMS, CAUSE_RESERVED_SHARE, CAUSE_LIMIT)
 
 
 class AdmissionController:
-    """Refuses programs that their tenants' limits would not carry to their end.
+    """Refuses programs that their tenants' limits cannot carry to the end.
 
     Attributes:
-        refused: Programs refused so far, by cause; one that asks again counts again.
+        refused: Refusals so far, by cause; a program that retries counts again.
     """
 
     def __init__(self) -> None:
-        """Begin as a replica that does not lead."""
+        """Start as a replica that does not lead."""
         self.refused: Counter[str] = Counter()
         self._claims = ClaimTracker()
         self._term = NOT_LEADING
@@ -58,18 +56,18 @@
 
     @property
     def claims(self) -> int:
-        """Return the number of programs that hold claims."""
+        """The number of programs that have claims."""
         return len(self._claims)
 
     def refusal(
         self, operation: Operation, state: LedgerState, term: int, leader_time: float
     ) -> tuple[QuotaSpent | None, list[LogRecord]]:
-        """Return the refusal of an operation that nothing is known of yet, and what to log.
+        """Return the refusal of a new operation, if any, and log lines.
 
         Args:
-            operation: That is neither on its way into the log nor in the state.
-            state: What this leader has applied.
-            term: In which it leads.
+            operation: An operation that is neither in flight nor in the state.
+            state: The applied state.
+            term: The leader's term.
             leader_time: Leader time in seconds.
         """
         spent = state.known_refusal(operation, leader_time)
@@ -92,7 +90,7 @@
         leader_time: float,
         spent: QuotaSpent | None,
     ) -> tuple[QuotaSpent | None, list[LogRecord]]:
-        """Decide on a new program; ``spent`` says that the bucket does not let it in."""
+        """Decide on a new program; ``spent`` is the bucket's refusal, if any."""
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
         supply = state.quotas.available_supply(operation.limit, leader_time)
@@ -122,9 +120,9 @@
         state: LedgerState,
         term: int,
     ) -> None:
-        """Note what became of a proposed operation; None if it may not be in the log.
+        """Note the result of a proposed operation; None if it may not be committed.
 
-        A result says that the entry was applied in the term in which it was proposed.
+        A result implies that the entry was applied in the term in which it was proposed.
         """
         if result is not None and term != self._term:
             self._rebuild(state, term)
@@ -144,7 +142,7 @@
             self._claims.cancel_provisional(operation.program)
 
     def tick(self, state: LedgerState, leader_time: float) -> None:
-        """Go on with the book of a new leader, and take claims back."""
+        """Continue reading accounts as a new leader, and release the claims of idle programs."""
         for _ in range(min(MAX_PROGRAMS_PER_TICK, len(self._unread_programs))):
             name = self._unread_programs.popleft()
             account = state.programs.get(name)
@@ -153,14 +151,14 @@
         self._claims.sweep(leader_time)
 
     def reset(self) -> None:
-        """Hold no claims, as a replica that does not lead."""
+        """Drop all claims, because this replica does not lead."""
         if self._term != NOT_LEADING:
             self._rebuild(LedgerState(), NOT_LEADING)
 
     def _begins_program(self, operation: Reserve, state: LedgerState) -> bool:
-        """Return whether a turn is the first one of its program.
+        """Return whether a turn is the first of its program.
 
-        Programs whose turns are still on their way count as begun.
+        A program whose first turn is in flight counts as begun.
         """
         return not self._claims.has_claim(operation.program) and state.begins_program(operation)
 
@@ -170,7 +168,7 @@
         self._unread_programs = deque(state.programs)
 
     def _is_rebuilt(self, term: int) -> bool:
-        """Return whether all that is in the log of earlier terms is applied and in the book."""
+        """Return whether the claims cover all entries of earlier terms."""
         return term == self._term and not self._unread_programs
 
     def _refusal_record(
@@ -179,7 +177,7 @@
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
         size = self._claims.size_of(tenant, kind)
-        assert size is not None  # it was decided on
+        assert size is not None  # decided on above
         fields: dict[str, str | int | float | bool | None] = {
             "tenant": tenant,
             "kind": kind,
@@ -200,7 +198,7 @@
 
 
 class _LogRateLimit:
-    """Lets some lines a second through; the next one says how many were left out."""
+    """Limits log lines per second; the next line counts the suppressed ones."""
 
     def __init__(self) -> None:
         self._since = 0.0
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -1,8 +1,8 @@
-"""The book of the programs that were let in, and of how large programs of each kind are.
+"""Claims of admitted programs on their tenants' limits, and typical program sizes by kind.
 
-Only the ledger's leader keeps it. It is derived from the accounts of programs in the ledger's state
-and no part of that: a leader that takes over makes it anew. Times are passed time of the leaders
-(:class:`yokeline.ledger.quotas.QuotaClock`), in seconds.
+A claim is the number of requests that a program is expected to send until it ends. Only the
+ledger's leader keeps claims; a new leader rebuilds them from the program accounts in the state.
+Times are leader time (:class:`yokeline.ledger.quotas.LeadershipClock`), in seconds.
 """
 
 from __future__ import annotations
@@ -19,55 +19,53 @@
 from yokeline.scheduling.program_sizes import ProgramSize, SizeEstimate
 
 MAX_IDLE_SECONDS = 2.0
-"""Longest rest without a turn under way before a program gives its claim back; so long it is while
-the size of its kind is not known. One that goes on after all claims again."""
+"""Maximum idle time after which a program without an open turn releases its claim; used while the
+size of its kind is unknown. A program that continues later claims again."""
 MAX_TURN_SECONDS = 10.0
-"""Longest time with a turn under way before a program gives its claim back: a node that is gone
-ends none of its turns."""
+"""Maximum duration of an open turn before its program releases the claim; a failed node ends none
+of its turns."""
 MIN_IDLE_SECONDS = 0.5
-"""Least rest before a program gives its claim back."""
+"""Minimum idle time before a program releases its claim."""
 IDLE_REQUEST_INTERVALS = 6.0
-"""The rest as a multiple of the mean pause between two requests of its kind: a program that has
-ended is not to keep others out for longer than it takes to be sure."""
+"""Idle time before a program releases its claim, in mean request intervals of its kind."""
 SWEEP_SECONDS = 0.05
-"""Pause between two looks for programs that rest."""
+"""Time between two sweeps for idle programs."""
 MAX_SWEPT_PER_TICK = 500
-"""Claims looked at in one turn of the loop, those that rest longest first: a bound on how long
-requests wait for it."""
+"""Claims checked in one event-loop iteration, the longest idle first."""
 KIND_PRIORITY_SECONDS = 2.0
-"""Time after which a kind of which none was let in is next: large programs need more room at once
-than small ones, which would take each bit of it before."""
+"""Time after which a kind whose programs are only refused gets priority; kinds of small programs
+would otherwise take all tokens as they accrue."""
 RETRY_GRACE_SECONDS = 1.0
-"""Time after the moment that a refused program was told, for which its kind's place is kept."""
+"""Time beyond its retry time for which a refused program keeps its kind's priority."""
 REFUSAL_CACHE_SECONDS = 0.05
-"""Time for which a refusal holds for all programs of its kind: it bounds what a tenant far beyond
-its limit costs the leader."""
+"""Time for which a refusal applies to all programs of its kind; bounds the cost of a tenant far
+above its limit."""
 LATE_YIELD_SECONDS = 1.0
-"""Time after the refusal of a program that could end in time, in which those that cannot are not
-let in: a caller that is told to return does so within about that time."""
+"""Time after the refusal of a program that can meet its deadline, during which late programs are
+refused; callers retry within about that time."""
 MIN_LATE_RETRY_SECONDS = 0.5
-"""Least time after which a program that cannot end in time is to come back."""
+"""Minimum retry time for programs that cannot meet their deadline."""
 MAX_TIME_LIMITS = 65_536
-"""Refused programs of which it is remembered how much time they were given; the oldest gives
-way."""
+"""Refused programs whose time limits are remembered; the oldest is evicted."""
 MAX_CLAIMS = 65_536
-"""Claims that are held; the one that rested longest gives way."""
+"""Claims; the longest idle is evicted."""
 MAX_TENANTS = 4096
-"""Tenants whose sizes are remembered beyond those that hold claims; the oldest gives way."""
+"""Tenants whose sizes are remembered, besides those with claims; the oldest is evicted."""
 MAX_KINDS_PER_TENANT = 64
-"""Kinds of programs of a tenant; the oldest gives way."""
+"""Kinds of programs of one tenant; the oldest is evicted."""
 MAX_SHARED_KINDS = 1024
-"""The same of all tenants together."""
+"""Kinds of programs over all tenants; the oldest is evicted."""
 
 
 class _Claim(msgspec.Struct):
     """The claim of one program.
 
     Attributes:
-        used: Requests that it has sent.
-        is_cut_short: A request of it was refused since, so its size says nothing of its kind.
-        is_learned: It has rested once, and its size was learned then.
-        given: Seconds that its caller gave it when it first asked; 0 if not known.
+        requests: Requests that the program has sent.
+        has_open_turn: One of its turns is at an engine.
+        was_refused: One of its requests was refused, so its size is not typical of its kind.
+        is_size_observed: Its size was observed when it was idle earlier.
+        time_limit: Seconds until its deadline at its first request; 0 if unknown.
     """
 
     tenant: str
@@ -85,7 +83,7 @@
     """A program that asks to begin.
 
     Attributes:
-        left: Seconds that it has left until it should be over; None if that is not said.
+        time_left: Seconds until its deadline; None if it has none.
     """
 
     name: str
@@ -95,13 +93,13 @@
 
 
 class _RefusedKind(msgspec.Struct):
-    """A kind of which none was let in since it was refused.
+    """A kind whose programs have only been refused since a certain time.
 
     Attributes:
-        since: When it was refused first.
-        decided_at: When it was decided on last.
-        decided: What was decided then.
-        until: When its latest refused program should have come back.
+        refused_since: Time of the first refusal.
+        decided_at: Time of the latest decision.
+        decision: The latest decision.
+        expires_at: When the latest refused program should have retried.
     """
 
     refused_since: float
@@ -111,7 +109,7 @@
 
 
 class _KindSizes:
-    """Sizes by kind of program, bounded."""
+    """A bounded number of program sizes by kind."""
 
     def __init__(self, bound: int) -> None:
         self._bound = bound
@@ -135,19 +133,18 @@
 class _TenantClaims:
     """Sizes and claims of one tenant.
 
-    Until enough programs of a kind have ended, the sizes of all tenants' programs of it count: a
-    small tenant begins few of each kind in the time for which accounts are kept.
+    Until enough programs of a kind have ended, the size over all tenants is used.
     """
 
     def __init__(self, of_all: _KindSizes) -> None:
         self._of_all = of_all
         self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
-        """Claims by kind and requests sent: equal ones are decided on together."""
+        """Number of claims by kind and requests sent; equal claims are evaluated together."""
         self.refused_kinds: dict[str, _RefusedKind] = {}
         self.time_shares: dict[str, MeanTimeShare] = {}
         self.last_timely_refusal_at = -math.inf
-        """When a program that could end in time was refused last."""
+        """Time of the latest refusal of a program that could meet its deadline."""
 
     def size(self, kind: str) -> ProgramSize | None:
         return self.sizes.size(kind) or self._of_all.size(kind)
@@ -171,7 +168,7 @@
             del self.held[key]
 
     def claims(self) -> list[Claims]:
-        """Return what the programs claim whose size is known."""
+        """Return the claims of the programs whose size is known."""
         found = []
         for (kind, requests), count in self.held.items():
             size = self.size(kind)
@@ -181,9 +178,9 @@
         return found
 
     def claims_of_refused_kinds(self, kind: str, now: float) -> list[Claims]:
-        """Return a place for one program of each kind that is next before ``kind``.
+        """Return a claim of one program for each refused kind with priority over ``kind``.
 
-        Kinds whose programs did not come back are forgotten.
+        Drops kinds whose programs have not retried.
         """
         self.refused_kinds = {
             name: item for name, item in self.refused_kinds.items() if item.expires_at >= now
@@ -199,9 +196,10 @@
         return found
 
     def cached_refusal(self, kind: str, now: float) -> Admission | None:
-        """Return the last refusal of a kind while it holds, with the time that is left.
+        """Return the latest refusal of a kind while it is valid, with the remaining retry time.
 
-        The kind's place is kept until the program that is refused by it has come back.
+        The kind keeps its priority until the program that receives this refusal should have
+        retried.
         """
         item = self.refused_kinds.get(kind)
         passed = now - item.decided_at if item is not None else REFUSAL_CACHE_SECONDS
@@ -242,7 +240,7 @@
     size: ProgramSize,
     now: float,
 ) -> Admission:
-    """Decide on a program that cannot end in time; it takes no turn of one that can."""
+    """Decide on a program that cannot meet its deadline; it yields to programs that can."""
     decision = decide(
         supply, [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds("", now)], size
     )
@@ -256,33 +254,33 @@
 
 
 class ClaimTracker:
-    """Follows the programs of tenants with limits, and decides on new ones."""
+    """Tracks the programs of tenants with limits, and decides on new ones."""
 
     def __init__(self) -> None:
-        """Hold no claims."""
+        """Start without claims."""
         self._shared_sizes = _KindSizes(MAX_SHARED_KINDS)
         self._next_sweep = -math.inf
         self._tenants: OrderedDict[str, _TenantClaims] = OrderedDict()
         self._claims: OrderedDict[str, _Claim] = OrderedDict()
-        """By program, the one that rests longest first."""
+        """By program, the longest idle first."""
         self._idle_with_open_turn: OrderedDict[str, _Claim] = OrderedDict()
-        """Those among them that rest with a turn under way."""
+        """Claims of programs that have been idle with an open turn."""
         self._time_limits: OrderedDict[str, float] = OrderedDict()
-        """Seconds that programs were given when they first asked, of those that were refused."""
+        """Seconds until the deadline at the first request, of refused programs."""
 
     def __len__(self) -> int:
         """Return the number of claims."""
         return len(self._claims) + len(self._idle_with_open_turn)
 
     def size_of(self, tenant: str, kind: str) -> ProgramSize | None:
-        """Return the size of a kind of program; None until it is known."""
+        """Return the typical size of a kind of program; None if unknown."""
         tenant_claims = self._tenants.get(tenant)
         return (
             tenant_claims.size(kind) if tenant_claims is not None else self._shared_sizes.size(kind)
         )
 
     def decide(self, candidate: CandidateProgram, supply: Supply, now: float) -> Admission | None:
-        """Decide whether a program may begin; None while the size of its kind is not known."""
+        """Decide whether a program may begin; None if the size of its kind is unknown."""
         self.sweep(now)
         size = self.size_of(candidate.tenant, candidate.kind)
         if size is None:
@@ -297,7 +295,7 @@
         return decision
 
     def _is_late(self, candidate: CandidateProgram) -> bool:
-        """Return whether a program that was refused before has lost too much time since."""
+        """Return whether a refused program can no longer meet its deadline."""
         time_limit = self._time_limits.get(candidate.name)
         share = self._tenants[candidate.tenant].time_shares.get(candidate.kind)
         if time_limit is None or share is None or candidate.time_left is None:
@@ -305,7 +303,7 @@
         return share.is_late(candidate.time_left, time_limit)
 
     def _note_time_limit(self, candidate: CandidateProgram) -> None:
-        """Remember how much time a refused program was given when it first asked."""
+        """Remember the time limit of a refused program from its first request."""
         if candidate.time_left is None or candidate.name in self._time_limits:
             return
         self._time_limits[candidate.name] = candidate.time_left
@@ -313,7 +311,7 @@
             self._time_limits.popitem(last=False)
 
     def add_provisional(self, candidate: CandidateProgram, now: float) -> None:
-        """Hold a claim for a program that may begin, until its first turn is in the log."""
+        """Add a claim for an admitted program, until its first turn is committed."""
         if self.has_claim(candidate.name):
             return
         time_limit = self._time_limits.pop(candidate.name, candidate.time_left or 0.0)
@@ -323,19 +321,18 @@
         self._add(candidate.name, claim)
 
     def cancel_provisional(self, name: str) -> None:
-        """Give the claim of a program back whose first turn is not in the log after all."""
+        """Remove the claim of a program whose first turn was not committed."""
         claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
         if claim is not None and not claim.requests:
             self._remove(name)
 
     def update(self, name: str, account: Program, *, is_complete: bool) -> None:
-        """Take over what the account of a program says; only a tenant's with a limit counts.
+        """Update a claim from the program's account, if its tenant has a limit.
 
         Args:
-            name: The program's.
+            name: The program.
             account: Its account.
-            is_complete: All programs with claims are in the book, so that one that is not has
-                given its claim back before.
+            is_complete: All accounts have been read, so a program without a claim has released it.
         """
         if not account.requests:
             return
@@ -362,14 +359,14 @@
             claim.was_refused = True
 
     def release(self, name: str) -> None:
-        """Give the claim of a program back that its budget stopped.
+        """Remove the claim of a program that has exhausted its budget.
 
-        It looped, most likely, so its size says nothing of its kind.
+        The program probably loops, so its size is not typical of its kind.
         """
         self._remove(name)
 
     def sweep(self, now: float) -> None:
-        """Take the claims back of programs that have rested, and learn from them."""
+        """Release the claims of idle programs, and observe their sizes."""
         if now < self._next_sweep:
             return
         self._next_sweep = now + SWEEP_SECONDS
@@ -389,7 +386,7 @@
             self._end_program(name)
 
     def _idle_limit(self, claim: _Claim) -> float:
-        """Return for how many seconds a program rests before it counts as ended."""
+        """Return the idle time after which a program counts as ended, in seconds."""
         size = self.size_of(claim.tenant, claim.kind)
         if size is None or claim.has_open_turn:
             return MAX_IDLE_SECONDS
@@ -407,7 +404,7 @@
             self._tenants[claim.tenant].learn(claim)
 
     def has_claim(self, name: str) -> bool:
-        """Return whether a program holds a claim."""
+        """Return whether a program has a claim."""
         return name in self._claims or name in self._idle_with_open_turn
 
     def _add(self, name: str, claim: _Claim) -> None:
@@ -417,7 +414,7 @@
             self._remove(next(iter(self._idle_with_open_turn or self._claims)))
 
     def _tenant_claims(self, tenant: str) -> _TenantClaims:
-        """Return the book of a tenant, which was seen now."""
+        """Return the claims of a tenant, and mark it as most recently used."""
         tenant_claims = self._tenants.pop(tenant, None) or _TenantClaims(self._shared_sizes)
         self._tenants[tenant] = tenant_claims
         if len(self._tenants) > MAX_TENANTS:
@@ -431,7 +428,7 @@
         return claim
 
     def _forget_tenant(self) -> None:
-        """Forget the tenant that was seen least lately, unless it holds claims."""
+        """Forget the least recently used tenant, unless it has claims."""
         oldest = next(iter(self._tenants))
         if self._tenants[oldest].held:
             self._tenants.move_to_end(oldest)
