--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -1,7 +1,6 @@
-"""The turns that this node has at engines, as it tells the ledger's leader of them.
+"""This node's turns at engines, as reported to the ledger's leader.
 
-A report names all of them, so a lost one is made good by the next, and what a node that has died
-told is forgotten when it falls silent.
+Every report lists all turns, so the next one makes up for a lost report.
 """
 
 from __future__ import annotations
@@ -15,18 +14,18 @@
 from yokeline.ledger.messages import EngineLoad, NodeTurns, PoolLoad, TurnServed
 
 REFRESH_SECONDS = 0.5
-"""Pause after which a node with turns at engines reports although nothing changed; the leader
-forgets a node that is silent for three of them."""
+"""Time after which a node with turns at engines reports without changes; the leader drops a node's
+loads after three such periods without a report."""
 ROWS_SECONDS = 0.05
-"""Least pause between two reports with the rows of tenants. They are longer than the rest of a
-report, and a turn lasts some tenths of a second."""
+"""Minimum time between two reports with tenants' loads, which are longer than the rest of a
+report."""
 MAX_SERVED = 256
-"""Ends that wait to be told; beyond it the oldest are dropped, since they only colour the choice
-of an engine. A node ends some tens of turns and calls a second."""
+"""Outcomes waiting to be reported; the oldest are dropped, as they only affect the choice of
+engines."""
 
 
 class TenantLoadSource(Protocol):
-    """What the tenants of this node have of the engines, and what they ask for."""
+    """Loads of this node's tenants."""
 
     @property
     def is_used(self) -> bool:
@@ -34,28 +33,28 @@
 
     @property
     def changes(self) -> int:
-        """Rises when a tenant's first turns begin to wait, and when none of them waits any more."""
+        """Increases when first turns of a tenant begin to wait, and when the last of them stops."""
 
     @property
     def has_waiting(self) -> bool:
-        """Whether a first turn of any tenant waits."""
+        """Whether a first turn of any tenant is waiting."""
 
     def rows(self) -> tuple[PoolLoad, ...]:
-        """Return what the leader is told."""
+        """Return the tenants' loads by pool."""
 
 
 class OwnTurns:
-    """Turns of one node by request id, and how engines served the last ones.
+    """Turns of one node by request id, and outcomes to be reported.
 
     Attributes:
-        dropped: Ends that were never told, since there were too many.
-        earlier_name: Returns the second name under which a load is reported at a time, for nodes
-            of an earlier release; empty for none.
-        tenants: What the node's tenants have; None unless set.
+        dropped: Outcomes that were dropped without a report.
+        earlier_name: Returns the name under which an engine's load is also reported at a time, for
+            nodes of an earlier release; empty for none.
+        tenants: Source of the tenants' loads; None by default.
     """
 
     def __init__(self) -> None:
-        """Have no turn under way."""
+        """Start without turns."""
         self.dropped = 0
         self.earlier_name: Callable[[str, float], str] = _no_earlier_name
         self.tenants: TenantLoadSource | None = None
@@ -74,15 +73,16 @@
         self._has_changes = True
 
     def end(self, request_id: str, served: TurnServed) -> None:
-        """Note that a turn left its engine, and how it was served."""
+        """Note the end of a turn at an engine, and its outcome."""
         self._running.pop(request_id, None)
         self._note_served(served)
         self._has_changes = True
 
     def end_call(self, served: TurnServed) -> None:
-        """Note how an engine served a request that is no turn; a failure is told at once.
+        """Note the outcome of a call; a failure is reported immediately.
 
-        The others go with the next report: the leader counts no calls under way.
+        Successful calls are left for the next report, since the leader does not count running
+        calls.
         """
         self._note_served(served)
         self._has_changes = self._has_changes or served.failed
@@ -94,12 +94,12 @@
             self.dropped += 1
 
     def leader_changed(self) -> None:
-        """Report soon, since a new leader knows nothing of this node."""
+        """Report soon, since a new leader has no data on this node."""
         self._has_changes = self._has_changes or self._has_load()
         self._rows_reported_at = float("-inf")
 
     def report_due(self) -> float | None:
-        """Return when a report is due; None while there is nothing to tell."""
+        """Return when a report is due; None if there is nothing to report."""
         if self._has_changes:
             return float("-inf")
         if self._owes_rows or self._tenants_changed():
@@ -107,7 +107,7 @@
         return self._reported_at + REFRESH_SECONDS if self._has_load() else None
 
     def take_report(self, now: float) -> NodeTurns | None:
-        """Return the report that is due; None if none is."""
+        """Return the report, if one is due."""
         due = self.report_due()
         if due is None or now < due:
             return None
@@ -118,18 +118,18 @@
         return NodeTurns(sequence=self._sequence, loads=self._loads(now), served=served)
 
     def report_for_peer(self, now: float) -> NodeTurns:
-        """Return a report of all turns, to go with an operation that another node passes on.
+        """Return a report of all turns to accompany a relayed operation.
 
-        How engines served the last turns is left to reports that reach the leader directly.
+        Outcomes are left for reports that reach the leader directly.
         """
         self._sequence += 1
         return NodeTurns(sequence=self._sequence, loads=self._loads(now))
 
     def take_rows(self, now: float) -> tuple[PoolLoad, ...] | UnsetType:
-        """Return the rows that go with a report that was taken.
+        """Return the tenants' loads to accompany a report.
 
-        Unset where the configuration has no tenants, and until the next rows are due: these go
-        then, with a report of their own if need be.
+        Unset if the configuration has no tenants, or if less than :data:`ROWS_SECONDS` have passed
+        since the last loads; a report is then due when they have.
         """
         if self.tenants is None or not self.tenants.is_used:
             self._owes_rows = False
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -1,10 +1,9 @@
-"""What the ledger's leader knows of engines: turns under way, and how engines served the last ones.
+"""The leader's data on engines: running turns, and outcomes of recent ones.
 
-Every turn asks the leader before it is sent, and its node tells the leader of all turns that it
-has at engines, so the leader sees the load of all nodes some milliseconds old, where reports
-between nodes are a few tenths of a second old. The book is not replicated and not on the disk: a
-new leader begins with an empty one, which is whole again once each node has reported. Nothing but
-the choice of an engine depends on it.
+Nodes report all their turns at engines with the operations that precede each turn, so the leader's
+data is more recent than the load reports between nodes. It is neither replicated nor stored: a new
+leader starts without data, and has it once each node has reported. Only the choice of an engine
+depends on it.
 """
 
 from __future__ import annotations
@@ -29,16 +28,17 @@
 from yokeline.scheduling.engine_profiles import EngineProfile
 
 IDLE_ENGINE_SECONDS = 15.0
-"""An engine without turns of which nothing was seen for this long may be forgotten if there are
-too many to tell."""
+"""Time without reports after which an engine without turns may be dropped, if there are too many
+engines to report."""
 PROFILE_RETENTION_SECONDS = 120.0
-"""The same for any engine: its profile weighs next to nothing by then, or the engine has gone."""
+"""Time without reports after which any engine without turns is dropped; its profile carries almost
+no weight by then."""
 MAX_ENGINES_REPORTED = 256
-"""Engines told with one answer; in a larger fleet nodes go by the load reports alone."""
+"""Engines listed in one answer; in a larger fleet nodes rely on the load reports alone."""
 SLOWNESS_WEIGHT = 0.15
 """Weight of one turn in an engine's slowness."""
 SLOWNESS_DECAY_SECONDS = 4.0
-"""Time in which the slowness of an engine fades to a third without new turns."""
+"""Time constant with which an engine's slowness decays without new turns."""
 
 
 class _EngineRecord(msgspec.Struct):
@@ -55,16 +55,16 @@
     """The latest report of each node, and the engines by id."""
 
     def __init__(self) -> None:
-        """Know of no turn."""
+        """Start without reports."""
         self._nodes = NodeReports[EngineLoad]()
         self._engines: dict[str, _EngineRecord] = {}
 
     def __len__(self) -> int:
-        """Return how many turns are under way."""
+        """Return the number of running turns."""
         return sum(record.running for record in self._engines.values())
 
     def take(self, process: ReplicaId, report: NodeTurns, now: float) -> None:
-        """Take the report of a node's process in, unless a later one came before."""
+        """Handle a node's report; the loads of an outdated one are ignored."""
         if not self._nodes.has_room(process):
             return
         for served in report.served:
@@ -79,12 +79,12 @@
             record.updated_at = now
 
     def clear(self) -> None:
-        """Forget everything, since another replica leads."""
+        """Drop all data, because another replica leads."""
         self._nodes.clear()
         self._engines.clear()
 
     def engines(self, now: float) -> tuple[EngineTurns, ...]:
-        """Return what is known of engines; empty if there are too many of them to tell."""
+        """Return the data on all engines; empty if there are too many engines."""
         self._forget_silent(now)
         if len(self._engines) > MAX_ENGINES_REPORTED:
             self._forget_idle(now, IDLE_ENGINE_SECONDS)
@@ -116,7 +116,7 @@
             self._forget_idle(now, PROFILE_RETENTION_SECONDS)
 
     def _forget_idle(self, now: float, max_age: float) -> None:
-        """Forget engines without turns of which nothing was seen for ``silence`` seconds."""
+        """Drop engines without turns that were last reported more than ``max_age`` seconds ago."""
         idle = [
             name
             for name, item in self._engines.items()
