--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -122,7 +122,7 @@
     def __len__(self) -> int:
         return len(self._sizes)
 
-    def learn(self, claim: _Claim) -> None:
+    def observe_size(self, claim: _Claim) -> None:
         estimate = self._sizes.setdefault(claim.kind, SizeEstimate())
         self._sizes.move_to_end(claim.kind)
         estimate.observe(claim.requests, claim.active_at - claim.began_at)
@@ -136,8 +136,8 @@
     Until enough programs of a kind have ended, the size over all tenants is used.
     """
 
-    def __init__(self, of_all: _KindSizes) -> None:
-        self._of_all = of_all
+    def __init__(self, shared_sizes: _KindSizes) -> None:
+        self._shared_sizes = shared_sizes
         self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
         """Number of claims by kind and requests sent; equal claims are evaluated together."""
@@ -147,11 +147,11 @@
         """Time of the latest refusal of a program that could meet its deadline."""
 
     def size(self, kind: str) -> ProgramSize | None:
-        return self.sizes.size(kind) or self._of_all.size(kind)
+        return self.sizes.size(kind) or self._shared_sizes.size(kind)
 
-    def learn(self, claim: _Claim) -> None:
-        self.sizes.learn(claim)
-        self._of_all.learn(claim)
+    def observe_size(self, claim: _Claim) -> None:
+        self.sizes.observe_size(claim)
+        self._shared_sizes.observe_size(claim)
         share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
         share.observe(claim.active_at - claim.began_at, claim.time_limit)
         self.time_shares[claim.kind] = share
@@ -401,7 +401,7 @@
             and not claim.was_refused
             and not claim.is_size_observed
         ):
-            self._tenants[claim.tenant].learn(claim)
+            self._tenants[claim.tenant].observe_size(claim)
 
     def has_claim(self, name: str) -> bool:
         """Return whether a program has a claim."""
--- a/src/yokeline/ledger/history_service.py
+++ b/src/yokeline/ledger/history_service.py
@@ -19,7 +19,7 @@
 
 class _PendingRequest(msgspec.Struct, frozen=True):
     sender: ReplicaId
-    ask: HistoryAsk
+    request: HistoryAsk
     until: float
 
 
@@ -31,13 +31,13 @@
         self._replica = replica
         self._pending: list[_PendingRequest] = []
 
-    def handle_request(self, sender: ReplicaId, ask: HistoryAsk, now: float) -> list[Effect]:
+    def handle_request(self, sender: ReplicaId, request: HistoryAsk, now: float) -> list[Effect]:
         """Answer a request, or keep it while the turn may still be replicated."""
-        turns = self._replica.state().chain(ask.last, ask.known)
+        turns = self._replica.state().chain(request.last, request.known)
         may_come = self._replica.is_member and len(self._pending) < MAX_PENDING_REQUESTS
         if turns or not may_come:
-            return [self._reply(sender, ask, turns)]
-        self._pending.append(_PendingRequest(sender, ask, now + MISSING_TURN_WAIT_SECONDS))
+            return [self._reply(sender, request, turns)]
+        self._pending.append(_PendingRequest(sender, request, now + MISSING_TURN_WAIT_SECONDS))
         return []
 
     def tick(self, now: float) -> list[Effect]:
@@ -47,9 +47,9 @@
         effects: list[Effect] = []
         pending, self._pending = self._pending, []
         for item in pending:
-            turns = self._replica.state().chain(item.ask.last, item.ask.known)
+            turns = self._replica.state().chain(item.request.last, item.request.known)
             if turns or now >= item.until:
-                effects.append(self._reply(item.sender, item.ask, turns))
+                effects.append(self._reply(item.sender, item.request, turns))
             else:
                 self._pending.append(item)
         return effects
@@ -58,6 +58,6 @@
         """Return when :meth:`tick` is due."""
         return min((item.until for item in self._pending), default=None)
 
-    def _reply(self, sender: ReplicaId, ask: HistoryAsk, turns: tuple[KeptTurn, ...]) -> Effect:
-        reply = HistoryReply(number=ask.number, turns=turns, is_member=self._replica.is_member)
-        return SendPeer(to=sender, address=ask.asker, message=reply)
+    def _reply(self, sender: ReplicaId, request: HistoryAsk, turns: tuple[KeptTurn, ...]) -> Effect:
+        reply = HistoryReply(number=request.number, turns=turns, is_member=self._replica.is_member)
+        return SendPeer(to=sender, address=request.asker, message=reply)
--- a/src/yokeline/ledger/leader_search.py
+++ b/src/yokeline/ledger/leader_search.py
@@ -77,10 +77,12 @@
         if now < self._next_query:
             return []
         self._next_query = now + (NO_LEADER_QUERY_SECONDS if self.leader is None else QUERY_SECONDS)
-        asked = [self.leader] if self.leader is not None else []
-        asked.extend(self._candidates())
+        recipients = [self.leader] if self.leader is not None else []
+        recipients.extend(self._candidates())
         query = LeaderQuery(asker=self._own_address)
-        return [SendPeer(to=item.replica, address=item.address, message=query) for item in asked]
+        return [
+            SendPeer(to=item.replica, address=item.address, message=query) for item in recipients
+        ]
 
     def _candidates(self) -> list[LeaderHint]:
         """Return the next replicas in rotation, without the known leader."""
--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -19,7 +19,7 @@
 ROWS_SECONDS = 0.05
 """Minimum time between two reports with tenants' loads, which are longer than the rest of a
 report."""
-MAX_SERVED = 256
+MAX_UNREPORTED_OUTCOMES = 256
 """Outcomes waiting to be reported; the oldest are dropped, as they only affect the choice of
 engines."""
 
@@ -89,7 +89,7 @@
 
     def _note_served(self, served: TurnServed) -> None:
         self._served.append(served)
-        if len(self._served) > MAX_SERVED:
+        if len(self._served) > MAX_UNREPORTED_OUTCOMES:
             del self._served[0]
             self.dropped += 1
 
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -207,9 +207,9 @@
         """Return when :meth:`tick` is due."""
         if self._to_apply or self._effects:
             return IMMEDIATELY
-        held = self._restorer.next_deadline()
+        restore_deadline = self._restorer.next_deadline()
         due = self.group.next_deadline()
-        return due if held is None else min(due, held)
+        return due if restore_deadline is None else min(due, restore_deadline)
 
     # ------------------------------------------------------------ events
 
@@ -268,9 +268,9 @@
 
     def _step_restored(self, now: float) -> list[Effect]:
         """Step the messages that are complete, in order of arrival."""
-        complete, missing_at = self._restorer.ready(now)
+        complete, dropped_senders = self._restorer.ready(now)
         effects: list[Effect] = []
-        for sender in missing_at:
+        for sender in dropped_senders:
             effects.extend(self._report_missing_text(sender))
         for sender, envelope in complete:
             effects.extend(self._persist(self.group.step(sender, envelope.message, now)))
--- a/src/yokeline/ledger/state.py
+++ b/src/yokeline/ledger/state.py
@@ -94,7 +94,7 @@
         """Whether the program has an open or settled turn."""
         return bool(self.reserved or self.settled)
 
-    def knows(self, request_id: str) -> bool:
+    def has_turn(self, request_id: str) -> bool:
         """Return whether a turn is open or settled."""
         return request_id in self.reserved or request_id in self.settled
 
@@ -166,7 +166,7 @@
             return None
         program = self.programs.get(operation.program)
         if isinstance(operation, Reserve):
-            if program is None or not program.knows(operation.request_id):
+            if program is None or not program.has_turn(operation.request_id):
                 return None
             return self._granted(program, operation)
         is_counted = not operation.program or (
@@ -206,7 +206,7 @@
             return self._draw(operation) or Granted(turns=turns)
         program = self.programs.setdefault(operation.program, Program())
         self._extend_expiry(program, operation.retention)
-        if program.knows(operation.request_id):
+        if program.has_turn(operation.request_id):
             return self._granted(program, operation)
         spent = program.committed_tokens()
         if spent + operation.tokens > operation.budget:
--- a/src/yokeline/ledger/text_copies.py
+++ b/src/yokeline/ledger/text_copies.py
@@ -142,7 +142,7 @@
     def ready(self, now: float) -> tuple[list[tuple[ReplicaId, ReplicaMessage]], list[ReplicaId]]:
         """Return the complete messages, and the senders of dropped ones."""
         complete: list[tuple[ReplicaId, ReplicaMessage]] = []
-        missing_at: list[ReplicaId] = []
+        dropped_senders: list[ReplicaId] = []
         while self._pending:
             pending = self._pending[0]
             restored = self._restore(pending.envelope)
@@ -151,10 +151,10 @@
             self._pending.popleft()
             if restored is None:
                 self.incomplete += 1
-                missing_at.append(pending.sender)
+                dropped_senders.append(pending.sender)
             else:
                 complete.append((pending.sender, restored))
-        return complete, missing_at
+        return complete, dropped_senders
 
     def next_deadline(self) -> float | None:
         """Return when the first queued message expires."""
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -62,8 +62,8 @@
             assert item is not None
             follower.texts.put(item.turn_id, item.text)
         follower.take(LEADER, over_the_wire(stripper.strip(FOLLOWER, message((entry,)), 0.0)), 0.0)
-        whole, missing_at = follower.ready(0.0)
-        self.assertEqual(missing_at, [])
+        whole, dropped_senders = follower.ready(0.0)
+        self.assertEqual(dropped_senders, [])
         self.assertEqual(whole, [(LEADER, message((entry,)))])
 
     def stripped_message(self, stripper: TextStripper, text: bytes = b"x" * 1000) -> ReplicaMessage:
--- a/tests/unit/ledger/test_turns_under_way.py
+++ b/tests/unit/ledger/test_turns_under_way.py
@@ -11,7 +11,7 @@
     TurnServed,
 )
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
-from yokeline.ledger.own_turns import MAX_SERVED, REFRESH_SECONDS, OwnTurns
+from yokeline.ledger.own_turns import MAX_UNREPORTED_OUTCOMES, REFRESH_SECONDS, OwnTurns
 from yokeline.ledger.turns_under_way import (
     IDLE_ENGINE_SECONDS,
     MAX_ENGINES_REPORTED,
@@ -109,9 +109,9 @@
 
     def test_ends_that_cannot_be_told_are_bounded_and_counted(self) -> None:
         node = self.nodes["n"]
-        for number in range(MAX_SERVED + 3):
+        for number in range(MAX_UNREPORTED_OUTCOMES + 3):
             node.end(str(number), TurnServed("e", False, 0.0))
-        self.assertEqual(len(self.report().served), MAX_SERVED)
+        self.assertEqual(len(self.report().served), MAX_UNREPORTED_OUTCOMES)
         self.assertEqual(node.dropped, 3)
 
     def test_failures_of_all_nodes_count_and_fade(self) -> None:
