--- a/tests/property/test_quotas.py
+++ b/tests/property/test_quotas.py
@@ -144,11 +144,11 @@
         with patch.object(LeadershipClock, "time", time):
             return any(worst_excess(seed, limit) > ROUNDING for seed in range(20))
 
-    def test_a_clock_that_begins_anew_with_each_question(self) -> None:
+    def test_a_clock_that_restarts_with_each_query(self) -> None:
         self.assertTrue(self.caught(lambda clock, term, applied, now: applied + 1.0))
 
-    def test_a_time_of_day_that_each_leader_reads_for_itself(self) -> None:
+    def test_a_wall_clock_that_each_leader_reads_for_itself(self) -> None:
         self.assertTrue(self.caught(lambda clock, term, applied, now: now))
 
-    def test_a_leader_that_adds_the_time_before_its_own_beginning(self) -> None:
+    def test_a_leader_that_adds_time_before_its_own_start(self) -> None:
         self.assertTrue(self.caught(lambda clock, term, applied, now: applied + now / 1e5))
--- a/tests/unit/ledger/test_admission_controller.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -90,10 +90,10 @@
 
 
 class Admission(AdmissionCase):
-    def test_new_programs_are_let_in_while_their_size_is_not_known(self) -> None:
+    def test_new_programs_are_admitted_while_their_size_is_unknown(self) -> None:
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
-    def test_then_no_more_than_the_limit_carries_and_those_are_carried(self) -> None:
+    def test_admits_as_many_programs_as_the_limit_carries_to_the_end(self) -> None:
         self.learn()
         results = self.begin(50)
         admitted = sum(isinstance(item, Granted) for item in results)
@@ -106,13 +106,15 @@
                 draw = Draw(request_id=f"{name}/{number}", limit=LIMIT, program=name)
                 self.assertNotIsInstance(self.ask(draw), QuotaSpent)
 
-    def test_begun_programs_and_tenants_without_a_limit_are_never_refused_by_it(self) -> None:
+    def test_begun_programs_and_tenants_without_a_limit_are_never_refused(self) -> None:
         self.learn()
         self.begin(50)
         self.assertIsInstance(self.ask(first_turn("new0", request="sub-agent")), Granted)
         self.assertIsInstance(self.ask(first_turn("free", limit=None)), Granted)
 
-    def test_programs_that_their_budget_stopped_hold_nothing_and_teach_nothing(self) -> None:
+    def test_a_program_that_exhausts_its_budget_releases_its_claim_and_its_size_is_ignored(
+        self,
+    ) -> None:
         """They loop: 86 of 550 requests in one second were told that their budget is spent.
 
         Of a kind with 17 requests a program, 33 were expected, and the limit was half used:
@@ -128,21 +130,21 @@
         self.now += MAX_IDLE_SECONDS
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
-    def test_a_program_on_its_way_into_the_log_is_not_new(self) -> None:
+    def test_a_program_whose_first_turn_is_in_flight_is_not_new(self) -> None:
         self.learn()
         self.assertIsNone(self.controller.refusal(first_turn("a"), self.state, TERM, self.now)[0])
         self.begin(50)
         sub_agent = first_turn("a", request="sub-agent")
         self.assertIsNone(self.controller.refusal(sub_agent, self.state, TERM, self.now)[0])
 
-    def test_claims_of_programs_that_rest_let_others_in(self) -> None:
+    def test_idle_programs_release_their_claims(self) -> None:
         self.learn()
         self.begin(50)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
         self.now += MAX_TURN_SECONDS
         self.assertIsInstance(self.ask(first_turn("late")), Granted)
 
-    def test_a_lowered_limit_lets_nothing_in_until_claims_fit(self) -> None:
+    def test_a_lowered_limit_admits_no_program_until_the_claims_fit(self) -> None:
         self.learn()
         self.begin(5)
         lowered = RateLimit("hule", rate=0.5, burst=100.0, version=3)
@@ -152,14 +154,14 @@
         self.now += MAX_IDLE_SECONDS
         self.assertIsInstance(self.ask(first_turn("late", lowered)), Granted)
 
-    def test_what_it_refuses_takes_nothing(self) -> None:
+    def test_a_refusal_leaves_the_state_unchanged(self) -> None:
         self.learn()
         self.begin(10)
         before = encode_state(self.state)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
         self.assertEqual(encode_state(self.state), before)
 
-    def test_each_refusal_is_counted_and_some_lines_a_second_tell_its_inputs(self) -> None:
+    def test_refusals_are_counted_and_logged_at_a_limited_rate(self) -> None:
         self.learn()
         results = self.begin(300)
         refused = sum(isinstance(item, QuotaSpent) for item in results)
@@ -185,7 +187,7 @@
         controller.tick(self.state, self.now)
         return controller
 
-    def test_it_makes_sizes_and_claims_from_the_state(self) -> None:
+    def test_a_new_leader_rebuilds_sizes_and_claims_from_the_state(self) -> None:
         self.learn()
         self.begin(10)
         controller = self.successor(has_committed=True)
@@ -193,7 +195,7 @@
         spent, _lines = controller.refusal(first_turn("late"), self.state, TERM + 1, self.now)
         self.assertIsInstance(spent, QuotaSpent)
 
-    def test_it_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
+    def test_a_new_leader_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
         """What the one before it has proposed may be on its way; it may have led before itself."""
         self.learn()
         self.begin(10)
@@ -202,7 +204,7 @@
             spent, _lines = controller.refusal(late, self.state, TERM + 1, self.now)
             self.assertIsNone(spent)
 
-    def test_one_that_leads_no_more_holds_nothing(self) -> None:
+    def test_a_replica_that_no_longer_leads_has_no_claims(self) -> None:
         self.learn()
         self.begin(10)
         self.controller.reset()
@@ -222,7 +224,7 @@
     def begin(self, cluster: Cluster, count: int) -> list[OperationResult | None]:
         return [cluster.ask(first_turn(f"new{number}")) for number in range(count)]
 
-    def test_a_refusal_needs_no_entry(self) -> None:
+    def test_a_refusal_needs_no_log_entry(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -241,7 +243,7 @@
         self.assertGreater(figures.gauges["yokeline_ledger_claims"], 2)
         self.assertTrue(any(line.event == "program_not_admitted" for line in cluster.log))
 
-    def test_a_repetition_of_what_is_applied_is_answered_as_before(self) -> None:
+    def test_a_duplicate_of_an_applied_operation_gets_the_same_result(self) -> None:
         cluster = self.cluster()
         self.learn(cluster)
         results = self.begin(cluster, 20)
@@ -249,7 +251,7 @@
         for number in admitted:
             self.assertIsInstance(cluster.ask(first_turn(f"new{number}")), Granted)
 
-    def test_a_repetition_of_what_is_proposed_is_not_refused_nor_after_a_change_of_leader(
+    def test_a_duplicate_of_a_proposed_operation_is_not_refused_even_by_a_new_leader(
         self,
     ) -> None:
         for seed in range(6):
@@ -269,7 +271,7 @@
             self.assertEqual(leader.node.batches.admission.refused[CAUSE_CLAIMS], refused)
             self.assertIsInstance(cluster.ask(asked), Granted)
 
-    def test_a_new_leader_goes_on_with_the_claims(self) -> None:
+    def test_a_new_leader_keeps_the_claims(self) -> None:
         cluster = self.cluster()
         self.learn(cluster)
         self.begin(cluster, 20)
@@ -326,7 +328,7 @@
     quotas: TenantQuotas = msgspec.field(default_factory=TenantQuotas)
 
 
-class EarlierBuilds(AdmissionCase):
+class EarlierRelease(AdmissionCase):
     """Replicas of the release before run side by side with this one during an upgrade."""
 
     def setUp(self) -> None:
@@ -339,7 +341,9 @@
         )
         self.command = LedgerCommand(time=1e9, operations=self.operations, passed=5.0)
 
-    def test_they_read_our_entries_and_snapshots_without_the_new_fields(self) -> None:
+    def test_the_earlier_release_reads_our_entries_and_snapshots_without_the_new_fields(
+        self,
+    ) -> None:
         read = decode_struct(encode_command(self.command), _EarlierCommand).unwrap()
         self.assertEqual(len(read.operations), 3)
         first = read.operations[0]
@@ -350,7 +354,7 @@
         self.assertEqual(state.programs["p"].settled, ["p/0"])
         self.assertEqual(state.quotas, self.state.quotas)
 
-    def test_we_read_theirs(self) -> None:
+    def test_we_read_entries_and_snapshots_of_the_earlier_release(self) -> None:
         theirs = _EarlierCommand(
             time=1e9,
             operations=(
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -35,25 +35,25 @@
             self.assertLessEqual(len(outcome.lost), LOST_SHARE * len(outcome.began))
             self.assertGreaterEqual(outcome.limit_used, used)
 
-    def test_a_hot_tenants_programs_that_begin_end(self) -> None:
+    def test_admitted_programs_of_a_hot_tenant_end(self) -> None:
         self.assert_carried(HOT)
 
-    def test_so_do_those_that_fan_out(self) -> None:
+    def test_admitted_programs_that_fan_out_end(self) -> None:
         fan_out = replace(LONG, requests=24, fan_out=5)
         self.assert_carried(replace(HOT, kinds=(SHORT, fan_out)))
 
-    def test_so_do_those_beside_programs_that_loop(self) -> None:
+    def test_admitted_programs_beside_looping_ones_end(self) -> None:
         self.assert_carried(replace(HOT, kinds=(SHORT, replace(LONG, loop_share=0.05))))
 
-    def test_so_do_those_that_had_begun_when_the_limit_was_lowered(self) -> None:
+    def test_admitted_programs_end_after_the_limit_is_lowered(self) -> None:
         lowered = replace(HOT, lowered_at=35.0, lowered_to=0.7)
         self.assert_carried(lowered, used=0.7)
 
-    def test_within_its_limit_a_tenants_programs_are_let_in(self) -> None:
+    def test_programs_of_a_tenant_within_its_limit_are_admitted(self) -> None:
         for outcome in outcomes(replace(HOT, hot=1.0)):
             self.assertGreaterEqual(len(outcome.ended), 0.98 * len(outcome.offered))
 
-    def test_they_are_let_in_beside_a_hot_tenant(self) -> None:
+    def test_programs_of_a_tenant_within_its_limit_are_admitted_beside_a_hot_tenant(self) -> None:
         """Both share one leader, and one book of claims."""
         ledger = Ledger(has_gate=True)
         hot = Replay(HOT, ledger)
@@ -67,7 +67,7 @@
 class AdmissionPolicies(unittest.TestCase):
     """The ways of the design note on the same arrivals."""
 
-    def test_by_time_loses_less_than_what_stood_and_uses_more_than_claims_in_full(self) -> None:
+    def test_by_time_loses_fewer_programs_and_uses_more_of_the_limit(self) -> None:
         slow = replace(
             HOT, kinds=(replace(SHORT, step_seconds=0.6), replace(LONG, step_seconds=0.6))
         )
@@ -95,11 +95,11 @@
         all_share = len(outcome.began) / len(outcome.offered)
         return len(began) / len(offered) / all_share
 
-    def test_they_are_not_starved(self) -> None:
+    def test_large_programs_are_not_starved(self) -> None:
         for seed in (1, 2):
             self.assertGreater(self.served_share(seed), STARVED_SHARE)
 
-    def test_they_would_be_if_nobody_waited_for_them(self) -> None:
+    def test_large_programs_starve_without_priority_of_refused_kinds(self) -> None:
         with patch.object(_TenantClaims, "claims_of_refused_kinds", lambda book, kind, now: []):
             self.assertTrue(any(self.served_share(seed) < STARVED_SHARE for seed in (1, 2)))
 
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -67,8 +67,8 @@
         return size.requests
 
 
-class Learning(ClaimCase):
-    def test_before_enough_programs_have_rested_nothing_is_decided(self) -> None:
+class ProgramSizes(ClaimCase):
+    def test_no_decision_before_enough_programs_have_ended(self) -> None:
         self.learn(count=LEAST_PROGRAMS - 1)
         self.assertIsNone(self.decide(LITTLE))
 
@@ -77,7 +77,9 @@
         self.learn(20, "long")
         self.assertEqual((self.expected("short"), self.expected("long")), (4.0, 20.0))
 
-    def test_a_tenant_goes_by_all_tenants_programs_until_enough_of_its_own_have_ended(self) -> None:
+    def test_sizes_over_all_tenants_apply_until_enough_programs_of_the_tenant_have_ended(
+        self,
+    ) -> None:
         self.learn(20, "long")
         self.assertIsNone(self.claims.size_of("other", "short"))
         first = self.claims.size_of("other", "long")
@@ -93,7 +95,7 @@
         assert learned is not None
         self.assertEqual(learned.requests, 4.0)
 
-    def test_a_program_that_was_refused_on_its_way_says_nothing_of_its_kind(self) -> None:
+    def test_the_size_of_a_program_refused_halfway_is_ignored(self) -> None:
         self.learn(10)
         for number in range(20):
             self.update(f"cut{number}", account(2, self.now, self.now))
@@ -102,7 +104,7 @@
         self.claims.sweep(self.now)
         self.assertEqual(self.expected(), 10.0)
 
-    def test_one_that_was_let_in_again_after_all_does(self) -> None:
+    def test_the_size_of_a_program_that_continues_after_a_refusal_counts(self) -> None:
         self.learn(10)
         self.update("p", account(2, self.now, self.now))
         self.claims.note_refused("p")
@@ -112,15 +114,15 @@
         self.assertGreater(self.expected(), 10.0)
 
 
-class Holding(ClaimCase):
-    def test_claims_are_given_back_after_a_rest(self) -> None:
+class HeldClaims(ClaimCase):
+    def test_an_idle_program_releases_its_claim(self) -> None:
         self.update("p", account(3, 0.0, 1.0))
         self.claims.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
         self.assertEqual(len(self.claims), 1)
         self.claims.sweep(1.0 + MAX_IDLE_SECONDS)
         self.assertEqual(len(self.claims), 0)
 
-    def test_a_program_of_a_fast_kind_need_not_rest_for_long(self) -> None:
+    def test_a_program_of_a_fast_kind_releases_its_claim_sooner(self) -> None:
         """Else those that have ended keep others out of a limit that is half used.
 
         program_not_admitted level=803.36 (full) rate=532.0 claims=119 claimed=1894.1
@@ -133,7 +135,7 @@
         self.assertFalse(self.claims.has_claim("p"))
         self.assertTrue(self.claims.has_claim("slow"))
 
-    def test_a_turn_under_way_is_no_rest_but_a_node_that_is_gone_holds_nothing_for_long(
+    def test_a_program_with_an_open_turn_keeps_its_claim_for_a_limited_time(
         self,
     ) -> None:
         self.update("p", account(3, 0.0, 1.0, has_open_turn=True))
@@ -142,7 +144,7 @@
         self.claims.sweep(1.0 + MAX_TURN_SECONDS)
         self.assertEqual(len(self.claims), 0)
 
-    def test_a_program_that_goes_on_after_a_rest_claims_again_and_is_learned_once(self) -> None:
+    def test_a_program_that_continues_claims_again_and_its_size_counts_once(self) -> None:
         self.learn(10)
         self.update("p", account(10, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
@@ -154,7 +156,7 @@
         self.claims.sweep(self.now)
         self.assertEqual((len(self.claims), self.expected()), (0, before))
 
-    def test_a_program_that_may_begin_holds_a_claim_before_its_turn_is_in_the_log(self) -> None:
+    def test_an_admitted_program_has_a_claim_before_its_turn_is_committed(self) -> None:
         self.learn(10)
         admitted = 0
         for number in range(50):
@@ -165,7 +167,7 @@
                 admitted += 1
         self.assertEqual(admitted, 3)
 
-    def test_that_claim_goes_if_the_turn_does_not_get_there(self) -> None:
+    def test_the_claim_is_cancelled_if_the_turn_is_not_committed(self) -> None:
         self.claims.add_provisional(candidate("p"), 0.0)
         self.claims.cancel_provisional("p")
         self.assertEqual(len(self.claims), 0)
@@ -173,7 +175,7 @@
         self.claims.cancel_provisional("q")
         self.assertEqual(len(self.claims), 1)
 
-    def test_what_it_keeps_has_a_bound(self) -> None:
+    def test_claims_tenants_and_kinds_are_bounded(self) -> None:
         with (
             patch.object(claims_module, "MAX_CLAIMS", 10),
             patch.object(claims_module, "MAX_TENANTS", 5),
@@ -196,8 +198,8 @@
         self.assertLessEqual(len(self.claims._shared_sizes), 7)
 
 
-class Refusing(ClaimCase):
-    def test_many_refusals_of_a_moment_are_decided_once_and_tell_the_time_that_is_left(
+class Refusals(ClaimCase):
+    def test_a_refusal_is_cached_and_its_retry_time_counts_down(
         self,
     ) -> None:
         self.learn(10)
@@ -213,7 +215,7 @@
         assert first is not None and second is not None
         self.assertAlmostEqual(second.retry_after, first.retry_after - REFUSAL_CACHE_SECONDS / 2)
 
-    def test_a_kind_that_is_passed_over_is_next(self) -> None:
+    def test_a_refused_kind_gets_priority(self) -> None:
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
@@ -234,7 +236,7 @@
         assert small is not None
         self.assertTrue(small.is_let_in)
 
-    def test_it_is_not_waited_for_once_it_does_not_come_back(self) -> None:
+    def test_a_refused_kind_loses_priority_without_retries(self) -> None:
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
@@ -260,7 +262,7 @@
         self.assertTrue(any(item is not None and item.is_let_in for item in decision))
 
 
-class Late(ClaimCase):
+class LatePrograms(ClaimCase):
     """Programs that are refused and come back leave the limit to those that can end in time."""
 
     time_limit = 4.0
@@ -283,7 +285,7 @@
         """Let a program claim what the bucket holds."""
         self.update("held", account(1, self.now, self.now, has_open_turn=True))
 
-    def test_one_that_came_back_too_late_leaves_what_there_is_to_others(self) -> None:
+    def test_a_late_program_yields_to_others(self) -> None:
         self.learn_times(3.0)
         self.hold()
         self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_let_in)
@@ -293,28 +295,28 @@
         self.assertFalse(late.is_let_in)
         self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_let_in)
 
-    def test_one_that_can_still_end_in_time_is_like_a_new_one(self) -> None:
+    def test_a_retry_that_can_meet_its_deadline_is_treated_as_new(self) -> None:
         self.learn_times(2.0)
         self.hold()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
 
-    def test_it_is_let_in_once_nobody_else_is_refused(self) -> None:
+    def test_a_late_program_is_admitted_once_no_other_is_refused(self) -> None:
         self.learn_times(3.0)
         self.hold()
         self.ask("late", self.time_limit, LITTLE)
         self.now += LATE_YIELD_SECONDS
         self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
 
-    def test_without_word_of_their_time_all_are_alike(self) -> None:
+    def test_programs_without_a_deadline_are_never_late(self) -> None:
         self.learn(10)
         self.hold()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
-    def test_a_tenant_at_twice_its_limit_ends_its_programs_in_time(self) -> None:
+    def test_admitted_programs_of_a_tenant_at_twice_its_limit_meet_their_deadlines(self) -> None:
         """Each refused program comes back five times; with the rule few are let in late."""
         in_time, let_in = self.replay(knows_time=True)
         before, let_in_before = self.replay(knows_time=False)
--- a/tests/unit/ledger/test_contexts.py
+++ b/tests/unit/ledger/test_contexts.py
@@ -25,7 +25,7 @@
 
 
 class Contexts(unittest.TestCase):
-    def test_a_line_of_turns_is_found_where_it_was_last_read(self) -> None:
+    def test_a_session_is_found_at_the_engine_of_its_last_turn(self) -> None:
         state = LedgerState()
         self.assertIsNone(_reserve(state, "1", "parent"))
         _settle(state, "1", "parent", "engine-a")
@@ -34,14 +34,14 @@
         assert context is not None
         self.assertEqual(context.engine_id, "engine-a")
 
-    def test_a_new_line_begins_where_its_program_was_last(self) -> None:
+    def test_a_new_session_starts_at_the_engine_of_its_programs_last_turn(self) -> None:
         state = LedgerState()
         _settle(state, "1", "parent", "engine-a")
         context = _reserve(state, "2", "child")
         assert context is not None
         self.assertEqual(context.engine_id, "engine-a")
 
-    def test_a_program_remembers_a_bounded_number_of_lines(self) -> None:
+    def test_a_program_remembers_a_bounded_number_of_sessions(self) -> None:
         state = LedgerState()
         for number in range(3 * MAX_CONTEXTS):
             _settle(state, str(number), f"line-{number}", "engine-a")
--- a/tests/unit/ledger/test_earlier_release.py
+++ b/tests/unit/ledger/test_earlier_release.py
@@ -28,11 +28,11 @@
     def setUp(self) -> None:
         self.stored = release_samples.stored()
 
-    def test_entries_of_its_log_are_read(self) -> None:
+    def test_log_entries_are_read(self) -> None:
         read = [decode_command(data).unwrap() for data in self.stored["commands"]]
         self.assertEqual(read, release_samples.commands())
 
-    def test_its_log_leads_to_the_same_programs_and_turns(self) -> None:
+    def test_replaying_the_log_gives_the_same_programs_and_turns(self) -> None:
         read = [decode_command(data).unwrap() for data in self.stored["commands"]]
         replayed = LedgerState()
         for command in read:
@@ -42,7 +42,7 @@
         self.assertEqual(texts(replayed), texts(kept))
         self.assertEqual(replayed.time, kept.time)
 
-    def test_its_snapshot_is_gone_on_with(self) -> None:
+    def test_a_snapshot_can_be_continued(self) -> None:
         kept = decode_state(self.stored["state"][0]).unwrap()
         again = LedgerCommand(time=1003.0, operations=(release_samples.SETTLE,), passed=4.0)
         kept.transition_apply(again)
@@ -52,7 +52,7 @@
         assert isinstance(known, Granted)
         self.assertEqual(kept.turns["k1"].turn, release_samples.TURN)
 
-    def test_its_messages_are_read(self) -> None:
+    def test_messages_are_read(self) -> None:
         codec = LedgerCodec()
         expected = release_samples.messages(self.stored["commands"][1])
         for data, message in zip(self.stored["messages"], expected, strict=True):
@@ -65,7 +65,7 @@
             with self.subTest(type(message).__name__):
                 self.assertEqual(codec.decode_datagram(data).unwrap(), message)
 
-    def test_its_disk_is_read_whole(self) -> None:
+    def test_the_log_file_is_read_completely(self) -> None:
         data = self.stored["disk"][0]
         log = recover(data).unwrap()
         self.assertEqual(log.valid_bytes, len(data))
--- a/tests/unit/ledger/test_histories.py
+++ b/tests/unit/ledger/test_histories.py
@@ -52,14 +52,14 @@
         reply = HistoryReply(number=sent.message.number, turns=turns, is_member=is_member)
         self.fetches.take_reply(reply, now)
 
-    def test_a_replica_of_the_own_zone_is_asked_first_and_never_the_leader(self) -> None:
+    def test_a_replica_of_the_same_zone_is_preferred_and_the_leader_is_never_asked(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.assertEqual(first.to, "near")
         self.answer(first, 0.01, KEPT)
         self.assertEqual(self.got, [(KEPT,)])
 
-    def test_one_that_is_no_member_or_is_silent_is_avoided_for_a_while(self) -> None:
+    def test_non_members_and_silent_replicas_are_avoided_for_a_while(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.answer(first, 0.01, is_member=False)
@@ -83,7 +83,7 @@
             self.assertEqual(sent.to, "near")
             self.answer(sent, 0.1)
 
-    def test_an_answer_after_the_end_changes_nothing(self) -> None:
+    def test_a_late_answer_is_ignored(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.fetches.tick(FETCH_SECONDS)
@@ -103,7 +103,7 @@
     def texts(self, cluster: Cluster) -> list[list[bytes]]:
         return [[item.text for item in reply.turns] for reply in cluster.histories]
 
-    def test_a_follower_gives_out_a_chain_after_a_turn_that_is_known(self) -> None:
+    def test_a_follower_serves_a_chain_after_a_known_turn(self) -> None:
         cluster = self.cluster()
         for name, previous in (("t1", ""), ("t2", "t1"), ("t3", "t2")):
             cluster.ask(turn(name, previous, name.encode()))
@@ -113,7 +113,7 @@
         self.ask(cluster, follower, "t3", "t1")
         self.assertEqual(self.texts(cluster), [[b"t1", b"t2", b"t3"], [b"t2", b"t3"]])
 
-    def test_a_follower_that_is_told_of_a_turn_a_moment_later_answers_then(self) -> None:
+    def test_a_follower_answers_when_a_missing_turn_arrives(self) -> None:
         cluster = self.cluster()
         follower = self.followers(cluster)[0]
         self.ask(cluster, follower, "t1")
@@ -122,13 +122,13 @@
         cluster.run(MISSING_TURN_WAIT_SECONDS)
         self.assertEqual(self.texts(cluster), [[b"text"]])
 
-    def test_a_turn_that_does_not_come_is_answered_as_lacking(self) -> None:
+    def test_a_turn_that_does_not_arrive_is_answered_as_missing(self) -> None:
         cluster = self.cluster()
         self.ask(cluster, self.followers(cluster)[0], "never")
         cluster.run(MISSING_TURN_WAIT_SECONDS + 0.05)
         self.assertEqual(self.texts(cluster), [[]])
 
-    def test_a_replica_that_is_no_member_answers_at_once(self) -> None:
+    def test_a_non_member_answers_immediately(self) -> None:
         cluster = self.cluster(5)
         spare = cluster.add_machine()
         cluster.run(1.0)
--- a/tests/unit/ledger/test_leadership.py
+++ b/tests/unit/ledger/test_leadership.py
@@ -9,7 +9,7 @@
 
 
 class LeadershipTracking(unittest.TestCase):
-    def test_it_begins_anew_with_each_term_that_the_replica_leads(self) -> None:
+    def test_leadership_restarts_with_each_term(self) -> None:
         tenure = LeadershipTracker()
         tenure.observe(is_leader=True, term=2, members=(A, B), now=10.0)
         tenure.observe(is_leader=True, term=2, members=(A, B), now=11.0)
@@ -21,7 +21,7 @@
         tenure.observe(is_leader=True, term=4, members=(A, B), now=14.0)
         self.assertEqual(tenure.since, 14.0)
 
-    def test_a_member_that_left_is_remembered_until_it_is_one_again(self) -> None:
+    def test_a_former_member_is_remembered_until_it_rejoins(self) -> None:
         tenure = LeadershipTracker()
         tenure.observe(is_leader=False, term=1, members=(A, B, C), now=1.0)
         tenure.observe(is_leader=False, term=1, members=(A, C), now=2.0)
@@ -29,7 +29,7 @@
         tenure.observe(is_leader=False, term=1, members=(A, B, C), now=3.0)
         self.assertEqual(tenure.former_members, set())
 
-    def test_what_is_remembered_is_bounded(self) -> None:
+    def test_former_members_are_bounded(self) -> None:
         tenure = LeadershipTracker()
         for number in range(2 * MAX_FORMER_MEMBERS):
             replica = ReplicaId(f"r{number}")
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -157,8 +157,8 @@
     return Reserve(request_id=name, program="p", budget=budget, tokens=60)
 
 
-class CutOff(unittest.TestCase):
-    def test_a_node_that_is_cut_off_from_all_storage_asks_through_another(self) -> None:
+class Partitions(unittest.TestCase):
+    def test_a_node_partitioned_from_all_storage_nodes_uses_a_relay(self) -> None:
         for answers_only in (False, True):
             fleet = Fleet()
             edge = fleet.edges[0]
@@ -170,7 +170,7 @@
             self.assertLess(fleet.now - began, MIN_TIMEOUT_SECONDS, "it knows the way by now")
             self.assertIn("ledger_path_lost", edge.logged)
 
-    def test_the_leader_goes_on_counting_its_turns(self) -> None:
+    def test_turns_of_a_partitioned_node_are_still_counted(self) -> None:
         """Else all nodes take the engines for half as full as they are.
 
         18 of 52 nodes were cut off, and their turns were in nobody's count:
@@ -190,13 +190,13 @@
         fleet.ask(edge, reserve("d", 1000))
         self.assertEqual(len(fleet.turns), 7)
 
-    def test_a_leader_that_one_node_cannot_reach_is_asked_through_another(self) -> None:
+    def test_a_node_partitioned_from_the_leader_uses_a_relay(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.cut(edge, LEADER.replica)
         self.assertIsInstance(fleet.ask(edge, reserve("a")), Granted)
 
-    def test_the_budget_holds_over_both_ways(self) -> None:
+    def test_the_budget_holds_over_direct_and_relayed_operations(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.cut(edge, *STORAGE)
@@ -206,7 +206,7 @@
         )
         self.assertNotIsInstance(fleet.ask(fleet.edges[1], reserve("b")), Granted)
 
-    def test_a_settlement_that_arrives_by_two_ways_counts_once(self) -> None:
+    def test_a_settlement_that_arrives_directly_and_relayed_counts_once(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("before"))  # operations go to a replica that is known to lead
@@ -226,7 +226,7 @@
             fleet.ask(fleet.edges[1], operation)
         self.assertEqual(fleet.ledger.programs["p"].committed_tokens(), 0)
 
-    def test_a_direct_answer_ends_the_detour(self) -> None:
+    def test_a_direct_answer_ends_relaying(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.cut(edge, *STORAGE)
@@ -241,7 +241,7 @@
 
 
 class NewLeader(unittest.TestCase):
-    def test_what_waited_for_a_leader_is_answered_soon_after_there_is_one(self) -> None:
+    def test_pending_operations_are_answered_soon_after_an_election(self) -> None:
         """Repetitions grow rarer, and one that goes to the dead leader waits the longest."""
         fleet = Fleet(2)
         edge = fleet.edges[0]
@@ -269,7 +269,7 @@
         self.assertTrue(all(isinstance(answer, Granted) for answer in answers))
         self.assertLess(fleet.now - began, 0.4)
 
-    def test_a_leader_that_goes_on_answering_gets_nothing_twice(self) -> None:
+    def test_a_slow_leader_gets_few_duplicates(self) -> None:
         fleet = Fleet(1)
         edge = fleet.edges[0]
         fleet.answer_seconds = 2.5 * MIN_TIMEOUT_SECONDS
@@ -282,8 +282,8 @@
         self.assertLess(len(fleet.taken), 3.5 * 40)
 
 
-class NoLoops(unittest.TestCase):
-    def test_nothing_is_passed_on_twice(self) -> None:
+class Relaying(unittest.TestCase):
+    def test_an_operation_is_relayed_only_once(self) -> None:
         fleet = Fleet()
         for edge in fleet.edges:
             fleet.cut(edge, *STORAGE)
@@ -295,7 +295,7 @@
         self.assertLess(fleet.through_peers, 6)
         self.assertEqual([edge.client.under_way for edge in fleet.edges], [0, 0, 0])
 
-    def test_operations_of_others_are_bounded(self) -> None:
+    def test_relayed_operations_are_bounded(self) -> None:
         client = LedgerClient(Address("10.1.0.1", 1))
         for number in range(2 * MAX_RELAYED_OPERATIONS):
             request = PassedOnRequest(
@@ -304,7 +304,7 @@
             client.pass_on(ReplicaId("other"), request, lambda result, now: [], 100.0)
         self.assertEqual(client.under_way, MAX_RELAYED_OPERATIONS)
 
-    def test_without_a_leader_nobody_is_helpful_and_all_go_on_afterwards(self) -> None:
+    def test_without_a_leader_no_operation_is_relayed_and_nodes_recover(self) -> None:
         fleet = Fleet()
         fleet.leads = False
         for edge in fleet.edges:
@@ -317,7 +317,7 @@
         fleet.run(1.0)
         self.assertTrue(all(edge.client.reaches_ledger for edge in fleet.edges))
 
-    def test_a_busy_ledger_that_answers_late_is_not_taken_for_one_out_of_reach(self) -> None:
+    def test_a_slow_ledger_does_not_count_as_unreachable(self) -> None:
         fleet = Fleet(1)
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("first", 10_000))
--- a/tests/unit/ledger/test_load_lines.py
+++ b/tests/unit/ledger/test_load_lines.py
@@ -19,7 +19,7 @@
 
 
 class ClientLines(unittest.TestCase):
-    def test_a_silent_replica_shows_as_repetitions_by_cause(self) -> None:
+    def test_retries_are_logged_by_cause(self) -> None:
         client = LedgerClient(EDGE_ADDRESS)
         client.set_storage({ReplicaId("a~1"): Address("10.0.0.1", 1)})
         client.tick(0.0)
@@ -34,14 +34,14 @@
         self.assertEqual(found[0].fields["under_way"], 1)
         self.assertGreater(found[0].fields["oldest_seconds"] or 0, 0.9)
 
-    def test_without_repetitions_there_is_no_line(self) -> None:
+    def test_nothing_is_logged_without_retries(self) -> None:
         client = LedgerClient(EDGE_ADDRESS)
         found = [line for step in range(40) for line in client.tick(step * 0.1)]
         self.assertEqual(found, [])
 
 
 class LeaderLines(StorageCase):
-    def test_the_leader_tells_operations_repetitions_and_entries(self) -> None:
+    def test_the_leader_logs_operations_duplicates_and_entries(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         operation = turn("t1", text=b"x" * 1000)
--- a/tests/unit/ledger/test_members.py
+++ b/tests/unit/ledger/test_members.py
@@ -49,7 +49,7 @@
 
 
 class Retiring(unittest.TestCase):
-    def test_a_successor_joins_before_the_member_goes(self) -> None:
+    def test_a_successor_joins_before_the_member_is_removed(self) -> None:
         step = next_step(view(retiring="b", joins=(SPARE,)), NOW)
         self.assertEqual(step, AddMember(SPARE))
 
@@ -58,36 +58,36 @@
         step = next_step(view(grown, retiring="b", caught_up=frozenset(MEMBERS)), NOW)
         self.assertIsNone(step)
 
-    def test_a_successor_that_fell_silent_is_not_awaited(self) -> None:
+    def test_a_silent_successor_is_not_awaited(self) -> None:
         grown = (*MEMBERS, SPARE)
         silence = {SPARE: CATCH_UP_SILENCE_SECONDS + 0.1}
         behind = view(grown, retiring="b", caught_up=frozenset(MEMBERS), silence=silence)
         self.assertEqual(next_step(behind, NOW), RemoveMember(MEMBERS[1], "retiring"))
 
-    def test_then_it_goes_and_nobody_else_joins(self) -> None:
+    def test_a_retiring_member_is_removed_before_others_join(self) -> None:
         grown = (*MEMBERS, SPARE)
         step = next_step(view(grown, retiring="b", joins=(ReplicaId("g~1"),)), NOW)
         self.assertEqual(step, RemoveMember(MEMBERS[1], "retiring"))
 
-    def test_a_new_leader_waits_to_hear_of_nodes_that_stand_by(self) -> None:
+    def test_a_new_leader_waits_for_join_requests_of_standbys(self) -> None:
         self.assertIsNone(next_step(view(retiring="b", leads_for=1.0), NOW))
 
-    def test_without_a_node_that_stands_by_it_goes_at_once(self) -> None:
+    def test_without_a_standby_the_member_is_removed_immediately(self) -> None:
         step = next_step(view(retiring="b"), NOW)
         self.assertEqual(step, RemoveMember(MEMBERS[1], "retiring"))
 
-    def test_a_leader_that_is_to_be_emptied_waits_for_its_successor_and_hands_over(self) -> None:
+    def test_a_retiring_leader_waits_for_its_successor_and_transfers_leadership(self) -> None:
         self.assertEqual(next_step(view(retiring="a", joins=(SPARE,)), NOW), AddMember(SPARE))
         grown = (*MEMBERS, SPARE)
         self.assertEqual(next_step(view(grown, retiring="a"), NOW), HandOver(MEMBERS[1]))
 
-    def test_two_that_are_emptied_together_get_a_successor_each(self) -> None:
+    def test_two_retiring_members_get_a_successor_each(self) -> None:
         grown = (*MEMBERS, SPARE)
         other = ReplicaId("g~1")
         step = next_step(view(grown, retiring="bc", joins=(other,)), NOW)
         self.assertEqual(step, AddMember(other))
 
-    def test_five_that_stay_take_nobody_in(self) -> None:
+    def test_a_full_group_admits_no_candidate(self) -> None:
         self.assertIsNone(next_step(view(joins=(SPARE,)), NOW))
 
 
--- a/tests/unit/ledger/test_message_versions.py
+++ b/tests/unit/ledger/test_message_versions.py
@@ -35,7 +35,7 @@
     slowness_percent: int
 
 
-class Versions(unittest.TestCase):
+class EngineMessageVersions(unittest.TestCase):
     def test_an_earlier_leader_reads_a_report_that_holds_a_pace(self) -> None:
         report = NodeTurns(1, (), (TurnServed("e", False, 1.5, pace=4100),))
         read = msgspec.msgpack.decode(msgspec.msgpack.encode(report), type=EarlierNodeTurns)
@@ -47,12 +47,12 @@
         self.assertEqual(read.served, (TurnServed("e", True, 1.5),))
         self.assertEqual(read.served[0].pace, 0)
 
-    def test_an_earlier_node_reads_a_told_profile(self) -> None:
+    def test_an_earlier_node_reads_engine_data_with_a_profile(self) -> None:
         told = EngineTurns("e", 3, 10, 120, pace=4100, samples=15, spell_percent=250)
         read = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=EarlierEngineTurns)
         self.assertEqual(read, EarlierEngineTurns("e", 3, 10, 120))
 
-    def test_this_node_reads_what_an_earlier_leader_tells(self) -> None:
+    def test_this_node_reads_engine_data_of_an_earlier_leader(self) -> None:
         told = EarlierEngineTurns("e", 3, 10, 120)
         read = msgspec.msgpack.decode(msgspec.msgpack.encode(told), type=EngineTurns)
         self.assertEqual((read.slowness_percent, read.pace, read.spell_percent), (120, 0, 100))
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -128,7 +128,7 @@
         load.arrive(start + 8.0, start + 16.0, PROGRAMS_PER_SECOND)
         return load, start
 
-    def test_the_ledger_answers_as_before_once_a_burst_is_over(self) -> None:
+    def test_response_times_recover_after_a_burst(self) -> None:
         for seed in range(3):
             load, start = self.loaded(seed)
             load.cluster.run(17.0)
@@ -136,7 +136,7 @@
             after = load.median(start + 13.0, start + 16.0)
             self.assertLess(after, 3 * before + 0.05, f"seed {seed}: {before:.3f} before")
 
-    def test_no_engine_looks_busy_once_all_turns_have_ended(self) -> None:
+    def test_no_running_turns_are_reported_once_all_have_ended(self) -> None:
         """Else nodes refuse calls for want of room while the engines are idle."""
         for seed in range(3):
             load, start = self.loaded(seed)
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -44,7 +44,7 @@
         self.leader_time += 1.0
         self.assertEqual(self.drain(), 10)
 
-    def test_a_refusal_says_when_the_next_one_is_let_in(self) -> None:
+    def test_a_refusal_gives_the_time_of_the_next_token(self) -> None:
         self.drain()
         spent = self.draw()
         assert isinstance(spent, QuotaSpent)
@@ -59,7 +59,7 @@
         other = RateLimit("mira", rate=1.0, burst=3.0, version=1)
         self.assertEqual(self.draw(other), Drawn())
 
-    def test_a_lowered_limit_counts_at_once_and_an_older_one_not_any_more(self) -> None:
+    def test_a_lowered_limit_applies_immediately_and_replaces_the_older_one(self) -> None:
         self.draw()
         lowered = RateLimit("hule", rate=1.0, burst=2.0, version=2)
         self.assertEqual(self.draw(lowered), Drawn())
@@ -72,7 +72,7 @@
         self.assertEqual(self.draw(bare), Drawn())
         self.assertIsInstance(self.draw(bare), QuotaSpent)
 
-    def test_an_account_that_was_full_for_long_is_forgotten_and_begins_full(self) -> None:
+    def test_a_bucket_that_was_full_for_long_is_deleted_and_starts_full(self) -> None:
         self.draw()
         self.leader_time += 120.0
         self.state.quotas.transition_advance(self.leader_time)
@@ -84,7 +84,7 @@
 
 
 class OwedDraws(Quotas):
-    def test_a_request_that_runs_again_counts_though_nothing_is_left(self) -> None:
+    def test_an_owed_draw_counts_although_the_bucket_is_empty(self) -> None:
         self.drain()
         for number in range(5):
             owed = Draw(request_id=f"again{number}", limit=LIMIT, is_owed=True)
@@ -95,7 +95,7 @@
 
 
 class Programs(Quotas):
-    def test_at_the_limit_begun_programs_go_on_and_new_ones_are_refused(self) -> None:
+    def test_at_the_limit_begun_programs_continue_and_new_ones_are_refused(self) -> None:
         self.assertIsInstance(self.turn("begun"), Granted)
         for _ in range(int(20 * (1 - RESERVED_SHARE)) - 1):
             self.draw()
@@ -110,14 +110,14 @@
         self.assertIsInstance(self.turn("p", "same"), Granted)
         self.assertEqual(self.state.quotas.accounts["hule"].level, level)
 
-    def test_a_turn_beyond_its_budget_takes_nothing(self) -> None:
+    def test_a_turn_beyond_its_budget_takes_no_token(self) -> None:
         self.turn("p")
         level = self.state.quotas.accounts["hule"].level
         over = Reserve(request_id="x", program="p", budget=1, tokens=9, limit=LIMIT)
         self.apply(over)
         self.assertEqual(self.state.quotas.accounts["hule"].level, level)
 
-    def test_what_is_known_to_be_spent_needs_no_entry_and_changes_nothing(self) -> None:
+    def test_a_known_refusal_changes_nothing(self) -> None:
         self.drain()
         operation = Draw(request_id="x", limit=LIMIT)
         before = self.state.quotas.accounts["hule"].level
@@ -128,7 +128,7 @@
 
 
 class Clocks(unittest.TestCase):
-    def test_leaders_together_add_no_more_than_what_passed(self) -> None:
+    def test_successive_leaders_add_no_more_than_real_time(self) -> None:
         first, second = LeadershipClock(), LeadershipClock()
         first_time = first.time(term=1, applied=0.0, now=1000.0)
         first_time = first.time(term=1, applied=first_time, now=1003.0)
@@ -137,7 +137,7 @@
         self.assertEqual(taken_over, 3.0)
         self.assertEqual(second.time(term=2, applied=taken_over, now=56.5), 4.5)
 
-    def test_a_leader_that_is_asked_before_it_has_applied_its_log_catches_up(self) -> None:
+    def test_a_leader_asked_before_it_has_applied_its_log_catches_up(self) -> None:
         """After all storage nodes had lost power, the next leader was asked before it had applied
         anything. Its time began at 0 where the buckets stood at 45 s, so none of them refilled for
         45 s: refusals for the limit rose from 1 to 500 a second, and stayed there.
@@ -147,7 +147,7 @@
         self.assertEqual(clock.time(term=3, applied=45.0, now=10.1), 45.0)
         self.assertAlmostEqual(clock.time(term=3, applied=45.0, now=11.1), 46.0)
 
-    def test_a_replica_that_leads_again_begins_with_what_the_log_says(self) -> None:
+    def test_a_replica_that_leads_again_starts_from_the_applied_time(self) -> None:
         clock = LeadershipClock()
         clock.time(term=1, applied=0.0, now=10.0)
         self.assertEqual(clock.time(term=3, applied=2.0, now=60.0), 2.0)
--- a/tests/unit/ledger/test_share_messages.py
+++ b/tests/unit/ledger/test_share_messages.py
@@ -52,20 +52,20 @@
 ENGINES = (EngineTurns("e", 2, 0, 100),)
 
 
-class Builds(unittest.TestCase):
-    def test_the_earlier_build_reads_a_request_of_this_one(self) -> None:
+class ReleaseCompatibility(unittest.TestCase):
+    def test_the_earlier_release_reads_our_requests(self) -> None:
         message = LedgerRequest(
             number=1, asker=ASKER, operations=(), turns=TURNS, tenant_loads=LOADS
         )
         read = decode_struct(encode_struct(message), EarlierRequest).unwrap()
         self.assertEqual(read, EarlierRequest(number=1, asker=ASKER, operations=(), turns=TURNS))
 
-    def test_the_earlier_build_reads_an_answer_of_this_one(self) -> None:
+    def test_the_earlier_release_reads_our_replies(self) -> None:
         message = LedgerReply(number=1, engines=ENGINES, shares=SHARES)
         read = decode_struct(encode_struct(message), EarlierReply).unwrap()
         self.assertEqual(read, EarlierReply(number=1, engines=ENGINES))
 
-    def test_this_build_reads_the_earlier_ones(self) -> None:
+    def test_we_read_messages_of_the_earlier_release(self) -> None:
         request = EarlierRequest(number=1, asker=ASKER, operations=(), turns=TURNS)
         reply = EarlierReply(number=1, engines=ENGINES)
         read = decode_struct(encode_struct(request), LedgerRequest).unwrap()
@@ -73,7 +73,7 @@
         self.assertIs(read.tenant_loads, UNSET)
         self.assertIs(decode_struct(encode_struct(reply), LedgerReply).unwrap().shares, UNSET)
 
-    def test_this_build_reads_its_own(self) -> None:
+    def test_we_read_our_own_messages(self) -> None:
         request = LedgerRequest(
             number=1, asker=ASKER, operations=(), turns=TURNS, tenant_loads=LOADS
         )
@@ -81,7 +81,7 @@
         self.assertEqual(decode_struct(encode_struct(request), LedgerRequest).unwrap(), request)
         self.assertEqual(decode_struct(encode_struct(reply), LedgerReply).unwrap(), reply)
 
-    def test_without_tenants_not_a_byte_is_different(self) -> None:
+    def test_without_tenants_the_encoding_is_unchanged(self) -> None:
         request = LedgerRequest(number=1, asker=ASKER, operations=(), turns=TURNS)
         earlier = EarlierRequest(number=1, asker=ASKER, operations=(), turns=TURNS)
         self.assertEqual(encode_struct(request), encode_struct(earlier))
--- a/tests/unit/ledger/test_shares_told.py
+++ b/tests/unit/ledger/test_shares_told.py
@@ -77,11 +77,11 @@
         effects = edge.client.ask(operation, done, now, now + 5.0)
         self.cluster.carry_out_edge(edge.process, effects)
 
-    def test_the_answer_to_a_reservation_tells_of_the_loads_of_all_nodes(self) -> None:
+    def test_the_answer_to_a_reservation_reflects_the_loads_of_all_nodes(self) -> None:
         self.ask()
         self.assertEqual(self.ask(), (PoolShares("models", 9.0, ("hot",)),))
 
-    def test_a_new_leader_knows_as_much_once_each_node_has_reported(self) -> None:
+    def test_a_new_leader_computes_the_same_shares_once_each_node_has_reported(self) -> None:
         self.ask()
         leader = self.cluster.leader()
         assert leader is not None
@@ -92,13 +92,13 @@
         self.assertIsNot(self.cluster.leader(), leader)
         self.assertEqual(self.ask(), (PoolShares("models", 9.0, ("hot",)),))
 
-    def test_a_node_that_dies_lacks_nothing_any_more(self) -> None:
+    def test_the_demand_of_a_failed_node_is_dropped(self) -> None:
         self.ask()
         del self.cluster.edges[self.edges.pop().process]
         self.cluster.run(NODE_SILENCE_SECONDS + REFRESH_SECONDS)
         self.assertEqual(self.ask(), ())
 
-    def test_without_tenants_nothing_is_told(self) -> None:
+    def test_without_tenants_no_shares_are_sent(self) -> None:
         self.hot.is_used = False
         self.calm.is_used = False
         self.ask()
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -61,7 +61,7 @@
     return Reserve(request_id=f"look-{name}", previous=name, missing_from=name)
 
 
-def is_emptied(cluster: Cluster, machine: Machine) -> bool:
+def is_retired(cluster: Cluster, machine: Machine) -> bool:
     """Return whether the operator was told that a machine may be taken away."""
     item = cluster.store.items.get(f"status/retire/{machine.name}")
     return item is not None and b"completed" in (item.value or b"")
@@ -87,12 +87,12 @@
 
 
 class GroupBootstrap(StorageCase):
-    def test_one_founder_is_chosen_and_all_join(self) -> None:
+    def test_a_group_is_bootstrapped_and_all_nodes_join(self) -> None:
         for seed in range(5):
             cluster = self.cluster(4, seed)
             self.assertEqual(len(cluster.members()), 4)
 
-    def test_a_node_that_is_not_of_the_first_start_never_founds(self) -> None:
+    def test_a_node_added_later_never_bootstraps(self) -> None:
         cluster = Cluster(0, 1)
         machine = cluster.add_machine()
         cluster.run(5.0)
@@ -100,7 +100,7 @@
 
 
 class BootstrapFaults(StorageCase):
-    def test_the_founder_loses_its_disk_before_it_has_founded(self) -> None:
+    def test_a_founder_loses_its_disk_before_the_bootstrap(self) -> None:
         """The key in the store names a replica that nobody will ever be again."""
         for number in range(3):
             cluster = Cluster(3, number)
@@ -112,7 +112,7 @@
             cluster.start(founder)
             self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
 
-    def test_the_founders_are_the_same_for_all_and_stand_in_several_zones(self) -> None:
+    def test_founders_are_deterministic_and_spread_over_zones(self) -> None:
         records = [
             NodeRecord(
                 name=NodeName(f"storage-{number:02}"),
@@ -128,7 +128,7 @@
         zones = {record.zone for record in records if record.replica in founders}
         self.assertEqual((len(founders), len(zones)), (5, 5))
 
-    def test_a_vote_that_was_given_before_founding_stays(self) -> None:
+    def test_a_vote_given_before_the_bootstrap_is_kept(self) -> None:
         """Else the replica could vote for two leaders of one term."""
         replica = LedgerReplica(
             replica=ReplicaId("a~1"),
@@ -147,7 +147,7 @@
         replica.bootstrap((replica.replica, candidate), 0.2)
         self.assertEqual(replica.group.hard_state, HardState(4, candidate))
 
-    def test_a_replica_whose_id_is_not_on_its_disk_is_not_registered(self) -> None:
+    def test_a_replica_is_not_registered_before_its_id_is_on_disk(self) -> None:
         """A loss of power would leave a founder that nobody ever is."""
         cluster = Cluster(0, 1)
         machine = cluster.prepare_machine(0)
@@ -159,7 +159,7 @@
         cluster.run(1.0)
         self.assertIn(node_key(machine.name), cluster.store.items)
 
-    def test_a_node_that_ends_before_the_group_has_begun_may_still_begin_it(self) -> None:
+    def test_nodes_that_restart_before_the_bootstrap_still_bootstrap(self) -> None:
         cluster = Cluster(3, 1)
         cluster.run(0.3)
         for machine in cluster.machines:
@@ -169,7 +169,7 @@
             cluster.start(machine)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
 
-    def test_a_late_founder_learns_the_group_from_its_leader_and_keeps_what_it_got(self) -> None:
+    def test_a_late_founder_receives_the_group_from_its_leader_and_keeps_its_entries(self) -> None:
         """It does not found, since it holds entries that may be acknowledged."""
         cluster = Cluster(3, 1)
         late = cluster.machines[2]
@@ -186,7 +186,7 @@
 
 
 class Batches(StorageCase):
-    def test_requests_that_come_while_an_entry_is_under_way_share_the_next_one(self) -> None:
+    def test_requests_that_arrive_during_an_entry_share_the_next_one(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -207,8 +207,8 @@
         self.assertEqual({programs[f"r{number}"].committed_tokens() for number in range(20)}, {100})
 
 
-class TurnsOfCutOffNodes(StorageCase):
-    def test_turns_that_another_node_passes_on_are_counted_as_their_own_nodes(self) -> None:
+class RelayedTurns(StorageCase):
+    def test_relayed_turns_count_for_the_node_that_reported_them(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -241,7 +241,7 @@
         cluster.run(2.0)
         return leader.node.replica.group.last_index - before
 
-    def test_an_entry_is_bounded_by_its_bytes(self) -> None:
+    def test_the_size_of_an_entry_is_bounded(self) -> None:
         """Heartbeats wait behind it: one entry with all that waits costs the leader its term."""
         cluster = self.cluster()
         leader = self.leader(cluster)
@@ -250,13 +250,13 @@
         sizes = [len(item.command) for item in leader.node.replica.group.entries_after(0)]
         self.assertLess(max(sizes), 64 * 1024 + 16_000)
 
-    def test_a_request_that_is_repeated_while_it_waits_is_proposed_once(self) -> None:
+    def test_a_duplicate_of_a_queued_operation_is_not_proposed(self) -> None:
         cluster = self.cluster()
         once = self.flood(cluster, self.leader(cluster), 1)
         other = self.cluster(seed=2)
         self.assertLessEqual(self.flood(other, self.leader(other), 5), once + 3)
 
-    def test_an_operation_that_comes_by_two_ways_is_proposed_once_and_both_are_answered(
+    def test_an_operation_of_two_nodes_is_proposed_once_and_both_are_answered(
         self,
     ) -> None:
         cluster = self.cluster()
@@ -273,7 +273,7 @@
         answered = {to for to, reply in cluster.undelivered if reply.results == (Settled(),)}
         self.assertEqual(answered, {ReplicaId("edge~2"), ReplicaId("edge~3")})
 
-    def test_a_draw_that_is_repeated_after_its_answer_takes_one_token(self) -> None:
+    def test_a_duplicate_of_an_answered_draw_takes_no_token(self) -> None:
         """Nodes repeat what they hear no answer to; on a busy machine a limit of three requests let
         two in, since one of them was drawn twice."""
         cluster = self.cluster()
@@ -287,7 +287,7 @@
             self.assertEqual(cluster.ask(Draw(request_id=name, limit=limit)), Drawn())
         self.assertIsInstance(cluster.ask(Draw(request_id="d", limit=limit)), QuotaSpent)
 
-    def test_a_repetition_of_what_is_done_needs_no_entry(self) -> None:
+    def test_a_duplicate_of_an_applied_operation_needs_no_log_entry(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -305,7 +305,7 @@
             BudgetSpent(spent=40),
         )
 
-    def test_repetitions_come_ever_more_rarely(self) -> None:
+    def test_retries_back_off(self) -> None:
         client = LedgerClient(Address("10.0.9.9", 1))
         leader = LeaderHint(ReplicaId("a~1"), Address("10.0.0.1", 1))
         client.set_storage({leader.replica: leader.address})
@@ -350,7 +350,7 @@
             writes.extend(self.finish(replica, replica.synced(effect.ticket)))
         return writes
 
-    def test_a_state_that_is_larger_than_the_bound_is_not_written_at_every_sync(self) -> None:
+    def test_a_state_above_the_minimum_size_is_not_compacted_at_every_sync(self) -> None:
         """Else the replica does nothing but write its state, and the ledger stands still."""
         replica = self.replica(compact_bytes=20_000)
         replaced = 0
@@ -361,7 +361,7 @@
         self.assertGreaterEqual(replaced, 1)
         self.assertLessEqual(replaced, 4)
 
-    def test_many_committed_entries_are_applied_in_several_turns_of_the_loop(self) -> None:
+    def test_many_committed_entries_are_applied_over_several_ticks(self) -> None:
         """A leader that applied them in one go would send no heartbeat meanwhile."""
         cluster = self.cluster()
         leader = self.leader(cluster)
@@ -394,7 +394,7 @@
         self.assertEqual(cluster.ask(Settle(request_id="a", program="p", tokens=100)), Settled())
         self.assertEqual(reserve("c"), Granted(spent=500))
 
-    def test_a_chain_comes_back_the_oldest_turn_first(self) -> None:
+    def test_a_chain_is_returned_oldest_turn_first(self) -> None:
         cluster = self.cluster()
         for name, previous in (("t1", ""), ("t2", "t1"), ("t3", "t2")):
             cluster.ask(turn(name, previous, name.encode()))
@@ -406,8 +406,8 @@
         )
 
 
-class Losses(StorageCase):
-    def test_the_leader_dies_and_another_answers_within_a_second_and_a_half(self) -> None:
+class Failures(StorageCase):
+    def test_a_new_leader_answers_soon_after_the_old_one_fails(self) -> None:
         cluster = self.cluster()
         cluster.ask(turn("t1"))
         cluster.kill(self.leader(cluster))
@@ -415,7 +415,7 @@
         self.assert_kept(cluster, "t1")
         self.assertLess(cluster.now - before, 1.5)
 
-    def test_all_power_goes_right_after_an_acknowledgement(self) -> None:
+    def test_acknowledged_turns_survive_a_power_loss_of_all_machines(self) -> None:
         for seed in range(8):
             cluster = self.cluster(seed=seed)
             for machine in cluster.machines:
@@ -429,7 +429,7 @@
                 cluster.start(machine)
             self.assert_kept(cluster, *(f"t{number}" for number in range(5)))
 
-    def test_after_all_power_was_lost_a_leader_is_known_within_a_quarter_second(self) -> None:
+    def test_a_leader_is_elected_soon_after_a_power_loss_of_all_machines(self) -> None:
         for seed in range(20):
             cluster = self.cluster(seed=seed)
             cluster.ask(turn("t1"))
@@ -443,7 +443,7 @@
             self.assertTrue(led, f"seed {seed}")
             self.assert_kept(cluster, "t1")
 
-    def test_two_of_three_suffice_for_a_leader_at_once(self) -> None:
+    def test_two_of_three_members_elect_a_leader_immediately(self) -> None:
         for seed in range(20):
             cluster = self.cluster(seed=seed)
             cluster.ask(turn("t1"))
@@ -469,7 +469,7 @@
             self.assertIs(cluster.leader(), leader)
             self.assertEqual(leader.node.replica.group.term, term)
 
-    def test_one_disk_is_lost_while_all_lose_power(self) -> None:
+    def test_one_disk_is_lost_during_a_power_loss_of_all_machines(self) -> None:
         for seed in range(8):
             cluster = self.cluster(seed=seed)
             cluster.ask(turn("t1"))
@@ -483,7 +483,7 @@
             self.assert_kept(cluster, "t1")
             self.assertTrue(cluster.run_until(cluster.all_members, CATCH_UP_SECONDS))
 
-    def test_disk_after_disk_is_lost_the_leaders_too(self) -> None:
+    def test_disks_are_lost_one_after_another(self) -> None:
         cluster = self.cluster()
         names = []
         for number in range(6):
@@ -498,7 +498,7 @@
             )
         self.assert_kept(cluster, *names)
 
-    def test_of_two_members_the_one_that_is_left_goes_on(self) -> None:
+    def test_the_survivor_of_two_members_continues(self) -> None:
         cluster = self.cluster(2)
         cluster.ask(turn("t1"))
         victim = self.leader(cluster)
@@ -508,7 +508,7 @@
         self.assert_kept(cluster, "t1")
         self.assertTrue(cluster.run_until(cluster.all_members, CATCH_UP_SECONDS))
 
-    def test_a_disk_that_hangs_makes_its_replica_silent_not_wrong(self) -> None:
+    def test_a_replica_with_a_hanging_disk_is_silent(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         leader.disk_hangs = True
@@ -517,7 +517,7 @@
         leader.disk_hangs = False
         self.assertTrue(cluster.run_until(cluster.all_members, CATCH_UP_SECONDS))
 
-    def test_a_cut_leader_acknowledges_nothing(self) -> None:
+    def test_an_isolated_leader_acknowledges_nothing(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         leader.is_isolated = True
@@ -527,7 +527,7 @@
         cluster.run(1.0)
         self.assert_kept(cluster, "t1")
 
-    def test_the_store_is_down_while_a_disk_is_lost(self) -> None:
+    def test_a_disk_is_lost_while_the_key_value_service_is_down(self) -> None:
         cluster = self.cluster()
         cluster.ask(turn("t1"))
         cluster.store.down = True
@@ -539,7 +539,7 @@
 
 
 class Membership(StorageCase):
-    def test_a_machine_that_is_gone_is_replaced_by_one_at_another_address(self) -> None:
+    def test_a_lost_machine_is_replaced_by_one_at_another_address(self) -> None:
         cluster = self.cluster()
         cluster.ask(turn("t1"))
         gone = self.leader(cluster)
@@ -551,7 +551,7 @@
         self.assertTrue(cluster.run_until(cluster.all_members, 6.0))
         self.assert_kept(cluster, "t1")
 
-    def test_a_frozen_machine_of_four_is_replaced_and_comes_back(self) -> None:
+    def test_a_frozen_member_of_four_is_removed_and_rejoins(self) -> None:
         cluster = self.cluster(4)
         frozen = cluster.machines[2]
         frozen.frozen = True
@@ -572,7 +572,7 @@
         self.assertTrue(cluster.run_until(completed, 6.0))
         cluster.wipe(machine)
 
-    def test_of_two_members_one_is_gone_for_good_and_an_empty_one_comes(self) -> None:
+    def test_one_of_two_members_is_lost_and_replaced_by_an_empty_machine(self) -> None:
         for seed in range(6):
             cluster = self.cluster(seed=seed)
             self.retire(cluster, cluster.machines[seed % 3])
@@ -587,7 +587,7 @@
             self.assert_kept(cluster, "t1")
             self.assertEqual(cluster.ask(turn("t2")), Settled())
 
-    def test_of_two_members_one_sleeps_and_comes_back(self) -> None:
+    def test_one_of_two_members_is_frozen_and_rejoins(self) -> None:
         for seed in range(6):
             cluster = self.cluster(2, seed=seed)
             cluster.ask(turn("t1"))
@@ -599,7 +599,7 @@
             self.assertTrue(cluster.run_until(cluster.all_members, 6.0), f"seed {seed}")
             self.assert_kept(cluster, "t1", "t2")
 
-    def test_two_members_that_do_not_hear_each_other_never_both_go_on(self) -> None:
+    def test_of_two_partitioned_members_only_one_continues(self) -> None:
         for seed in range(10):
             cluster = self.cluster(2, seed=seed)
             cluster.ask(turn("t1"))
@@ -619,21 +619,23 @@
             self.assertTrue(cluster.run_until(cluster.all_members, 6.0), f"seed {seed}")
             self.assert_kept(cluster, "t1", *names)
 
-    def test_while_the_store_is_down_neither_of_two_goes_on_alone(self) -> None:
+    def test_neither_of_two_members_continues_alone_while_the_key_value_service_is_down(
+        self,
+    ) -> None:
         cluster = self.cluster(2)
         cluster.ask(turn("t1"))
         cluster.store.down = True
         cluster.machines[0].frozen = True
         self.assertIsNone(cluster.ask(turn("t2"), 4.0))
 
-    def test_a_retired_machine_is_emptied_before_that_is_reported(self) -> None:
+    def test_a_retired_member_is_removed_before_completion_is_reported(self) -> None:
         for seed in range(4):
             cluster = self.cluster(seed=seed)
             cluster.ask(turn("t1"))
             retired = cluster.machines[seed % 3]
             key = f"op/retire/{retired.name}"
             cluster.store.put(key, json.dumps({"duration-s": 8}).encode())
-            is_done = cluster.run_until(partial(is_emptied, cluster, retired), 6.0)
+            is_done = cluster.run_until(partial(is_retired, cluster, retired), 6.0)
             self.assertTrue(is_done, f"seed {seed}")
             self.assertNotIn(retired.replica, cluster.members())
             cluster.wipe(retired)
@@ -648,7 +650,7 @@
 """Until only the leader watches the key-value service."""
 
 
-class RetiredThenNewLeader(StorageCase):
+class RetirementAndNewLeader(StorageCase):
     """A leader that did not read the operator's orders took an emptied machine in again.
 
     The order to empty it had gone to the leader before, whose disk was lost; the service that keeps
@@ -660,19 +662,19 @@
         membership_step step=AddMember replica=storage-hall-b-1~1261b57551b638ba
     """
 
-    def emptied(self, cluster: Cluster) -> Machine:
+    def retired_machine(self, cluster: Cluster) -> Machine:
         """Empty a machine that does not lead, at the operator's order, and return it."""
         cluster.run(SETTLING_SECONDS)
         leader = self.leader(cluster)
         retired = next(machine for machine in cluster.machines if machine is not leader)
         cluster.store.put(f"op/retire/{retired.name}", json.dumps({"duration-s": 8}).encode())
-        self.assertTrue(cluster.run_until(partial(is_emptied, cluster, retired), 6.0))
+        self.assertTrue(cluster.run_until(partial(is_retired, cluster, retired), 6.0))
         return retired
 
-    def test_a_machine_taken_away_for_good_is_not_taken_in_again(self) -> None:
+    def test_a_retired_machine_is_not_added_again(self) -> None:
         for seed in range(12):
             cluster = self.cluster(count=4, seed=seed)
-            retired = self.emptied(cluster)
+            retired = self.retired_machine(cluster)
             replica = retired.replica
             cluster.run(0.1)
             cluster.store.down = True
@@ -682,10 +684,10 @@
             self.assertIsNotNone(cluster.ask(turn("t1"), 1.0), f"seed {seed}")
             self.assertNotIn(replica, cluster.members())
 
-    def test_one_that_runs_on_and_asks_is_not_taken_in_while_the_orders_are_unread(self) -> None:
+    def test_a_retired_machine_that_asks_to_join_is_not_added_while_orders_are_unread(self) -> None:
         for seed in range(6):
             cluster = self.cluster(count=4, seed=seed)
-            retired = self.emptied(cluster)
+            retired = self.retired_machine(cluster)
             cluster.store.down = True
             cluster.wipe(self.leader(cluster))
             cluster.run(4.0)
@@ -694,7 +696,7 @@
             cluster.run(4.0)
             self.assertNotIn(retired.replica, cluster.members(), f"seed {seed}")
 
-    def test_a_member_removed_for_its_silence_comes_back_once_the_orders_are_read(self) -> None:
+    def test_a_member_removed_for_silence_rejoins_once_orders_are_read(self) -> None:
         cluster = self.cluster(count=4, seed=1)
         silent = next(
             machine for machine in cluster.machines if machine is not self.leader(cluster)
@@ -707,7 +709,7 @@
         self.assertTrue(cluster.run_until(lambda: replica in cluster.members(), 8.0))
 
 
-class StandingBy(StorageCase):
+class Standbys(StorageCase):
     def settled(self, count: int, seed: int) -> Cluster:
         """Return a cluster whose members are chosen, and whose other nodes stand by."""
         cluster = Cluster(count, seed)
@@ -730,13 +732,13 @@
         }
         self.assertEqual(asked, {leader.name})
 
-    def test_a_node_that_stands_by_asks_the_leader_alone(self) -> None:
+    def test_a_standby_sends_join_requests_to_the_leader_only(self) -> None:
         cluster = self.settled(8, 1)
         cluster.joins.clear()
         cluster.run(5.0)
         self.assertEqual(set(cluster.joins), {self.leader(cluster).replica})
 
-    def test_the_next_leader_takes_the_operators_orders(self) -> None:
+    def test_the_next_leader_carries_out_the_operators_orders(self) -> None:
         for seed in range(4):
             cluster = self.settled(7, seed)
             cluster.ask(turn("t1"))
@@ -749,14 +751,14 @@
             order = json.dumps({"duration-s": 8}).encode()
             cluster.store.put(f"op/retire/{retired.name}", order)
 
-            def is_emptied(cluster: Cluster = cluster, name: str = retired.name) -> bool:
+            def is_retired(cluster: Cluster = cluster, name: str = retired.name) -> bool:
                 item = cluster.store.items.get(f"status/retire/{name}")
                 return item is not None and b"completed" in (item.value or b"")
 
-            self.assertTrue(cluster.run_until(is_emptied, 6.0), f"seed {seed}")
+            self.assertTrue(cluster.run_until(is_retired, 6.0), f"seed {seed}")
             self.assert_kept(cluster, "t1")
 
-    def test_two_disks_are_lost_right_after_a_machine_was_emptied(self) -> None:
+    def test_two_disks_are_lost_right_after_a_retirement(self) -> None:
         """The group must bear two losses at each moment of an emptying.
 
         The leader was emptied by taking its replica out first, and its successor knew of no node
@@ -773,7 +775,7 @@
             retired = self.leader(cluster)
             order = json.dumps({"duration-s": 8}).encode()
             cluster.store.put(f"op/retire/{retired.name}", order)
-            is_done = cluster.run_until(partial(is_emptied, cluster, retired), 6.0)
+            is_done = cluster.run_until(partial(is_retired, cluster, retired), 6.0)
             self.assertTrue(is_done, f"seed {seed}")
             members = cluster.members()
             victims = [item for item in cluster.machines if item.replica in members][:2]
@@ -784,7 +786,7 @@
             self.assertIsInstance(answer, Settled, f"seed {seed}")
             self.assert_kept(cluster, "t1")
 
-    def test_members_that_are_gone_for_good_are_replaced_by_nodes_that_stand_by(self) -> None:
+    def test_lost_members_are_replaced_by_standbys(self) -> None:
         for seed in range(4):
             cluster = self.settled(8, seed)
             cluster.ask(turn("t1"))
--- a/tests/unit/ledger/test_tenant_places.py
+++ b/tests/unit/ledger/test_tenant_places.py
@@ -17,7 +17,7 @@
 PLACES = 12
 
 
-class Reported(unittest.TestCase):
+class ReportedLoads(unittest.TestCase):
     def setUp(self) -> None:
         self.places = TenantPlaces()
         self.now = 100.0
@@ -37,14 +37,14 @@
         return told[0].beyond if told else ()
 
 
-class Sums(Reported):
-    def test_rows_of_all_nodes_add_up(self) -> None:
+class Shares(ReportedLoads):
+    def test_loads_of_all_nodes_add_up(self) -> None:
         """No node alone holds more of the hot tenant than of the other one."""
         self.report("n", TenantLoad("hot", 1.0, 5, 0), TenantLoad("calm", 1.0, 1, 3))
         self.report("m", TenantLoad("hot", 1.0, 6, 2))
         self.assertEqual(self.shares(), (PoolShares("models", 8.0, ("hot",)),))
 
-    def test_who_is_alone_gets_everything(self) -> None:
+    def test_a_single_tenant_gets_all_places(self) -> None:
         self.report("n", TenantLoad("hot", 1.0, 12, 30))
         self.assertEqual(self.beyond(), ())
 
@@ -57,14 +57,14 @@
         self.report("n", TenantLoad("hot", 1.0, 2, 0))
         self.assertEqual(self.shares(), ())
 
-    def test_a_report_that_comes_after_a_later_one_changes_nothing(self) -> None:
+    def test_an_outdated_report_is_ignored(self) -> None:
         self.report("n", TenantLoad("hot", 1.0, 2, 0))
         old = (PoolLoad("models", PLACES, (TenantLoad("hot", 1.0, 12, 30),)),)
         self.places.take(ReplicaId("n"), 0, old, self.now)
         self.report("m", TenantLoad("calm", 1.0, 0, 1))
         self.assertEqual(self.beyond(), ())
 
-    def test_a_node_that_dies_counts_no_more(self) -> None:
+    def test_the_load_of_a_silent_node_is_dropped(self) -> None:
         self.report("n", TenantLoad("hot", 1.0, 12, 0))
         self.report("m", TenantLoad("calm", 1.0, 0, 1))
         self.assertEqual(self.beyond(), ("hot",))
@@ -72,13 +72,13 @@
         self.report("m", TenantLoad("calm", 1.0, 0, 1))
         self.assertEqual(self.beyond(), ())
 
-    def test_a_new_leader_begins_with_nothing(self) -> None:
+    def test_a_new_leader_starts_without_loads(self) -> None:
         self.report("n", TenantLoad("hot", 1.0, 12, 0), TenantLoad("calm", 1.0, 0, 1))
         self.places.clear()
         self.assertFalse(self.places.is_used)
         self.assertEqual(self.beyond(), ())
 
-    def test_rows_that_count_nothing_and_nodes_without_any_do_no_harm(self) -> None:
+    def test_empty_loads_and_nodes_without_loads_are_accepted(self) -> None:
         self.report("n", TenantLoad("a", 0.0, 0, 0))
         self.report("m", TenantLoad("a", 1.0, 0, 0), TenantLoad("b", 1.0, 3, 0))
         self.report("m")
@@ -88,18 +88,18 @@
         self.report("m", TenantLoad("b", 0.0, 30, 1))
         self.assertEqual(self.beyond(), ())
 
-    def test_the_tenants_counted_are_bounded(self) -> None:
+    def test_counted_tenants_are_bounded(self) -> None:
         for number in range(MAX_TENANTS + 10):
             self.report(f"n{number}", TenantLoad(f"t{number}", 1.0, 1, 1))
         self.report("n0", TenantLoad("t0", 1.0, 2, 1), places=3 * MAX_TENANTS)
         self.assertEqual(self.shares(), ())
 
 
-class Lines(Reported):
+class LogLines(ReportedLoads):
     def events(self) -> list[str]:
         return [line.event for line in self.places.report(self.now)]
 
-    def test_coming_beyond_the_share_and_back_gives_one_line_each(self) -> None:
+    def test_exceeding_the_share_and_returning_within_it_is_logged_once_each(self) -> None:
         hot = TenantLoad("hot", 1.0, 11, 4)
         for _ in range(5):
             self.report("n", hot, TenantLoad("calm", 1.0, 1, 2))
@@ -115,7 +115,7 @@
         self.now += WITHIN_SHARE_LOG_SECONDS
         self.assertEqual(self.events(), [])
 
-    def test_the_first_line_says_what_decided(self) -> None:
+    def test_the_log_line_contains_the_inputs(self) -> None:
         self.report("n", TenantLoad("hot", 1.0, 11, 4), TenantLoad("calm", 1.0, 1, 2))
         self.shares()
         (line,) = self.places.report(self.now)
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -48,7 +48,7 @@
         return LogEntry(1, 1, EntryKind.COMMAND, command)
 
     @given(st.lists(st.tuples(st.binary(max_size=40), st.booleans()), min_size=1, max_size=6))
-    def test_what_is_put_together_again_is_the_same(self, texts: list[tuple[bytes, bool]]) -> None:
+    def test_a_restored_message_equals_the_original(self, texts: list[tuple[bytes, bool]]) -> None:
         """Also with texts that are empty, equal, or parts of each other."""
         settlements = [turn(f"t{n}", text=text) for n, (text, _) in enumerate(texts)]
         entry = self.entry(*settlements)
@@ -73,11 +73,11 @@
         stripper.note(1, 1, entry.command, [settlement.turn])
         return stripper.strip(FOLLOWER, message((entry,)), 0.0)
 
-    def test_the_text_is_not_in_the_message(self) -> None:
+    def test_a_stripped_message_does_not_contain_the_text(self) -> None:
         sent = LedgerCodec().encode_peer(LEADER, FOLLOWER, self.stripped_message(TextStripper()))
         self.assertNotIn(b"x" * 20, sent)
 
-    def test_a_text_that_comes_late_is_waited_for_and_the_order_holds(self) -> None:
+    def test_a_late_text_is_awaited_and_the_order_is_kept(self) -> None:
         follower = TextRestorer()
         follower.take(LEADER, self.stripped_message(TextStripper()), 0.0)
         follower.take(LEADER, message(()), 0.0)
@@ -87,14 +87,14 @@
         self.assertEqual(len(whole), 2)
         self.assertEqual(whole[1], (LEADER, message(())))
 
-    def test_a_text_that_does_not_come_or_is_another_one_is_told(self) -> None:
+    def test_a_missing_or_different_text_is_reported(self) -> None:
         for text in (b"", b"y" * 1000, b"x" * 999):
             follower = TextRestorer()
             follower.texts.put("t1", text)
             follower.take(LEADER, self.stripped_message(TextStripper()), 0.0)
             self.assertEqual(follower.ready(MISSING_TEXT_WAIT_SECONDS), ([], [LEADER]))
 
-    def test_a_follower_that_lacked_a_text_gets_whole_entries_for_a_while(self) -> None:
+    def test_a_follower_that_lacked_a_text_gets_complete_entries_for_a_while(self) -> None:
         stripper = TextStripper()
         self.stripped_message(stripper)
         entry = self.entry(turn("t1", text=b"x" * 1000))
@@ -105,7 +105,7 @@
             stripper.strip(FOLLOWER, message((entry,)), FULL_ENTRIES_SECONDS).cuts, ()
         )
 
-    def test_an_entry_of_another_term_at_the_same_place_is_sent_whole(self) -> None:
+    def test_an_entry_of_another_term_at_the_same_index_is_sent_complete(self) -> None:
         stripper = TextStripper()
         self.stripped_message(stripper)
         other = LogEntry(1, 2, EntryKind.COMMAND, b"other")
@@ -113,7 +113,7 @@
 
 
 class Utilization(unittest.TestCase):
-    def test_it_follows_the_bytes_with_a_gap_between_on_and_off(self) -> None:
+    def test_utilization_follows_the_bytes_with_hysteresis(self) -> None:
         link = LinkUtilization(8.0)  # a million bytes a second
         now = 0.0
         states = []
@@ -124,7 +124,7 @@
             states.append(link.is_high(now))
         self.assertEqual(states, [False, True, True, False])
 
-    def test_a_link_that_is_not_known_is_never_pressed(self) -> None:
+    def test_the_utilization_of_a_link_of_unknown_rate_is_never_high(self) -> None:
         link = LinkUtilization(0.0)
         link.note(10**9, 1.0)
         self.assertFalse(link.is_high(1.0))
@@ -155,7 +155,7 @@
         leader = self.leader(cluster)
         return [item for item in cluster.machines if item is not leader]
 
-    def test_the_leader_sends_a_small_part_and_all_replicas_hold_all(self) -> None:
+    def test_the_leader_sends_few_bytes_and_all_replicas_hold_all_turns(self) -> None:
         cluster, load = self.with_high_utilization(1)
         leader = self.leader(cluster)
         for machine in cluster.machines:
@@ -167,13 +167,13 @@
         self.assertTrue(all(is_answered for _, _, is_answered in load.answers))
         self.assert_same_everywhere(cluster)
 
-    def test_a_follower_that_gets_no_copies_holds_all_too(self) -> None:
+    def test_a_follower_without_copies_holds_all_turns(self) -> None:
         cluster, _ = self.with_high_utilization(2)
         self.followers(cluster)[0].receives_copies = False
         cluster.run(7.0)
         self.assert_same_everywhere(cluster)
 
-    def test_the_leader_dies_and_what_was_acknowledged_is_kept(self) -> None:
+    def test_acknowledged_turns_survive_the_failure_of_the_leader(self) -> None:
         for seed in range(4):
             cluster, load = self.with_high_utilization(seed)
             cluster.kill(self.leader(cluster))
@@ -181,7 +181,7 @@
             for name in load.kept:
                 self.assert_kept(cluster, name)
 
-    def test_all_power_goes_after_acknowledgements_and_nothing_is_lost(self) -> None:
+    def test_acknowledged_turns_survive_a_power_loss(self) -> None:
         for seed in range(4):
             cluster, load = self.with_high_utilization(seed)
             for machine in cluster.machines:
@@ -196,7 +196,7 @@
             missing = set(load.kept) - set(leader.node.replica.state().turns)
             self.assertEqual(missing, set())
 
-    def test_a_short_text_goes_with_its_entry(self) -> None:
+    def test_a_short_text_is_sent_with_its_entry(self) -> None:
         cluster, _ = self.with_high_utilization(3)
         self.assertGreater(len(cluster.text_copies_sent), 0)
         kept = KeptTurn(turn_id="short", previous="", text=b"short", retention=60.0)
--- a/tests/unit/ledger/test_turns_under_way.py
+++ b/tests/unit/ledger/test_turns_under_way.py
@@ -54,19 +54,19 @@
         self.end("a", "e")
         self.assertEqual(self.engine("e").running, 2)
 
-    def test_a_turn_that_is_sent_again_counts_where_it_is_now(self) -> None:
+    def test_a_resent_turn_counts_at_its_latest_engine(self) -> None:
         self.begin("a", "e")
         self.begin("a", "f")
         self.assertEqual((self.engine("e").running, self.engine("f").running), (0, 1))
 
-    def test_an_end_that_is_told_twice_or_of_an_unknown_turn_changes_nothing(self) -> None:
+    def test_duplicate_and_unknown_ends_are_ignored(self) -> None:
         self.begin("a", "e")
         for _ in range(2):
             self.end("a", "e")
         self.end("never", "e")
         self.assertEqual(self.engine("e").running, 0)
 
-    def test_a_report_that_is_lost_is_made_good_by_the_next_one(self) -> None:
+    def test_the_next_report_makes_up_for_a_lost_one(self) -> None:
         for request_id in ("a", "b", "c"):
             self.begin(request_id, "e")
         self.nodes["n"].end("a", TurnServed("e", False, 0.0))
@@ -74,7 +74,7 @@
         self.end("b", "e")
         self.assertEqual(self.engine("e").running, 1)
 
-    def test_a_report_that_comes_after_a_later_one_changes_nothing(self) -> None:
+    def test_an_outdated_report_is_ignored(self) -> None:
         self.nodes["n"].begin("a", "e")
         earlier = self.nodes["n"].take_report(self.now)
         assert earlier is not None
@@ -82,7 +82,7 @@
         self.turns.take(ReplicaId("n"), earlier, self.now)
         self.assertEqual(self.engine("e").running, 0)
 
-    def test_a_node_that_falls_silent_is_forgotten(self) -> None:
+    def test_turns_of_a_silent_node_are_dropped(self) -> None:
         self.begin("a", "e")
         self.begin("b", "e", "m")
         self.now += NODE_SILENCE_SECONDS - 0.1
@@ -92,14 +92,14 @@
         self.assertEqual(self.engine("e").running, 2)
         self.assertEqual(len(self.turns), 2)
 
-    def test_turns_that_go_on_are_reported_again(self) -> None:
+    def test_running_turns_are_reported_again(self) -> None:
         node = self.nodes["n"]
         self.begin("a", "e")
         self.assertIsNone(node.take_report(self.now + 0.1))
         self.now += REFRESH_SECONDS
         self.assertEqual(self.report().loads, (EngineLoad("e", 1),))
 
-    def test_a_new_leader_is_told_at_once(self) -> None:
+    def test_turns_are_reported_to_a_new_leader_immediately(self) -> None:
         node = self.nodes["n"]
         self.begin("a", "e")
         node.leader_changed()
@@ -107,14 +107,14 @@
         assert report is not None
         self.assertEqual(report.loads, (EngineLoad("e", 1),))
 
-    def test_ends_that_cannot_be_told_are_bounded_and_counted(self) -> None:
+    def test_unreported_outcomes_are_bounded_and_dropped_ones_counted(self) -> None:
         node = self.nodes["n"]
         for number in range(MAX_UNREPORTED_OUTCOMES + 3):
             node.end(str(number), TurnServed("e", False, 0.0))
         self.assertEqual(len(self.report().served), MAX_UNREPORTED_OUTCOMES)
         self.assertEqual(node.dropped, 3)
 
-    def test_failures_of_all_nodes_count_and_fade(self) -> None:
+    def test_failures_of_all_nodes_count_and_decay(self) -> None:
         for number in range(10):
             self.begin(str(number), "grey")
             self.end(str(number), "grey", failed=number % 2 == 0)
@@ -122,7 +122,7 @@
         self.now += 4 * SLOWNESS_DECAY_SECONDS
         self.assertLess(self.engine("grey").failed_percent, 2)
 
-    def test_a_slow_engine_is_told_and_forgiven(self) -> None:
+    def test_slowness_is_reported_and_recovers(self) -> None:
         for number in range(20):
             self.end(str(number), "slow", slowness=3.0)
         self.assertGreater(self.engine("slow").slowness_percent, 250)
@@ -138,34 +138,34 @@
             self.nodes["n"].end(str(number), TurnServed(engine_id, False, 1.0, pace=pace))
             self.report()
 
-    def test_a_lasting_pace_is_told_with_how_much_was_seen_and_is_no_spell(self) -> None:
+    def test_a_long_term_pace_is_reported_with_its_samples(self) -> None:
         self.serve("slow", 0.07, 10)
         told = self.engine("slow")
         self.assertEqual((told.pace, told.samples, told.spell_percent), (7000, 10, 100))
 
-    def test_a_spell_is_told_apart_from_the_lasting_pace(self) -> None:
+    def test_a_temporary_slowdown_does_not_change_the_long_term_pace(self) -> None:
         self.serve("e", 0.04, 12)
         self.serve("e", 0.10, 4)
         told = self.engine("e")
         self.assertEqual((told.pace, told.spell_percent), (4000, 250))
 
-    def test_turns_of_nodes_that_tell_no_pace_leave_the_profile_alone(self) -> None:
+    def test_outcomes_without_a_pace_leave_the_profile_unchanged(self) -> None:
         self.end("a", "e", slowness=2.0)
         told = self.engine("e")
         self.assertEqual((told.pace, told.samples, told.spell_percent), (0, 0, 100))
 
-    def test_a_start_that_ended_is_forgotten_with_its_profile(self) -> None:
+    def test_the_profile_of_a_gone_engine_is_dropped(self) -> None:
         self.serve("gone", 0.04, 5)
         self.now += PROFILE_RETENTION_SECONDS
         self.serve("e", 0.04, 1)
         self.assertEqual([item.engine_id for item in self.turns.engines(self.now)], ["e"])
 
-    def test_a_new_leader_begins_without_profiles(self) -> None:
+    def test_a_new_leader_starts_without_profiles(self) -> None:
         self.serve("e", 0.04, 5)
         self.turns.clear()
         self.assertEqual(self.turns.engines(self.now), ())
 
-    def test_too_many_engines_are_not_told(self) -> None:
+    def test_too_many_engines_are_not_reported(self) -> None:
         for number in range(MAX_ENGINES_REPORTED + 1):
             self.begin(str(number), f"e{number}")
         self.assertEqual(self.turns.engines(self.now), ())
