--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -31,6 +31,7 @@
 from yokeline.forwarding.limits import LONGEST_WAIT_SECONDS, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger import claims, quotas
+from yokeline.ledger.admission_controller import AdmissionController
 from yokeline.ledger.operations import (
     Draw,
     Operation,
@@ -40,7 +41,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import ProgramGate
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
 from yokeline.scheduling.program_admission import Admission, Claims, Supply, decide
 from yokeline.scheduling.program_sizes import ProgramSize
@@ -148,7 +148,7 @@
         """Begin empty."""
         self.now = 0.0
         self._state = LedgerState()
-        self._gate = ProgramGate()
+        self._gate = AdmissionController()
         self._has_gate = has_gate
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
@@ -169,7 +169,7 @@
         if self._has_gate:
             spent, _lines = self._gate.refusal(operation, self._state, TERM, self.now)
         else:
-            spent = self._state.known_spent(operation, self.now)
+            spent = self._state.known_refusal(operation, self.now)
         if spent is not None:
             return spent
         result = self.apply(operation)
@@ -323,7 +323,7 @@
     """Play a load with one of the ways."""
     with ExitStack() as stack:
         if way == "first come":
-            stack.enter_context(patch.object(quotas, "NEW_PROGRAM_SHARE", 0.0))
+            stack.enter_context(patch.object(quotas, "RESERVED_SHARE", 0.0))
         if way == "in full":
             stack.enter_context(patch.object(claims, "decide", decide_in_full))
         ledger = Ledger(has_gate=way in ("in full", "by time"))
@@ -375,9 +375,9 @@
         f"{len(ormsgpack.packb({'program': call.program})) - 1} B a draw"
     )
     tracemalloc.start()
-    book = claims.ClaimBook()
+    book = claims.ClaimTracker()
     for number in range(MEASURED_CLAIMS):
-        book.follow(f"4:hule:{number}", account, is_complete=False)
+        book.update(f"4:hule:{number}", account, is_complete=False)
     size, _peak = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"{size / MEASURED_CLAIMS:.0f} B of memory a claim at the leader")
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -1,8 +1,8 @@
-"""The book of the programs that were let in, and of how large programs of each kind are.
+"""Claims of admitted programs on their tenants' limits, and typical program sizes by kind.
 
-Only the ledger's leader keeps it. It is derived from the accounts of programs in the ledger's state
-and no part of that: a leader that takes over makes it anew. Times are passed time of the leaders
-(:class:`yokeline.ledger.quotas.QuotaClock`), in seconds.
+A claim is the number of requests that a program is expected to send until it ends. Only the
+ledger's leader keeps claims; a new leader rebuilds them from the program accounts in the state.
+Times are leader time (:class:`yokeline.ledger.quotas.LeadershipClock`), in seconds.
 """
 
 from __future__ import annotations
@@ -18,100 +18,98 @@
 from yokeline.scheduling.program_lateness import MeanTimeShare
 from yokeline.scheduling.program_sizes import ProgramSize, SizeEstimate
 
-REST_SECONDS = 2.0
-"""Longest rest without a turn under way before a program gives its claim back; so long it is while
-the size of its kind is not known. One that goes on after all claims again."""
-LONGEST_TURN_SECONDS = 10.0
-"""Longest time with a turn under way before a program gives its claim back: a node that is gone
-ends none of its turns."""
-LEAST_REST_SECONDS = 0.5
-"""Least rest before a program gives its claim back."""
-REST_PAUSES = 6.0
-"""The rest as a multiple of the mean pause between two requests of its kind: a program that has
-ended is not to keep others out for longer than it takes to be sure."""
+MAX_IDLE_SECONDS = 2.0
+"""Maximum idle time after which a program without an open turn releases its claim; used while the
+size of its kind is unknown. A program that continues later claims again."""
+MAX_TURN_SECONDS = 10.0
+"""Maximum duration of an open turn before its program releases the claim; a failed node ends none
+of its turns."""
+MIN_IDLE_SECONDS = 0.5
+"""Minimum idle time before a program releases its claim."""
+IDLE_REQUEST_INTERVALS = 6.0
+"""Idle time before a program releases its claim, in mean request intervals of its kind."""
 SWEEP_SECONDS = 0.05
-"""Pause between two looks for programs that rest."""
-SWEPT_AT_ONCE = 500
-"""Claims looked at in one turn of the loop, those that rest longest first: a bound on how long
-requests wait for it."""
-PASSED_OVER_SECONDS = 2.0
-"""Time after which a kind of which none was let in is next: large programs need more room at once
-than small ones, which would take each bit of it before."""
-RETURN_SECONDS = 1.0
-"""Time after the moment that a refused program was told, for which its kind's place is kept."""
-RECHECK_SECONDS = 0.05
-"""Time for which a refusal holds for all programs of its kind: it bounds what a tenant far beyond
-its limit costs the leader."""
-LATE_YIELDS_SECONDS = 1.0
-"""Time after the refusal of a program that could end in time, in which those that cannot are not
-let in: a caller that is told to return does so within about that time."""
-LATE_RETURN_SECONDS = 0.5
-"""Least time after which a program that cannot end in time is to come back."""
-MAX_GIVEN = 65_536
-"""Refused programs of which it is remembered how much time they were given; the oldest gives
-way."""
+"""Time between two sweeps for idle programs."""
+MAX_SWEPT_PER_TICK = 500
+"""Claims checked in one event-loop iteration, the longest idle first."""
+KIND_PRIORITY_SECONDS = 2.0
+"""Time after which a kind whose programs are only refused gets priority; kinds of small programs
+would otherwise take all tokens as they accrue."""
+RETRY_GRACE_SECONDS = 1.0
+"""Time beyond its retry time for which a refused program keeps its kind's priority."""
+REFUSAL_CACHE_SECONDS = 0.05
+"""Time for which a refusal applies to all programs of its kind; bounds the cost of a tenant far
+above its limit."""
+LATE_YIELD_SECONDS = 1.0
+"""Time after the refusal of a program that can meet its deadline, during which late programs are
+refused; callers retry within about that time."""
+MIN_LATE_RETRY_SECONDS = 0.5
+"""Minimum retry time for programs that cannot meet their deadline."""
+MAX_TIME_LIMITS = 65_536
+"""Refused programs whose time limits are remembered; the oldest is evicted."""
 MAX_CLAIMS = 65_536
-"""Claims that are held; the one that rested longest gives way."""
+"""Claims; the longest idle is evicted."""
 MAX_TENANTS = 4096
-"""Tenants whose sizes are remembered beyond those that hold claims; the oldest gives way."""
-MAX_KINDS = 64
-"""Kinds of programs of a tenant; the oldest gives way."""
-MAX_KINDS_OF_ALL = 1024
-"""The same of all tenants together."""
+"""Tenants whose sizes are remembered, besides those with claims; the oldest is evicted."""
+MAX_KINDS_PER_TENANT = 64
+"""Kinds of programs of one tenant; the oldest is evicted."""
+MAX_SHARED_KINDS = 1024
+"""Kinds of programs over all tenants; the oldest is evicted."""
 
 
 class _Claim(msgspec.Struct):
     """The claim of one program.
 
     Attributes:
-        used: Requests that it has sent.
-        is_cut_short: A request of it was refused since, so its size says nothing of its kind.
-        is_learned: It has rested once, and its size was learned then.
-        given: Seconds that its caller gave it when it first asked; 0 if not known.
+        requests: Requests that the program has sent.
+        has_open_turn: One of its turns is at an engine.
+        was_refused: One of its requests was refused, so its size is not typical of its kind.
+        is_size_observed: Its size was observed when it was idle earlier.
+        time_limit: Seconds until its deadline at its first request; 0 if unknown.
     """
 
     tenant: str
     kind: str
-    used: int
+    requests: int
     began_at: float
     active_at: float
-    is_under_way: bool
-    is_cut_short: bool = False
-    is_learned: bool = False
-    given: float = 0.0
+    has_open_turn: bool
+    was_refused: bool = False
+    is_size_observed: bool = False
+    time_limit: float = 0.0
 
 
-class AskingProgram(msgspec.Struct, frozen=True, kw_only=True):
+class CandidateProgram(msgspec.Struct, frozen=True, kw_only=True):
     """A program that asks to begin.
 
     Attributes:
-        left: Seconds that it has left until it should be over; None if that is not said.
+        time_left: Seconds until its deadline; None if it has none.
     """
 
     name: str
     tenant: str
     kind: str
-    left: float | None = None
+    time_left: float | None = None
 
 
-class _PassedOver(msgspec.Struct):
-    """A kind of which none was let in since it was refused.
+class _RefusedKind(msgspec.Struct):
+    """A kind whose programs have only been refused since a certain time.
 
     Attributes:
-        since: When it was refused first.
-        decided_at: When it was decided on last.
-        decided: What was decided then.
-        until: When its latest refused program should have come back.
+        refused_since: Time of the first refusal.
+        decided_at: Time of the latest decision.
+        decision: The latest decision.
+        expires_at: When the latest refused program should have retried.
     """
 
-    since: float
+    refused_since: float
     decided_at: float
-    decided: Admission
-    until: float
+    decision: Admission
+    expires_at: float
 
 
 class _KindSizes:
-    """Sizes by kind of program, bounded."""
+    """A bounded number of program sizes by kind."""
 
     def __init__(self, bound: int) -> None:
         self._bound = bound
@@ -124,299 +122,313 @@
     def __len__(self) -> int:
         return len(self._sizes)
 
-    def learn(self, claim: _Claim) -> None:
+    def observe_size(self, claim: _Claim) -> None:
         estimate = self._sizes.setdefault(claim.kind, SizeEstimate())
         self._sizes.move_to_end(claim.kind)
-        estimate.observe(claim.used, claim.active_at - claim.began_at)
+        estimate.observe(claim.requests, claim.active_at - claim.began_at)
         if len(self._sizes) > self._bound:
             self._sizes.popitem(last=False)
 
 
-class _TenantBook:
+class _TenantClaims:
     """Sizes and claims of one tenant.
 
-    Until enough programs of a kind have ended, the sizes of all tenants' programs of it count: a
-    small tenant begins few of each kind in the time for which accounts are kept.
+    Until enough programs of a kind have ended, the size over all tenants is used.
     """
 
-    def __init__(self, of_all: _KindSizes) -> None:
-        self._of_all = of_all
-        self.sizes = _KindSizes(MAX_KINDS)
+    def __init__(self, shared_sizes: _KindSizes) -> None:
+        self._shared_sizes = shared_sizes
+        self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
-        """Claims by kind and requests sent: equal ones are decided on together."""
-        self.passed_over: dict[str, _PassedOver] = {}
+        """Number of claims by kind and requests sent; equal claims are evaluated together."""
+        self.refused_kinds: dict[str, _RefusedKind] = {}
         self.time_shares: dict[str, MeanTimeShare] = {}
-        self.refused_in_time_at = -math.inf
-        """When a program that could end in time was refused last."""
+        self.last_timely_refusal_at = -math.inf
+        """Time of the latest refusal of a program that could meet its deadline."""
 
     def size(self, kind: str) -> ProgramSize | None:
-        return self.sizes.size(kind) or self._of_all.size(kind)
+        return self.sizes.size(kind) or self._shared_sizes.size(kind)
 
-    def learn(self, claim: _Claim) -> None:
-        self.sizes.learn(claim)
-        self._of_all.learn(claim)
+    def observe_size(self, claim: _Claim) -> None:
+        self.sizes.observe_size(claim)
+        self._shared_sizes.observe_size(claim)
         share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
-        share.observe(claim.active_at - claim.began_at, claim.given)
+        share.observe(claim.active_at - claim.began_at, claim.time_limit)
         self.time_shares[claim.kind] = share
-        if len(self.time_shares) > MAX_KINDS:
+        if len(self.time_shares) > MAX_KINDS_PER_TENANT:
             del self.time_shares[next(iter(self.time_shares))]
 
     def add(self, claim: _Claim) -> None:
-        self.held[claim.kind, claim.used] += 1
+        self.held[claim.kind, claim.requests] += 1
 
     def remove(self, claim: _Claim) -> None:
-        key = (claim.kind, claim.used)
+        key = (claim.kind, claim.requests)
         self.held[key] -= 1
         if self.held[key] <= 0:
             del self.held[key]
 
     def claims(self) -> list[Claims]:
-        """Return what the programs claim whose size is known."""
+        """Return the claims of the programs whose size is known."""
         found = []
-        for (kind, used), count in self.held.items():
+        for (kind, requests), count in self.held.items():
             size = self.size(kind)
-            claims = claims_of(size, used, count) if size is not None else None
+            claims = claims_of(size, requests, count) if size is not None else None
             if claims is not None:
                 found.append(claims)
         return found
 
-    def claims_of_passed_over(self, kind: str, now: float) -> list[Claims]:
-        """Return a place for one program of each kind that is next before ``kind``.
+    def claims_of_refused_kinds(self, kind: str, now: float) -> list[Claims]:
+        """Return a claim of one program for each refused kind with priority over ``kind``.
 
-        Kinds whose programs did not come back are forgotten.
+        Drops kinds whose programs have not retried.
         """
-        self.passed_over = {
-            name: item for name, item in self.passed_over.items() if item.until >= now
+        self.refused_kinds = {
+            name: item for name, item in self.refused_kinds.items() if item.expires_at >= now
         }
-        own = self.passed_over.get(kind)
-        before = min(now - PASSED_OVER_SECONDS, own.since if own is not None else now)
+        own = self.refused_kinds.get(kind)
+        before = min(now - KIND_PRIORITY_SECONDS, own.refused_since if own is not None else now)
         found = []
-        for other, item in self.passed_over.items():
+        for other, item in self.refused_kinds.items():
             size = self.size(other)
             claims = claims_of(size, 0, 1) if size is not None else None
-            if item.since < before and claims is not None:
+            if item.refused_since < before and claims is not None:
                 found.append(claims)
         return found
 
-    def recent_refusal(self, kind: str, now: float) -> Admission | None:
-        """Return the last refusal of a kind while it holds, with the time that is left.
+    def cached_refusal(self, kind: str, now: float) -> Admission | None:
+        """Return the latest refusal of a kind while it is valid, with the remaining retry time.
 
-        The kind's place is kept until the program that is refused by it has come back.
+        The kind keeps its priority until the program that receives this refusal should have
+        retried.
         """
-        item = self.passed_over.get(kind)
-        passed = now - item.decided_at if item is not None else RECHECK_SECONDS
-        if item is None or passed >= min(RECHECK_SECONDS, item.decided.retry_after):
+        item = self.refused_kinds.get(kind)
+        passed = now - item.decided_at if item is not None else REFUSAL_CACHE_SECONDS
+        if item is None or passed >= min(REFUSAL_CACHE_SECONDS, item.decision.retry_after):
             return None
-        left = item.decided.retry_after - passed
-        item.until = now + left + RETURN_SECONDS
-        return msgspec.structs.replace(item.decided, retry_after=left)
+        left = item.decision.retry_after - passed
+        item.expires_at = now + left + RETRY_GRACE_SECONDS
+        return msgspec.structs.replace(item.decision, retry_after=left)
 
-    def note_decision(self, kind: str, now: float, decided: Admission) -> None:
-        known = self.passed_over.pop(kind, None)
-        if decided.is_let_in:
+    def note_decision(self, kind: str, now: float, decision: Admission) -> None:
+        known = self.refused_kinds.pop(kind, None)
+        if decision.is_let_in:
             return
-        self.passed_over[kind] = _PassedOver(
-            since=known.since if known is not None else now,
+        self.refused_kinds[kind] = _RefusedKind(
+            refused_since=known.refused_since if known is not None else now,
             decided_at=now,
-            decided=decided,
-            until=now + decided.retry_after + RETURN_SECONDS,
+            decision=decision,
+            expires_at=now + decision.retry_after + RETRY_GRACE_SECONDS,
         )
 
 
 def _decide_in_time(
-    book: _TenantBook, kind: str, supply: Supply, size: ProgramSize, now: float
+    tenant_claims: _TenantClaims, kind: str, supply: Supply, size: ProgramSize, now: float
 ) -> Admission:
-    recent = book.recent_refusal(kind, now)
-    if recent is not None:
-        return recent
-    claims = [*book.claims(), *book.claims_of_passed_over(kind, now)]
-    decided = decide(supply, claims, size)
-    book.note_decision(kind, now, decided)
-    return decided
+    cached = tenant_claims.cached_refusal(kind, now)
+    if cached is not None:
+        return cached
+    claims = [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds(kind, now)]
+    decision = decide(supply, claims, size)
+    tenant_claims.note_decision(kind, now, decision)
+    return decision
 
 
 def _decide_late(
-    book: _TenantBook, asking: AskingProgram, supply: Supply, size: ProgramSize, now: float
+    tenant_claims: _TenantClaims,
+    candidate: CandidateProgram,
+    supply: Supply,
+    size: ProgramSize,
+    now: float,
 ) -> Admission:
-    """Decide on a program that cannot end in time; it takes no turn of one that can."""
-    decided = decide(supply, [*book.claims(), *book.claims_of_passed_over("", now)], size)
-    yields = now - book.refused_in_time_at < LATE_YIELDS_SECONDS
-    if decided.is_let_in and not yields:
-        return decided
-    retry_after = max(LATE_RETURN_SECONDS, decided.retry_after)
+    """Decide on a program that cannot meet its deadline; it yields to programs that can."""
+    decision = decide(
+        supply, [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds("", now)], size
+    )
+    yields = now - tenant_claims.last_timely_refusal_at < LATE_YIELD_SECONDS
+    if decision.is_let_in and not yields:
+        return decision
+    retry_after = max(MIN_LATE_RETRY_SECONDS, decision.retry_after)
     return msgspec.structs.replace(
-        decided, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
+        decision, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
     )
 
 
-class ClaimBook:
-    """Follows the programs of tenants with limits, and decides on new ones."""
+class ClaimTracker:
+    """Tracks the programs of tenants with limits, and decides on new ones."""
 
     def __init__(self) -> None:
-        """Hold no claims."""
-        self._sizes_of_all = _KindSizes(MAX_KINDS_OF_ALL)
+        """Start without claims."""
+        self._shared_sizes = _KindSizes(MAX_SHARED_KINDS)
         self._next_sweep = -math.inf
-        self._tenants: OrderedDict[str, _TenantBook] = OrderedDict()
+        self._tenants: OrderedDict[str, _TenantClaims] = OrderedDict()
         self._claims: OrderedDict[str, _Claim] = OrderedDict()
-        """By program, the one that rests longest first."""
-        self._left_open: OrderedDict[str, _Claim] = OrderedDict()
-        """Those among them that rest with a turn under way."""
-        self._given: OrderedDict[str, float] = OrderedDict()
-        """Seconds that programs were given when they first asked, of those that were refused."""
+        """By program, the longest idle first."""
+        self._idle_with_open_turn: OrderedDict[str, _Claim] = OrderedDict()
+        """Claims of programs that have been idle with an open turn."""
+        self._time_limits: OrderedDict[str, float] = OrderedDict()
+        """Seconds until the deadline at the first request, of refused programs."""
 
     def __len__(self) -> int:
         """Return the number of claims."""
-        return len(self._claims) + len(self._left_open)
+        return len(self._claims) + len(self._idle_with_open_turn)
 
     def size_of(self, tenant: str, kind: str) -> ProgramSize | None:
-        """Return the size of a kind of program; None until it is known."""
-        book = self._tenants.get(tenant)
-        return book.size(kind) if book is not None else self._sizes_of_all.size(kind)
+        """Return the typical size of a kind of program; None if unknown."""
+        tenant_claims = self._tenants.get(tenant)
+        return (
+            tenant_claims.size(kind) if tenant_claims is not None else self._shared_sizes.size(kind)
+        )
 
-    def decide(self, asking: AskingProgram, supply: Supply, now: float) -> Admission | None:
-        """Decide whether a program may begin; None while the size of its kind is not known."""
+    def decide(self, candidate: CandidateProgram, supply: Supply, now: float) -> Admission | None:
+        """Decide whether a program may begin; None if the size of its kind is unknown."""
         self.sweep(now)
-        size = self.size_of(asking.tenant, asking.kind)
+        size = self.size_of(candidate.tenant, candidate.kind)
         if size is None:
             return None
-        book = self._book_of(asking.tenant)
-        if self._is_late(asking):
-            return _decide_late(book, asking, supply, size, now)
-        decided = _decide_in_time(book, asking.kind, supply, size, now)
-        if not decided.is_let_in:
-            book.refused_in_time_at = now
-            self._note_given(asking)
-        return decided
-
-    def _is_late(self, asking: AskingProgram) -> bool:
-        """Return whether a program that was refused before has lost too much time since."""
-        given = self._given.get(asking.name)
-        share = self._tenants[asking.tenant].time_shares.get(asking.kind)
-        if given is None or share is None or asking.left is None:
+        tenant_claims = self._tenant_claims(candidate.tenant)
+        if self._is_late(candidate):
+            return _decide_late(tenant_claims, candidate, supply, size, now)
+        decision = _decide_in_time(tenant_claims, candidate.kind, supply, size, now)
+        if not decision.is_let_in:
+            tenant_claims.last_timely_refusal_at = now
+            self._note_time_limit(candidate)
+        return decision
+
+    def _is_late(self, candidate: CandidateProgram) -> bool:
+        """Return whether a refused program can no longer meet its deadline."""
+        time_limit = self._time_limits.get(candidate.name)
+        share = self._tenants[candidate.tenant].time_shares.get(candidate.kind)
+        if time_limit is None or share is None or candidate.time_left is None:
             return False
-        return share.is_late(asking.left, given)
+        return share.is_late(candidate.time_left, time_limit)
 
-    def _note_given(self, asking: AskingProgram) -> None:
-        """Remember how much time a refused program was given when it first asked."""
-        if asking.left is None or asking.name in self._given:
+    def _note_time_limit(self, candidate: CandidateProgram) -> None:
+        """Remember the time limit of a refused program from its first request."""
+        if candidate.time_left is None or candidate.name in self._time_limits:
             return
-        self._given[asking.name] = asking.left
-        if len(self._given) > MAX_GIVEN:
-            self._given.popitem(last=False)
+        self._time_limits[candidate.name] = candidate.time_left
+        if len(self._time_limits) > MAX_TIME_LIMITS:
+            self._time_limits.popitem(last=False)
 
-    def expect(self, asking: AskingProgram, now: float) -> None:
-        """Hold a claim for a program that may begin, until its first turn is in the log."""
-        if self.knows(asking.name):
+    def add_provisional(self, candidate: CandidateProgram, now: float) -> None:
+        """Add a claim for an admitted program, until its first turn is committed."""
+        if self.has_claim(candidate.name):
             return
-        given = self._given.pop(asking.name, asking.left or 0.0)
-        claim = _Claim(asking.tenant, asking.kind, 0, now, now, is_under_way=True, given=given)
-        self._put(asking.name, claim)
+        time_limit = self._time_limits.pop(candidate.name, candidate.time_left or 0.0)
+        claim = _Claim(
+            candidate.tenant, candidate.kind, 0, now, now, has_open_turn=True, time_limit=time_limit
+        )
+        self._add(candidate.name, claim)
 
-    def drop(self, name: str) -> None:
-        """Give the claim of a program back whose first turn is not in the log after all."""
-        claim = self._claims.get(name) or self._left_open.get(name)
-        if claim is not None and not claim.used:
-            self._take_out(name)
+    def cancel_provisional(self, name: str) -> None:
+        """Remove the claim of a program whose first turn was not committed."""
+        claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
+        if claim is not None and not claim.requests:
+            self._remove(name)
 
-    def follow(self, name: str, account: Program, *, is_complete: bool) -> None:
-        """Take over what the account of a program says; only a tenant's with a limit counts.
+    def update(self, name: str, account: Program, *, is_complete: bool) -> None:
+        """Update a claim from the program's account, if its tenant has a limit.
 
         Args:
-            name: The program's.
+            name: The program.
             account: Its account.
-            is_complete: All programs with claims are in the book, so that one that is not has
-                given its claim back before.
+            is_complete: All accounts have been read, so a program without a claim has released it.
         """
         if not account.requests:
             return
-        known = self._take_out(name)
-        goes_on = known is None or account.requests > known.used
-        is_back = known is None and is_complete and account.requests > 1
+        known = self._remove(name)
+        is_active_again = known is None or account.requests > known.requests
+        is_resumed = known is None and is_complete and account.requests > 1
         claim = _Claim(
             account.tenant,
             account.kind,
             account.requests,
             account.began_at,
             account.active_at,
-            is_under_way=bool(account.reserved),
-            is_cut_short=known is not None and known.is_cut_short and not goes_on,
-            is_learned=is_back or (known is not None and known.is_learned),
-            given=known.given if known is not None else 0.0,
+            has_open_turn=bool(account.reserved),
+            was_refused=known is not None and known.was_refused and not is_active_again,
+            is_size_observed=is_resumed or (known is not None and known.is_size_observed),
+            time_limit=known.time_limit if known is not None else 0.0,
         )
-        self._put(name, claim)
+        self._add(name, claim)
 
     def note_refused(self, name: str) -> None:
         """Note that a request of a program was refused."""
-        claim = self._claims.get(name) or self._left_open.get(name)
+        claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
         if claim is not None:
-            claim.is_cut_short = True
+            claim.was_refused = True
 
-    def note_stopped(self, name: str) -> None:
-        """Give the claim of a program back that its budget stopped.
+    def release(self, name: str) -> None:
+        """Remove the claim of a program that has exhausted its budget.
 
-        It looped, most likely, so its size says nothing of its kind.
+        The program probably loops, so its size is not typical of its kind.
         """
-        self._take_out(name)
+        self._remove(name)
 
     def sweep(self, now: float) -> None:
-        """Take the claims back of programs that have rested, and learn from them."""
+        """Release the claims of idle programs, and observe their sizes."""
         if now < self._next_sweep:
             return
         self._next_sweep = now + SWEEP_SECONDS
-        for name, claim in list(islice(self._claims.items(), SWEPT_AT_ONCE)):
-            if claim.active_at + LEAST_REST_SECONDS > now:
+        for name, claim in list(islice(self._claims.items(), MAX_SWEPT_PER_TICK)):
+            if claim.active_at + MIN_IDLE_SECONDS > now:
                 break
-            if claim.active_at + self._rest_of(claim) > now:
+            if claim.active_at + self._idle_limit(claim) > now:
                 continue
-            if claim.is_under_way:
-                self._left_open[name] = self._claims.pop(name)
+            if claim.has_open_turn:
+                self._idle_with_open_turn[name] = self._claims.pop(name)
             else:
-                self._end(name)
-        while self._left_open:
-            name, claim = next(iter(self._left_open.items()))
-            if claim.active_at + LONGEST_TURN_SECONDS > now:
+                self._end_program(name)
+        while self._idle_with_open_turn:
+            name, claim = next(iter(self._idle_with_open_turn.items()))
+            if claim.active_at + MAX_TURN_SECONDS > now:
                 break
-            self._end(name)
+            self._end_program(name)
 
-    def _rest_of(self, claim: _Claim) -> float:
-        """Return for how many seconds a program rests before it counts as ended."""
+    def _idle_limit(self, claim: _Claim) -> float:
+        """Return the idle time after which a program counts as ended, in seconds."""
         size = self.size_of(claim.tenant, claim.kind)
-        if size is None or claim.is_under_way:
-            return REST_SECONDS
-        rest = REST_PAUSES / size.rate
-        return min(REST_SECONDS, max(LEAST_REST_SECONDS, rest))
-
-    def _end(self, name: str) -> None:
-        claim = self._take_out(name)
-        if claim is not None and claim.used and not claim.is_cut_short and not claim.is_learned:
-            self._tenants[claim.tenant].learn(claim)
-
-    def knows(self, name: str) -> bool:
-        """Return whether a program holds a claim."""
-        return name in self._claims or name in self._left_open
-
-    def _put(self, name: str, claim: _Claim) -> None:
-        self._book_of(claim.tenant).add(claim)
+        if size is None or claim.has_open_turn:
+            return MAX_IDLE_SECONDS
+        idle_limit = IDLE_REQUEST_INTERVALS / size.rate
+        return min(MAX_IDLE_SECONDS, max(MIN_IDLE_SECONDS, idle_limit))
+
+    def _end_program(self, name: str) -> None:
+        claim = self._remove(name)
+        if (
+            claim is not None
+            and claim.requests
+            and not claim.was_refused
+            and not claim.is_size_observed
+        ):
+            self._tenants[claim.tenant].observe_size(claim)
+
+    def has_claim(self, name: str) -> bool:
+        """Return whether a program has a claim."""
+        return name in self._claims or name in self._idle_with_open_turn
+
+    def _add(self, name: str, claim: _Claim) -> None:
+        self._tenant_claims(claim.tenant).add(claim)
         self._claims[name] = claim
         if len(self) > MAX_CLAIMS:
-            self._take_out(next(iter(self._left_open or self._claims)))
+            self._remove(next(iter(self._idle_with_open_turn or self._claims)))
 
-    def _book_of(self, tenant: str) -> _TenantBook:
-        """Return the book of a tenant, which was seen now."""
-        book = self._tenants.pop(tenant, None) or _TenantBook(self._sizes_of_all)
-        self._tenants[tenant] = book
+    def _tenant_claims(self, tenant: str) -> _TenantClaims:
+        """Return the claims of a tenant, and mark it as most recently used."""
+        tenant_claims = self._tenants.pop(tenant, None) or _TenantClaims(self._shared_sizes)
+        self._tenants[tenant] = tenant_claims
         if len(self._tenants) > MAX_TENANTS:
             self._forget_tenant()
-        return book
+        return tenant_claims
 
-    def _take_out(self, name: str) -> _Claim | None:
-        claim = self._claims.pop(name, None) or self._left_open.pop(name, None)
+    def _remove(self, name: str) -> _Claim | None:
+        claim = self._claims.pop(name, None) or self._idle_with_open_turn.pop(name, None)
         if claim is not None:
             self._tenants[claim.tenant].remove(claim)
         return claim
 
     def _forget_tenant(self) -> None:
-        """Forget the tenant that was seen least lately, unless it holds claims."""
+        """Forget the least recently used tenant, unless it has claims."""
         oldest = next(iter(self._tenants))
         if self._tenants[oldest].held:
             self._tenants.move_to_end(oldest)
--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -1,9 +1,9 @@
-"""Asks the ledger's leader, wherever it is: repeats until answered or given up.
+"""Client of the ledger: sends operations to the leader and retries until answered or given up.
 
-Operations are idempotent by request id, and the leader takes a repetition of one that it works on
-for what it is, so a repetition is harmless. A node whose leader is silent asks who leads, and asks
-through another forwarding node as well, since it may be cut off from the storage nodes, or from
-the leader alone, while others are not.
+Operations are idempotent by request id, and the leader answers a duplicate of a pending operation
+together with the first copy. While the leader does not answer, the client queries storage replicas
+for the leader and also relays operations through other forwarding nodes, in case only this node is
+partitioned from the leader or from all storage nodes.
 """
 
 from __future__ import annotations
@@ -16,7 +16,6 @@
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.answer_times import AnswerTimes
 from yokeline.ledger.client_report import ClientCounts
 from yokeline.ledger.leader_search import LeaderSearch
 from yokeline.ledger.messages import (
@@ -34,263 +33,268 @@
 )
 from yokeline.ledger.operations import Granted, Operation, OperationResult, Settle
 from yokeline.ledger.own_turns import OwnTurns
-from yokeline.ledger.text_copies import LEAST_TEXT_BYTES
-
-QUERY_PATIENCES = 0.5
-"""Silence after which the node asks who leads, in patiences: a leader that lives and is reached
-answers that before it is doubted."""
-REPEAT_PATIENCES = 2.0
-"""Silence after which an operation is sent to the same leader again, in patiences (it may be lost
-with a connection); doubled each time."""
-MAX_REPEAT_SECONDS = 1.2
-PAUSE_SECONDS = 0.03
-"""Pause after the answer of a leader that takes nothing, since it hands over; doubled likewise."""
-MAX_PAUSE_SECONDS = 0.1
-PASSED_ON_SECONDS = 1.0
-"""How long an operation of another node is repeated; its asker repeats it too."""
+from yokeline.ledger.response_times import ResponseTimeEstimator
+from yokeline.ledger.text_copies import MIN_TEXT_BYTES
+
+QUERY_TIMEOUT_FACTOR = 0.5
+"""Silence after which the client queries for the leader, as a multiple of the response timeout;
+below 1, so that a reachable leader answers the query before it counts as unreachable."""
+RETRY_TIMEOUT_FACTOR = 2.0
+"""Silence after which an operation is resent to the same leader, as a multiple of the response
+timeout; doubled with each attempt."""
+MAX_RETRY_DELAY_SECONDS = 1.2
+NOT_LEADING_RETRY_SECONDS = 0.03
+"""Delay after an answer without results, from a replica that does not lead or that hands leadership
+over; doubled with each attempt."""
+MAX_NOT_LEADING_RETRY_SECONDS = 0.1
+RELAY_TIMEOUT_SECONDS = 1.0
+"""Time for which an operation of another node is retried; that node retries it as well."""
 ENGINES_SECONDS = 0.05
-"""Age of what was told of engines after which a node with requests that wait for one asks anew. A
-turn takes some tenths of a second, so a place that falls free is known within a part of one."""
-MAX_PASSED_ON = 256
-"""Operations of other nodes under way at once; more are dropped, and their askers ask again."""
+"""Age of the engine data after which a node with requests waiting for an engine asks for an update;
+short in comparison with the duration of a turn."""
+MAX_RELAYED_OPERATIONS = 256
+"""Pending operations of other nodes; further ones are dropped, and their nodes retry."""
 
-OperationDone = Callable[[OperationResult | None, float], list[Effect]]
-"""Told the result of an operation and the time; None if given up (it may have been taken)."""
+OperationCallback = Callable[[OperationResult | None, float], list[Effect]]
+"""Called with the result of an operation and the time. The result is None if the operation was
+given up; it may still have been applied."""
 
 
 class PeerNode(msgspec.Struct, frozen=True):
-    """Another forwarding node, through which the ledger can be asked."""
+    """Another forwarding node that can relay operations to the ledger."""
 
     process: ReplicaId
     address: Address
 
 
-EnginesTold = Callable[[tuple[EngineTurns, ...], float], None]
-"""Told what the leader knows of engines, and the time."""
+EnginesCallback = Callable[[tuple[EngineTurns, ...], float], None]
+"""Called with the leader's data on engines and the time."""
 
-SharesTold = Callable[[tuple[PoolShares, ...], float], None]
-"""Told how the places of pools are shared between tenants, and the time."""
+SharesCallback = Callable[[tuple[PoolShares, ...], float], None]
+"""Called with the shares of tenants by pool and the time."""
 
-HelpfulPeers = Callable[[], list[PeerNode]]
-"""Returns the nodes that say they reach the ledger, the nearest first."""
+PeerProvider = Callable[[], list[PeerNode]]
+"""Returns the nodes that report the ledger as reachable, the nearest first."""
 
 
-class _Asked(msgspec.Struct, kw_only=True):
-    """An operation without a result yet.
+class _PendingOperation(msgspec.Struct, kw_only=True):
+    """An operation without a result.
 
     Attributes:
-        sent_to: The replica that has it; None while it waits for a leader.
-        sent_at: When that replica got it first.
-        repeat_at: When it is sent again.
-        is_passed_on: It is another node's.
-        passed_turns: The turns of that node.
+        sent_to: The replica to which it was sent; None while no leader is known.
+        sent_at: When it was first sent to that replica.
+        retry_at: When it is due to be sent again.
+        is_relayed: The operation is relayed for another node.
+        relayed_turns: That node's report of turns.
     """
 
     operation: Operation
-    done: OperationDone
+    done: OperationCallback
     give_up_at: float
-    asked_at: float
+    submitted_at: float
     sent_to: ReplicaId | None = None
     sent_at: float = 0.0
-    repeat_at: float = float("inf")
-    sends: int = 0
-    is_passed_on: bool = False
-    passed_turns: PassedTurns | UnsetType = UNSET
+    retry_at: float = float("inf")
+    attempts: int = 0
+    is_relayed: bool = False
+    relayed_turns: PassedTurns | UnsetType = UNSET
 
 
 class LedgerClient:
-    """Operations under way; a pure state machine.
+    """Pending operations of one forwarding node; a state machine without I/O.
 
     Attributes:
-        turns: The turns that this node has at engines, of which the leader is told.
-        counts: What it has sent again, late, or other ways.
-        answer_seconds: Time from the question to the leader's answer.
+        turns: This node's turns at engines, reported to the leader.
+        counts: Counters of retries, late answers and relayed operations.
+        answer_seconds: Time from submitting an operation to its result.
         has_answered: The ledger has answered this process at least once.
-        helpful_peers: The nodes to ask through; none unless set.
-        engines_told: Told what the leader knows of engines; nobody unless set.
-        engines: What the leader last told of engines.
-        wants_engines: Requests wait for an engine with room, so the leader is asked for news of
-            engines while no answer to anything else brings them.
-        shares_told: Told how places are shared between tenants; nobody unless set.
+        helpful_peers: Returns the nodes that can relay; none by default.
+        engines_told: Called with the leader's data on engines; ignored by default.
+        engines: The leader's latest data on engines.
+        wants_engines: Requests are waiting for an engine, so the client asks the leader for engine
+            data when no other answer brings it.
+        shares_told: Called with the shares of tenants; ignored by default.
     """
 
     def __init__(self, own_address: Address) -> None:
-        """Ask from ``own_address``, where answers are to be sent."""
+        """Create a client that receives answers at ``own_address``."""
         self._own_address = own_address
         self._search = LeaderSearch(own_address)
-        self._times = AnswerTimes()
+        self._response_times = ResponseTimeEstimator()
         self._next_peer = 0
-        self._asked: dict[int, _Asked] = {}
-        self._passed_on: set[tuple[ReplicaId, int]] = set()
-        self._numbers = 0
-        self._is_path_lost = False
-        self._copies_to: tuple[LeaderHint, ...] = ()
+        self._pending: dict[int, _PendingOperation] = {}
+        self._relayed: set[tuple[ReplicaId, int]] = set()
+        self._last_number = 0
+        self._is_unreachable = False
+        self._copy_targets: tuple[LeaderHint, ...] = ()
         self.turns = OwnTurns()
-        self.helpful_peers: HelpfulPeers = list
-        self.engines_told: EnginesTold = _nobody
+        self.helpful_peers: PeerProvider = list
+        self.engines_told: EnginesCallback = _ignore_engines
         self.engines: tuple[EngineTurns, ...] = ()
         self.wants_engines = False
-        self._engines_due = float("-inf")
-        self.shares_told: SharesTold = _no_shares
+        self._engines_query_due = float("-inf")
+        self.shares_told: SharesCallback = _ignore_shares
         self.answer_seconds = Histogram()
         self.counts = ClientCounts()
         self.has_answered = False
 
     def set_storage(self, storage: dict[ReplicaId, Address]) -> None:
-        """Note the storage replicas that are known."""
+        """Set the known storage replicas."""
         self._search.set_storage(storage)
 
     @property
     def leader(self) -> ReplicaId | None:
-        """The replica that is believed to lead, if any."""
+        """The known leader, if any."""
         return self._search.leader.replica if self._search.leader is not None else None
 
     @property
     def reaches_ledger(self) -> bool:
-        """Whether the last operations were answered, or there were none."""
-        return not self._is_path_lost
+        """Whether the ledger answered the latest operations, or none was sent."""
+        return not self._is_unreachable
 
     @property
     def under_way(self) -> int:
-        """Operations without an answer yet."""
-        return len(self._asked)
+        """Number of operations without a result."""
+        return len(self._pending)
 
     # ------------------------------------------------------------ operations
 
     def ask(
-        self, operation: Operation, done: OperationDone, now: float, give_up_at: float
+        self, operation: Operation, done: OperationCallback, now: float, give_up_at: float
     ) -> list[Effect]:
-        """Send an operation; ``done`` is called once."""
-        asked = _Asked(operation=operation, done=done, give_up_at=give_up_at, asked_at=now)
-        return self._begin(asked, now)
+        """Submit an operation; ``done`` is called once, unless the operation is forgotten."""
+        pending = _PendingOperation(
+            operation=operation, done=done, give_up_at=give_up_at, submitted_at=now
+        )
+        return self._add(pending, now)
 
     def pass_on(
-        self, sender: ReplicaId, request: PassedOnRequest, done: OperationDone, now: float
+        self, sender: ReplicaId, request: PassedOnRequest, done: OperationCallback, now: float
     ) -> list[Effect]:
-        """Ask for another node; a repetition of a question under way changes nothing.
+        """Submit an operation of another node; a duplicate of a pending one is ignored.
 
-        Nothing is passed on twice: a node that gets no answer itself lets it be.
+        A relayed operation is not relayed again.
         """
         key = (sender, request.number)
-        if key in self._passed_on or len(self._passed_on) >= MAX_PASSED_ON:
+        if key in self._relayed or len(self._relayed) >= MAX_RELAYED_OPERATIONS:
             return []
 
         def ended(result: OperationResult | None, ended_at: float) -> list[Effect]:
-            self._passed_on.discard(key)
+            self._relayed.discard(key)
             return done(result, ended_at)
 
-        asked = _Asked(
+        pending = _PendingOperation(
             operation=request.operation,
             done=ended,
-            give_up_at=now + PASSED_ON_SECONDS,
-            asked_at=now,
-            is_passed_on=True,
-            passed_turns=_passed_turns(sender, request),
+            give_up_at=now + RELAY_TIMEOUT_SECONDS,
+            submitted_at=now,
+            is_relayed=True,
+            relayed_turns=_relayed_turns(sender, request),
         )
         self.counts.for_peers += 1
-        self._passed_on.add(key)
-        return self._begin(asked, now)
+        self._relayed.add(key)
+        return self._add(pending, now)
 
     def forget(self, operation: Operation) -> None:
-        """Stop asking; ``done`` is not called."""
-        for number, asked in list(self._asked.items()):
-            if asked.operation is operation:
-                del self._asked[number]
-
-    def _begin(self, asked: _Asked, now: float) -> list[Effect]:
-        self._numbers += 1
-        self._asked[self._numbers] = asked
-        effects = self._send(self._numbers, asked, now)
-        if self._is_path_lost:
-            effects.extend(self._send_through_peer(self._numbers, asked, now))
+        """Stop retrying an operation; ``done`` is not called."""
+        for number, pending in list(self._pending.items()):
+            if pending.operation is operation:
+                del self._pending[number]
+
+    def _add(self, pending: _PendingOperation, now: float) -> list[Effect]:
+        self._last_number += 1
+        self._pending[self._last_number] = pending
+        effects = self._send(self._last_number, pending, now)
+        if self._is_unreachable:
+            effects.extend(self._send_via_peer(self._last_number, pending, now))
         if self._search.leader is None:
-            effects.extend(self._search.queries(now))
+            effects.extend(self._search.send_queries(now))
         return effects
 
     # ------------------------------------------------------------ time
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        dues = [min(item.repeat_at, item.give_up_at) for item in self._asked.values()]
+        dues = [min(item.retry_at, item.give_up_at) for item in self._pending.values()]
         silent_since = self._silent_since()
         if silent_since is not None:
-            query_at = silent_since + QUERY_PATIENCES * self._times.patience
-            dues.append(max(query_at, self._search.query_due()))
-            if not self._is_path_lost:
-                dues.append(silent_since + self._times.patience)
+            query_at = silent_since + QUERY_TIMEOUT_FACTOR * self._response_times.timeout
+            dues.append(max(query_at, self._search.next_query_at()))
+            if not self._is_unreachable:
+                dues.append(silent_since + self._response_times.timeout)
         report_due = self.turns.report_due()
         if report_due is not None and self._search.leader is not None:
             dues.append(report_due)
         if self.wants_engines and self._search.leader is not None:
-            dues.append(self._engines_due)
+            dues.append(self._engines_query_due)
         return min(dues, default=None)
 
     def tick(self, now: float) -> list[Effect]:
-        """Send again what went unanswered, give up what is late, and look for the leader."""
+        """Retry unanswered operations, give up expired ones, and check the leader."""
         effects: list[Effect] = []
-        for number, asked in list(self._asked.items()):
-            if now >= asked.give_up_at:
-                del self._asked[number]
-                effects.extend(asked.done(None, now))
-            elif now >= asked.repeat_at:
-                effects.extend(self._repeat(number, asked, now))
-        effects.extend(self._look_for_leader(now))
-        effects.extend(self._report_turns(now))
+        for number, pending in list(self._pending.items()):
+            if now >= pending.give_up_at:
+                del self._pending[number]
+                effects.extend(pending.done(None, now))
+            elif now >= pending.retry_at:
+                effects.extend(self._retry(number, pending, now))
+        effects.extend(self._check_leader(now))
+        effects.extend(self._send_turn_report(now))
         effects.extend(self._report_counts(now))
         return effects
 
     def _silent_since(self) -> float | None:
-        """Return since when an operation has waited without a word of the leader."""
-        if not self._asked:
+        """Return since when operations wait without an answer of the leader; None if none wait."""
+        if not self._pending:
             return None
         if self._search.leader is None:
-            return min(item.asked_at for item in self._asked.values())
+            return min(item.submitted_at for item in self._pending.values())
         first = min(
-            item.sent_at if item.sent_to is not None else item.asked_at
-            for item in self._asked.values()
+            item.sent_at if item.sent_to is not None else item.submitted_at
+            for item in self._pending.values()
         )
         return max(first, self._search.heard_at)
 
-    def _look_for_leader(self, now: float) -> list[Effect]:
-        """Ask who leads while operations wait, and doubt the way there after a silence."""
+    def _check_leader(self, now: float) -> list[Effect]:
+        """Query for the leader while operations wait; after the timeout, mark it unreachable."""
         silent_since = self._silent_since()
         if silent_since is None:
             return []
         silence = now - silent_since
-        patience = self._times.patience
+        timeout = self._response_times.timeout
         effects: list[Effect] = []
-        if silence >= QUERY_PATIENCES * patience or self._search.leader is None:
-            effects.extend(self._search.queries(now))
-        if silence >= patience and not self._is_path_lost:
-            effects.extend(self._doubt_path(silence, now))
+        if silence >= QUERY_TIMEOUT_FACTOR * timeout or self._search.leader is None:
+            effects.extend(self._search.send_queries(now))
+        if silence >= timeout and not self._is_unreachable:
+            effects.extend(self._mark_unreachable(silence, now))
         return effects
 
-    def _doubt_path(self, silence: float, now: float) -> list[Effect]:
-        """Send all that waits through peers: nothing at all is heard, not even who leads."""
-        self._is_path_lost = True
+    def _mark_unreachable(self, silence: float, now: float) -> list[Effect]:
+        """Relay all pending operations through peers."""
+        self._is_unreachable = True
         fields: dict[str, str | int | float | bool | None] = {
             "silent": round(silence, 3),
-            "patience": round(self._times.patience, 3),
-            "under_way": len(self._asked),
+            "patience": round(self._response_times.timeout, 3),
+            "under_way": len(self._pending),
         }
         effects: list[Effect] = [
             LogRecord(event="ledger_path_lost", fields=fields, level="warning")
         ]
-        for number, asked in self._asked.items():
-            effects.extend(self._send_through_peer(number, asked, now))
+        for number, pending in self._pending.items():
+            effects.extend(self._send_via_peer(number, pending, now))
         return effects
 
-    def _report_turns(self, now: float) -> list[Effect]:
-        """Tell the leader of turns that no operation took along, and ask for news of engines."""
+    def _send_turn_report(self, now: float) -> list[Effect]:
+        """Report turns that no operation carried to the leader, and ask for engine data."""
         leader = self._search.leader
         if leader is None:
             return []
         report = self.turns.take_report(now)
-        wants_engines = self.wants_engines and now >= self._engines_due
+        wants_engines = self.wants_engines and now >= self._engines_query_due
         if report is None and not wants_engines:
             return []
         if wants_engines:
-            self._engines_due = now + ENGINES_SECONDS
+            self._engines_query_due = now + ENGINES_SECONDS
             self.counts.engine_asks += 1
         message = LedgerRequest(
             number=0,
@@ -298,208 +302,221 @@
             operations=(),
             turns=report,
             wants_engines=wants_engines or UNSET,
-            tenant_loads=self._rows(report, now),
+            tenant_loads=self._tenant_loads_due(report, now),
         )
         return [SendPeer(to=leader.replica, address=leader.address, message=message)]
 
     def _report_counts(self, now: float) -> list[LogRecord]:
         if not self.counts.is_due(now):
             return []
-        oldest = max((now - item.asked_at for item in self._asked.values()), default=0.0)
+        oldest = max((now - item.submitted_at for item in self._pending.values()), default=0.0)
         return self.counts.report(
             now,
-            under_way=len(self._asked),
+            under_way=len(self._pending),
             oldest_seconds=oldest,
-            patience=self._times.patience,
+            timeout=self._response_times.timeout,
         )
 
     # ------------------------------------------------------------ answers
 
     def take_leader(self, sender: ReplicaId, answer: LeaderAnswer, now: float) -> list[Effect]:
-        """Take a storage node's word on who leads."""
-        is_news = self._search.take(sender, answer, now)
+        """Handle a storage node's answer to a leader query."""
+        is_new_leader = self._search.take_answer(sender, answer, now)
         effects: list[Effect] = []
         if answer.leader is not None and answer.leader.replica == sender:
-            effects.extend(self._note_path_found())
-        if is_news:
-            effects.extend(self._follow_leader(now))
+            effects.extend(self._mark_reachable())
+        if is_new_leader:
+            effects.extend(self._switch_leader(now))
         elif self._search.leader is None:
             self._unassign_all()
         return effects
 
     def take_reply(self, reply: LedgerReply, now: float) -> list[Effect]:
-        """Take an answer in."""
+        """Handle a reply to an operation or to a request for engine data."""
         effects: list[Effect] = []
-        asked = self._asked.get(reply.number)
+        pending = self._pending.get(reply.number)
         if not reply.passed_on:
-            effects.extend(self._take_word(reply, asked, now))
+            effects.extend(self._note_leader_reply(reply, pending, now))
         if reply.engines:
-            self._engines_due = now + ENGINES_SECONDS
+            self._engines_query_due = now + ENGINES_SECONDS
             self.engines = reply.engines
             self.engines_told(reply.engines, now)
         if not isinstance(reply.shares, UnsetType):
             self.shares_told(reply.shares, now)
-        if asked is None:
+        if pending is None:
             self.counts.late_answers += bool(reply.results)
             return effects
         if reply.results:
-            del self._asked[reply.number]
-            self.answer_seconds.observe(now - asked.asked_at)
-            effects.extend(asked.done(reply.results[0], now))
+            del self._pending[reply.number]
+            self.answer_seconds.observe(now - pending.submitted_at)
+            effects.extend(pending.done(reply.results[0], now))
         return effects
 
-    def _take_word(self, reply: LedgerReply, asked: _Asked | None, now: float) -> list[Effect]:
-        """Learn from a direct answer who leads, and how soon it answers."""
+    def _note_leader_reply(
+        self, reply: LedgerReply, pending: _PendingOperation | None, now: float
+    ) -> list[Effect]:
+        """Update the leader and its response time from a reply that was not relayed."""
         effects: list[Effect] = []
-        is_news = reply.leader is not None and self._search.believe(reply.leader, reply.term)
+        is_new_leader = reply.leader is not None and self._search.update_leader(
+            reply.leader, reply.term
+        )
         if reply.results:
             self.has_answered = True
             self._search.heard_at = now
             if isinstance(reply.results[0], Granted):
-                self._copies_to = reply.copies_to
-            effects.extend(self._note_path_found())
-            if asked is not None and asked.sent_to is not None and not is_news:
-                self._times.observe(now - asked.sent_at)
-        if is_news:
-            effects.extend(self._follow_leader(now))
-        elif asked is not None and not reply.results:
-            effects.extend(self._take_refusal(reply, asked, now))
+                self._copy_targets = reply.copies_to
+            effects.extend(self._mark_reachable())
+            if pending is not None and pending.sent_to is not None and not is_new_leader:
+                self._response_times.observe(now - pending.sent_at)
+        if is_new_leader:
+            effects.extend(self._switch_leader(now))
+        elif pending is not None and not reply.results:
+            effects.extend(self._handle_not_leading(reply, pending, now))
         return effects
 
-    def _take_refusal(self, reply: LedgerReply, asked: _Asked, now: float) -> list[Effect]:
-        """Nothing was done: another one leads, nobody does, or the leader hands over."""
+    def _handle_not_leading(
+        self, reply: LedgerReply, pending: _PendingOperation, now: float
+    ) -> list[Effect]:
+        """Retry after a reply without results: the replica does not lead, or is handing over."""
         leader = self._search.leader
-        if reply.leader is None and leader is not None and leader.replica == asked.sent_to:
+        if reply.leader is None and leader is not None and leader.replica == pending.sent_to:
             self._search.forget()
             self._unassign_all()
-            return list(self._search.queries(now))
-        if leader is None or leader.replica == asked.sent_to:
-            pause = min(MAX_PAUSE_SECONDS, PAUSE_SECONDS * 2.0 ** min(asked.sends, 8))
-            asked.repeat_at = min(asked.repeat_at, now + pause)
+            return list(self._search.send_queries(now))
+        if leader is None or leader.replica == pending.sent_to:
+            delay = min(
+                MAX_NOT_LEADING_RETRY_SECONDS,
+                NOT_LEADING_RETRY_SECONDS * 2.0 ** min(pending.attempts, 8),
+            )
+            pending.retry_at = min(pending.retry_at, now + delay)
             return []
         self.counts.repetitions["redirected"] += 1
-        return self._send(reply.number, asked, now)
+        return self._send(reply.number, pending, now)
 
     def _unassign_all(self) -> None:
-        """Let what the leader had wait for the next one."""
-        for asked in self._asked.values():
-            asked.sent_to = None
+        """Mark all operations as not sent, so that they wait for the next leader."""
+        for pending in self._pending.values():
+            pending.sent_to = None
 
-    def _note_path_found(self) -> list[Effect]:
-        if not self._is_path_lost:
+    def _mark_reachable(self) -> list[Effect]:
+        if not self._is_unreachable:
             return []
-        self._is_path_lost = False
-        return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._asked)})]
+        self._is_unreachable = False
+        return [LogRecord(event="ledger_path_found", fields={"under_way": len(self._pending)})]
 
-    def _follow_leader(self, now: float) -> list[Effect]:
-        """Send what waits to a leader that is new, once."""
+    def _switch_leader(self, now: float) -> list[Effect]:
+        """Send all pending operations to a new leader."""
         leader = self._search.leader
         assert leader is not None
         self.turns.leader_changed()
-        self._times = AnswerTimes()
-        self._copies_to = ()
+        self._response_times = ResponseTimeEstimator()
+        self._copy_targets = ()
         fields: dict[str, str | int | float | bool | None] = {
             "leader": leader.replica,
             "term": self._search.term,
-            "under_way": len(self._asked),
+            "under_way": len(self._pending),
         }
         effects: list[Effect] = [LogRecord(event="ledger_leader_known", fields=fields)]
-        for number, asked in self._asked.items():
-            self.counts.repetitions["new_leader"] += asked.sent_to is not None
-            asked.sends = 0
-            effects.extend(self._send(number, asked, now))
+        for number, pending in self._pending.items():
+            self.counts.repetitions["new_leader"] += pending.sent_to is not None
+            pending.attempts = 0
+            effects.extend(self._send(number, pending, now))
         return effects
 
     # ------------------------------------------------------------ sending
 
-    def _repeat(self, number: int, asked: _Asked, now: float) -> list[Effect]:
+    def _retry(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
         self.counts.repetitions["silence"] += self._search.leader is not None
-        effects = self._send(number, asked, now)
-        if self._is_path_lost:
-            effects.extend(self._send_through_peer(number, asked, now))
+        effects = self._send(number, pending, now)
+        if self._is_unreachable:
+            effects.extend(self._send_via_peer(number, pending, now))
         return effects
 
-    def _send(self, number: int, asked: _Asked, now: float) -> list[Effect]:
-        """Send an operation to the leader; without one it waits."""
+    def _send(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
+        """Send an operation to the leader; without a known leader, schedule a retry."""
         leader = self._search.leader
         if leader is None:
-            asked.sent_to = None
-            self._plan_repetition(asked, now)
+            pending.sent_to = None
+            self._schedule_retry(pending, now)
             return []
-        if asked.sent_to != leader.replica or not asked.sends:
-            asked.sent_to = leader.replica
-            asked.sent_at = now
-        copies = self._copies(asked.operation) if not asked.sends else []
-        self._plan_repetition(asked, now)
+        if pending.sent_to != leader.replica or not pending.attempts:
+            pending.sent_to = leader.replica
+            pending.sent_at = now
+        copies = self._text_copies(pending.operation) if not pending.attempts else []
+        self._schedule_retry(pending, now)
         turns = self.turns.take_report(now)
         message = LedgerRequest(
             number=number,
             asker=self._own_address,
-            operations=(asked.operation,),
+            operations=(pending.operation,),
             turns=turns,
             is_copied=bool(copies),
-            passed_turns=asked.passed_turns,
-            tenant_loads=self._rows(turns, now),
+            passed_turns=pending.relayed_turns,
+            tenant_loads=self._tenant_loads_due(turns, now),
         )
-        # The copies go first, so that they arrive before the entry that leaves them out.
+        # Copies are sent first, so that they arrive before the log entry that omits the texts.
         return [*copies, SendPeer(to=leader.replica, address=leader.address, message=message)]
 
-    def _rows(self, turns: NodeTurns | None, now: float) -> tuple[PoolLoad, ...] | UnsetType:
-        """Return the rows of tenants that go with a report of turns to the leader.
+    def _tenant_loads_due(
+        self, turns: NodeTurns | None, now: float
+    ) -> tuple[PoolLoad, ...] | UnsetType:
+        """Return the tenants' loads that accompany a report of turns to the leader.
 
-        While the leader is out of reach they are kept for operations that peers pass on.
+        While the leader is unreachable, they are left for relayed operations.
         """
-        if turns is None or self._is_path_lost:
+        if turns is None or self._is_unreachable:
             return UNSET
         return self.turns.take_rows(now)
 
-    def _copies(self, operation: Operation) -> list[Effect]:
-        """Return the messages that bring a turn's text to the followers, if the leader asks."""
+    def _text_copies(self, operation: Operation) -> list[Effect]:
+        """Return the messages that carry a turn's text to the followers named by the leader."""
         turn = operation.turn if isinstance(operation, Settle) else None
-        if turn is None or len(turn.text) < LEAST_TEXT_BYTES:
+        if turn is None or len(turn.text) < MIN_TEXT_BYTES:
             return []
-        self.counts.texts_copied += bool(self._copies_to)
+        self.counts.texts_copied += bool(self._copy_targets)
         copy = TextCopy(turn_id=turn.turn_id, text=turn.text)
         return [
             SendPeer(to=item.replica, address=item.address, message=copy)
-            for item in self._copies_to
+            for item in self._copy_targets
         ]
 
-    def _plan_repetition(self, asked: _Asked, now: float) -> None:
-        pause = REPEAT_PATIENCES * self._times.patience * 2.0 ** min(asked.sends, 8)
-        asked.repeat_at = now + min(MAX_REPEAT_SECONDS, pause)
-        asked.sends += 1
+    def _schedule_retry(self, pending: _PendingOperation, now: float) -> None:
+        delay = (
+            RETRY_TIMEOUT_FACTOR * self._response_times.timeout * 2.0 ** min(pending.attempts, 8)
+        )
+        pending.retry_at = now + min(MAX_RETRY_DELAY_SECONDS, delay)
+        pending.attempts += 1
 
-    def _send_through_peer(self, number: int, asked: _Asked, now: float) -> list[Effect]:
-        """Ask through the next of the nodes that reach the ledger; another one each time."""
-        peers = [] if asked.is_passed_on else self.helpful_peers()
+    def _send_via_peer(self, number: int, pending: _PendingOperation, now: float) -> list[Effect]:
+        """Relay an operation through a reachable peer, a different one with each attempt."""
+        peers = [] if pending.is_relayed else self.helpful_peers()
         if not peers:
             return []
         peer = peers[self._next_peer % len(peers)]
-        if asked.sends > 1:
+        if pending.attempts > 1:
             self._next_peer += 1
         self.counts.through_peers += 1
         message = PassedOnRequest(
             number=number,
             asker=self._own_address,
-            operation=asked.operation,
+            operation=pending.operation,
             turns=self.turns.report_for_peer(now),
             tenant_loads=self.turns.take_rows(now),
         )
         return [SendPeer(to=peer.process, address=peer.address, message=message)]
 
 
-def _passed_turns(sender: ReplicaId, request: PassedOnRequest) -> PassedTurns | UnsetType:
-    """Return what a node tells of its turns with an operation that is passed on."""
+def _relayed_turns(sender: ReplicaId, request: PassedOnRequest) -> PassedTurns | UnsetType:
+    """Return the report of turns that accompanies a relayed operation."""
     if isinstance(request.turns, UnsetType):
         return UNSET
     rows = None if isinstance(request.tenant_loads, UnsetType) else request.tenant_loads
     return PassedTurns(sender, request.turns, rows)
 
 
-def _no_shares(shares: tuple[PoolShares, ...], now: float) -> None:
-    """Tell nobody."""
+def _ignore_shares(shares: tuple[PoolShares, ...], now: float) -> None:
+    """Ignore the shares."""
 
 
-def _nobody(engines: tuple[EngineTurns, ...], now: float) -> None:
-    """Tell nobody."""
+def _ignore_engines(engines: tuple[EngineTurns, ...], now: float) -> None:
+    """Ignore the engines."""
--- a/src/yokeline/ledger/history_service.py
+++ b/src/yokeline/ledger/history_service.py
@@ -1,4 +1,4 @@
-"""A storage replica's side of reading kept turns; see :mod:`yokeline.ledger.history_fetches`."""
+"""Serves retained turns from a replica; see :mod:`yokeline.ledger.history_fetches`."""
 
 from __future__ import annotations
 
@@ -10,54 +10,54 @@
 from yokeline.ledger.operations import KeptTurn
 from yokeline.ledger.replica import LedgerReplica
 
-HOLD_SECONDS = 0.1
-"""Time for which a replica waits for a turn that it does not have yet: it hears what is committed
-with the next message of its leader, 0.06 s later at most."""
-MAX_HELD = 512
-"""Questions held at once; more are answered at once that the turn is not there."""
+MISSING_TURN_WAIT_SECONDS = 0.1
+"""Time to wait for a turn that the replica does not hold yet; a follower learns what is committed
+with the leader's next heartbeat."""
+MAX_PENDING_REQUESTS = 512
+"""Requests waiting at once; further ones are answered without turns immediately."""
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _PendingRequest(msgspec.Struct, frozen=True):
     sender: ReplicaId
-    ask: HistoryAsk
+    request: HistoryAsk
     until: float
 
 
 class HistoryService:
-    """Gives out the turns that one replica has."""
+    """Serves the turns that one replica holds."""
 
     def __init__(self, replica: LedgerReplica) -> None:
-        """Read from ``replica``."""
+        """Serve the turns of ``replica``."""
         self._replica = replica
-        self._held: list[_Held] = []
+        self._pending: list[_PendingRequest] = []
 
-    def take(self, sender: ReplicaId, ask: HistoryAsk, now: float) -> list[Effect]:
-        """Answer a question, or hold it while the turn may still be on its way here."""
-        turns = self._replica.state().chain(ask.last, ask.known)
-        may_come = self._replica.is_member and len(self._held) < MAX_HELD
+    def handle_request(self, sender: ReplicaId, request: HistoryAsk, now: float) -> list[Effect]:
+        """Answer a request, or keep it while the turn may still be replicated."""
+        turns = self._replica.state().chain(request.last, request.known)
+        may_come = self._replica.is_member and len(self._pending) < MAX_PENDING_REQUESTS
         if turns or not may_come:
-            return [self._reply(sender, ask, turns)]
-        self._held.append(_Held(sender, ask, now + HOLD_SECONDS))
+            return [self._reply(sender, request, turns)]
+        self._pending.append(_PendingRequest(sender, request, now + MISSING_TURN_WAIT_SECONDS))
         return []
 
     def tick(self, now: float) -> list[Effect]:
-        """Answer what was held and has come, or has waited long enough."""
-        if not self._held:
+        """Answer pending requests whose turns have arrived or whose time is over."""
+        if not self._pending:
             return []
         effects: list[Effect] = []
-        held, self._held = self._held, []
-        for item in held:
-            turns = self._replica.state().chain(item.ask.last, item.ask.known)
+        pending, self._pending = self._pending, []
+        for item in pending:
+            turns = self._replica.state().chain(item.request.last, item.request.known)
             if turns or now >= item.until:
-                effects.append(self._reply(item.sender, item.ask, turns))
+                effects.append(self._reply(item.sender, item.request, turns))
             else:
-                self._held.append(item)
+                self._pending.append(item)
         return effects
 
     def next_deadline(self) -> float | None:
         """Return when :meth:`tick` is due."""
-        return min((item.until for item in self._held), default=None)
+        return min((item.until for item in self._pending), default=None)
 
-    def _reply(self, sender: ReplicaId, ask: HistoryAsk, turns: tuple[KeptTurn, ...]) -> Effect:
-        reply = HistoryReply(number=ask.number, turns=turns, is_member=self._replica.is_member)
-        return SendPeer(to=sender, address=ask.asker, message=reply)
+    def _reply(self, sender: ReplicaId, request: HistoryAsk, turns: tuple[KeptTurn, ...]) -> Effect:
+        reply = HistoryReply(number=request.number, turns=turns, is_member=self._replica.is_member)
+        return SendPeer(to=sender, address=request.asker, message=reply)
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -1,8 +1,8 @@
-"""One replica of the ledger: the Raft group, its state machine, and what is on the disk.
+"""A replica of the ledger: its Raft group, state machine and log file.
 
-Nothing that follows from a change of term, vote or log leaves this replica before the change
-is on the disk: effects wait, in order, behind the write that they follow from. Writes of one
-moment share a sync. While a disk hangs the replica is silent, and the others elect a leader.
+Messages and results that depend on a change of term, vote or log are held back until that change is
+synced to disk. Changes of one event share a sync. While its disk hangs, a replica sends nothing,
+and the others elect a leader.
 """
 
 from __future__ import annotations
@@ -40,31 +40,32 @@
     SnapshotRecord,
     encode_record,
 )
-from yokeline.ledger.link_pressure import LinkPressure
-from yokeline.ledger.messages import LeaderHint, ReplicaMessage, TextCopy, TextsLacking
+from yokeline.ledger.link_utilization import LinkUtilization
+from yokeline.ledger.messages import LeaderHint, MissingTexts, ReplicaMessage, TextCopy
 from yokeline.ledger.operations import KeptTurn, Operation, OperationResult
 from yokeline.ledger.state import LedgerCommand, LedgerState
-from yokeline.ledger.text_copies import CutEntries, CutMessages
+from yokeline.ledger.text_copies import TextRestorer, TextStripper
 
 LOG_FILE = "ledger.log"
-COMPACT_BYTES = 48 * 1024 * 1024
-"""Least size of the log file after which it is replaced by a snapshot and what follows. Each
-replica adds up to half of it by lot, so that they do not all stand still at one moment."""
-COMPACT_GROWTH = 2.0
-"""A file is replaced again once it has grown by this factor: what it holds may be larger than
-the least size, and would else be written anew at every sync."""
-APPLIED_AT_ONCE = 200
-"""Operations applied in one turn of the loop; after a start there are thousands, and a leader
-that applies them all in one go sends no heartbeat meanwhile."""
-APPEND_BYTES = 128 * 1024
-"""Most bytes of entries in flight to one follower: with four followers on a link of 47 Mbit/s a
-heartbeat waits 90 ms behind them, well below the election timeout."""
+MIN_COMPACT_BYTES = 48 * 1024 * 1024
+"""Minimum size of the log file for compaction. Each replica adds a random share of up to half, so
+that replicas do not all compact at once."""
+COMPACT_GROWTH_FACTOR = 2.0
+"""Growth of a compacted file after which it is compacted again; a state larger than the minimum
+size would otherwise be rewritten at every sync. A leader that cannot hand over compacts anyway once
+the file exceeds its limit by the same factor."""
+MAX_APPLIED_PER_TICK = 200
+"""Committed operations applied in one event-loop iteration, so that heartbeats are not delayed
+after a restart."""
+MAX_APPEND_BYTES = 128 * 1024
+"""Bytes of entries in flight to one follower; heartbeats queue behind them, and must arrive within
+the election timeout."""
 
 RAFT_SETTINGS = RaftSettings(
     heartbeat_seconds=0.06,
     idle_heartbeat_seconds=0.1,
     election_timeout_seconds=0.3,
-    append_bytes=APPEND_BYTES,
+    append_bytes=MAX_APPEND_BYTES,
     snapshot_chunk_bytes=512 * 1024,
     retained_entries=512,
     uses_lease=False,
@@ -72,39 +73,39 @@
     prompt_retry_seconds=0.04,
 )
 
-FOUNDING_INDEX = 1
-"""Index of the snapshot that all founders begin with."""
-FOUNDING_TERM = 1
-"""Its term, in which nobody is elected: the first leader's is higher."""
+BOOTSTRAP_INDEX = 1
+"""Index of the snapshot with which all founders start."""
+BOOTSTRAP_TERM = 1
+"""Term of that snapshot; no leader is elected in it."""
 
-NOW = float("-inf")
-"""A time that has always come."""
+IMMEDIATELY = float("-inf")
+"""A deadline that is always due."""
 
-ResultsReady = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
-"""Told the results of proposed operations; None if they may not have been taken."""
+ResultsCallback = Callable[[tuple[OperationResult, ...] | None], list[Effect]]
+"""Called with the results of proposed operations, or with None if they may not be committed."""
 
 
-class _Held(msgspec.Struct):
-    """Effects that wait until the write with this ticket is on the disk."""
+class _DeferredEffects(msgspec.Struct):
+    """Effects that wait for the write with this ticket to be synced."""
 
     ticket: int
     effects: list[RaftEffect]
 
 
-class _Pending(msgspec.Struct):
-    """Operations proposed in a term, waiting for their entry to be committed."""
+class _PendingProposal(msgspec.Struct):
+    """Operations proposed in a term, whose entry is not committed yet."""
 
     term: int
-    ready: ResultsReady
+    callback: ResultsCallback
 
 
 class LedgerReplica:
-    """A replica with its disk; the host routes messages and tickets to it.
+    """A replica and its log file; the host delivers messages and completed tickets.
 
     Attributes:
-        addresses: Where the other replicas listen.
-        first_start: This replica is of the first start of the whole system. The disk remembers
-            it, so that a process that ends before the group has begun may still begin it.
+        addresses: Addresses of the other replicas.
+        first_start: The replica was created at the first start of the deployment, and may bootstrap
+            the group. Stored on disk, so that a restart before the bootstrap keeps it.
     """
 
     def __init__(
@@ -118,11 +119,11 @@
         first_start: bool = False,
         link_mbps: float = 0.0,
         settings: RaftSettings = RAFT_SETTINGS,
-        compact_bytes: int = COMPACT_BYTES,
+        compact_bytes: int = MIN_COMPACT_BYTES,
     ) -> None:
-        """Start from what was recovered; an empty log makes a newcomer.
+        """Start from a recovered log; an empty log makes a new replica.
 
-        ``link_mbps`` is what the machine's link bears, in megabits a second; 0 if not known.
+        ``link_mbps`` is the capacity of the machine's link in megabits a second; 0 if unknown.
         """
         self.replica = replica
         self.first_start = first_start or recovered.first_start
@@ -132,20 +133,20 @@
         self._settings = settings
         self._ticket = 0
         self._synced_ticket = 0
-        self._held: deque[_Held] = deque()
+        self._deferred: deque[_DeferredEffects] = deque()
         self._file_bytes = recovered.valid_bytes
-        self._least_compact_bytes = int(compact_bytes * (1.0 + 0.5 * source.random()))
-        self._compact_bytes = self._least_compact_bytes
+        self._min_compact_bytes = int(compact_bytes * (1.0 + 0.5 * source.random()))
+        self._compact_bytes = self._min_compact_bytes
         self._to_apply: deque[LogEntry] = deque()
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingProposal] = {}
         self._state = self._recovered_state(recovered)
         self._applied = recovered.snapshot.last_index if recovered.snapshot else 0
         self.group = self._new_group(recovered, now)
         self._effects: list[Effect] = []
         self._now = now
-        self._pressure = LinkPressure(link_mbps)
-        self._cut_entries = CutEntries()
-        self._cut_messages = CutMessages()
+        self._link = LinkUtilization(link_mbps)
+        self._stripper = TextStripper()
+        self._restorer = TextRestorer()
         self._lost: frozenset[ReplicaId] = frozenset()
         self._identity_ticket = 0
         self._saved_addresses = dict(self.addresses)
@@ -153,7 +154,7 @@
             self._write([IdentityRecord(replica, self.first_start)], [])
             self._identity_ticket = self._ticket
 
-    # ------------------------------------------------------------ what is known
+    # ------------------------------------------------------------ status
 
     @property
     def leads(self) -> bool:
@@ -162,36 +163,36 @@
 
     @property
     def is_member(self) -> bool:
-        """Whether this replica is in the configuration that it knows."""
+        """Whether this replica is in the latest configuration that it knows."""
         return self.replica in self.group.members
 
     @property
     def identity_saved(self) -> bool:
-        """Whether the replica's id is on the disk, so that a restart keeps it."""
+        """Whether the replica's id is on disk, so that a restart keeps it."""
         return self._synced_ticket >= self._identity_ticket
 
     @property
     def is_empty(self) -> bool:
-        """Whether this replica holds nothing and belongs to no group yet."""
+        """Whether this replica holds no entries and belongs to no group."""
         return not self.group.members and self.group.last_index == 0
 
     @property
-    def wants_to_compact(self) -> bool:
-        """Whether the log file has grown enough to be replaced by a snapshot."""
+    def needs_compaction(self) -> bool:
+        """Whether the log file has grown enough to be compacted."""
         return self._file_bytes >= self._compact_bytes and self._applied > 0
 
     @property
     def entries_restored(self) -> int:
-        """Entries that this follower has put together with texts from nodes."""
-        return self._cut_messages.restored
+        """Entries restored with texts received from nodes."""
+        return self._restorer.restored
 
     @property
-    def messages_lacking_texts(self) -> int:
-        """Messages of a leader that this follower dropped, since a text did not come."""
-        return self._cut_messages.lacking
+    def messages_missing_texts(self) -> int:
+        """Messages of a leader that were dropped because a text was missing."""
+        return self._restorer.incomplete
 
     def leader_hint(self) -> LeaderHint | None:
-        """Return the leader and where it listens, if it is known."""
+        """Return the leader and its address, if both are known."""
         leader = self.group.leader
         if leader is None:
             return None
@@ -205,136 +206,137 @@
     def next_deadline(self) -> float:
         """Return when :meth:`tick` is due."""
         if self._to_apply or self._effects:
-            return NOW
-        held = self._cut_messages.next_deadline()
+            return IMMEDIATELY
+        restore_deadline = self._restorer.next_deadline()
         due = self.group.next_deadline()
-        return due if held is None else min(due, held)
+        return due if restore_deadline is None else min(due, restore_deadline)
 
     # ------------------------------------------------------------ events
 
-    def found(self, founders: tuple[ReplicaId, ...], now: float) -> list[Effect]:
-        """Begin the group with ``founders``, of which this replica is one.
+    def bootstrap(self, founders: tuple[ReplicaId, ...], now: float) -> list[Effect]:
+        """Bootstrap the group with ``founders``, which include this replica.
 
-        All founders begin with the same snapshot, before any of them can lead, so that one that
-        is late gets it from a leader with the members in it. What this replica has voted
-        before stays.
+        All founders start with the same snapshot, and none can lead before. A late founder receives
+        the snapshot, with the members in it, from the leader. The replica keeps its term and vote.
         """
-        snapshot = Snapshot(FOUNDING_INDEX, FOUNDING_TERM, founders, encode_state(self._state))
+        snapshot = Snapshot(BOOTSTRAP_INDEX, BOOTSTRAP_TERM, founders, encode_state(self._state))
         hard_state = self.group.hard_state
-        if hard_state.term < FOUNDING_TERM:
-            hard_state = HardState(FOUNDING_TERM)
+        if hard_state.term < BOOTSTRAP_TERM:
+            hard_state = HardState(BOOTSTRAP_TERM)
         recovered = RecoveredLog(snapshot=snapshot, hard_state=hard_state)
         self.group = self._new_group(recovered, now)
         self.group.set_lost(self._lost)
-        self._applied = FOUNDING_INDEX
+        self._applied = BOOTSTRAP_INDEX
         self._write([SnapshotRecord(snapshot), HardStateRecord(hard_state)], [])
-        return self._absorb(self.group.tick(now))
+        return self._persist(self.group.tick(now))
 
     def set_lost(self, lost: frozenset[ReplicaId]) -> None:
-        """Name the replicas that are known to have lost their disks."""
+        """Set the replicas that are known to have lost their disks."""
         self._lost = lost
         self.group.set_lost(lost)
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due, and apply more of what is committed."""
+        """Run due timers, and apply more committed entries."""
         self._now = now
         self._apply_some()
-        effects = self._step_whole(now)
-        return [*effects, *self._absorb(self.group.tick(now))]
+        effects = self._step_restored(now)
+        return [*effects, *self._persist(self.group.tick(now))]
 
     def step(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> list[Effect]:
-        """Take a message of another replica in."""
+        """Handle a message of another replica."""
         self._now = now
         self.learn_address(sender, envelope.sender_address)
-        self._cut_messages.take(sender, envelope, now)
-        return self._step_whole(now)
+        self._restorer.take(sender, envelope, now)
+        return self._step_restored(now)
 
     def take_text(self, copy: TextCopy, now: float) -> list[Effect]:
-        """Take a text in that a message of the leader leaves out."""
-        self._cut_messages.texts.put(copy.turn_id, copy.text)
-        return self._step_whole(now)
+        """Store a text that the leader omits from its messages."""
+        self._restorer.texts.put(copy.turn_id, copy.text)
+        return self._step_restored(now)
 
-    def texts_lacking(self, follower: ReplicaId, now: float) -> None:
-        """Note that a follower needs whole entries for a while."""
-        self._cut_entries.lacked(follower, now)
+    def note_missing_text(self, follower: ReplicaId, now: float) -> None:
+        """Send complete entries to a follower for a while, because it lacked a text."""
+        self._stripper.note_missing(follower, now)
 
     def copies_to(self, now: float) -> tuple[LeaderHint, ...]:
-        """Return the followers to which nodes are to send texts; none while the link bears them."""
-        if not self.leads or not self._pressure.is_pressed(now):
+        """Return the followers to which nodes send texts; none at low utilization of the link."""
+        if not self.leads or not self._link.is_high(now):
             return ()
         followers = (member for member in self.group.members if member != self.replica)
         known = ((member, self.addresses.get(member)) for member in followers)
         return tuple(LeaderHint(member, address) for member, address in known if address)
 
-    def _step_whole(self, now: float) -> list[Effect]:
-        """Step the messages that are whole, in their order."""
-        whole, lacked = self._cut_messages.ready(now)
+    def _step_restored(self, now: float) -> list[Effect]:
+        """Step the messages that are complete, in order of arrival."""
+        complete, dropped_senders = self._restorer.ready(now)
         effects: list[Effect] = []
-        for sender in lacked:
-            effects.extend(self._tell_lacking(sender))
-        for sender, envelope in whole:
-            effects.extend(self._absorb(self.group.step(sender, envelope.message, now)))
+        for sender in dropped_senders:
+            effects.extend(self._report_missing_text(sender))
+        for sender, envelope in complete:
+            effects.extend(self._persist(self.group.step(sender, envelope.message, now)))
         return effects
 
-    def _tell_lacking(self, sender: ReplicaId) -> list[Effect]:
+    def _report_missing_text(self, sender: ReplicaId) -> list[Effect]:
         address = self.addresses.get(sender)
         if address is None:
             return []
         self._log("ledger_texts_lacking", leader=sender)
-        told = SendPeer(to=sender, address=address, message=TextsLacking())
-        return [*self._take_effects(), told]
+        report = SendPeer(to=sender, address=address, message=MissingTexts())
+        return [*self._take_effects(), report]
 
     def learn_address(self, replica: ReplicaId, address: Address) -> None:
-        """Note where a replica listens."""
+        """Set the address of a replica."""
         self.addresses[replica] = address
 
     def propose(
         self,
         operations: tuple[Operation, ...],
-        ready: ResultsReady,
+        callback: ResultsCallback,
         now: float,
         wall: float,
         copied: tuple[KeptTurn, ...] = (),
-        passed: float = 0.0,
+        leader_time: float = 0.0,
     ) -> list[Effect]:
-        """Propose operations; ``ready`` is called once with their results or None.
+        """Propose operations; ``callback`` is called once with their results or None.
 
-        ``copied`` are turns among them whose texts the followers get from their node.
+        ``copied`` are the turns among them whose texts their node sends to the followers.
         """
         self._now = now
-        command = encode_command(LedgerCommand(time=wall, operations=operations, passed=passed))
+        command = encode_command(
+            LedgerCommand(time=wall, operations=operations, passed=leader_time)
+        )
         proposal = self.group.propose(command, now)
         if not proposal.accepted:
-            return [*self._absorb(list(proposal.effects)), *ready(None)]
-        self._pending[proposal.index] = _Pending(proposal.term, ready)
-        self._pressure.note(len(command) * (len(self.group.members) - 1), now)
-        self._cut_entries.note(proposal.index, proposal.term, command, copied)
-        return self._absorb(list(proposal.effects))
+            return [*self._persist(list(proposal.effects)), *callback(None)]
+        self._pending[proposal.index] = _PendingProposal(proposal.term, callback)
+        self._link.note(len(command) * (len(self.group.members) - 1), now)
+        self._stripper.note(proposal.index, proposal.term, command, copied)
+        return self._persist(list(proposal.effects))
 
     def add_member(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Add a member, if this replica leads and may."""
-        return self._absorb(list(self.group.add_member(member, now).effects))
+        """Add a member, if this replica leads and no other change is pending."""
+        return self._persist(list(self.group.add_member(member, now).effects))
 
     def remove_member(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Remove a member, if this replica leads and may."""
-        return self._absorb(list(self.group.remove_member(member, now).effects))
+        """Remove a member, if this replica leads and no other change is pending."""
+        return self._persist(list(self.group.remove_member(member, now).effects))
 
-    def hand_over(self, member: ReplicaId, now: float) -> list[Effect]:
-        """Hand leadership over."""
-        return self._absorb(self.group.transfer_leadership(member, now))
+    def transfer_leadership(self, member: ReplicaId, now: float) -> list[Effect]:
+        """Transfer leadership to a member."""
+        return self._persist(self.group.transfer_leadership(member, now))
 
     def synced(self, ticket: int) -> list[Effect]:
-        """Carry out what waited for a write, now that it is on the disk."""
+        """Carry out the effects that waited for a write, now synced."""
         self._synced_ticket = max(self._synced_ticket, ticket)
-        while self._held and self._held[0].ticket <= self._synced_ticket:
-            self._release(self._held.popleft().effects)
+        while self._deferred and self._deferred[0].ticket <= self._synced_ticket:
+            self._carry_out(self._deferred.popleft().effects)
         self._compact_if_large()
         return self._take_effects()
 
     # ------------------------------------------------------------ disk
 
-    def _absorb(self, effects: list[RaftEffect]) -> list[Effect]:
-        """Write what changed, and let the effects follow once it is on the disk."""
+    def _persist(self, effects: list[RaftEffect]) -> list[Effect]:
+        """Write changed state, and defer the effects until the write is synced."""
         records: list[DiskRecord] = []
         for effect in effects:
             if isinstance(effect, HardStateChanged):
@@ -356,21 +358,21 @@
             self._ticket += 1
             self._file_bytes += len(data)
             self._effects.append(SyncFile(ticket=self._ticket, name=LOG_FILE, data=data))
-        if records or self._held:
+        if records or self._deferred:
             if effects:
-                self._held.append(_Held(self._ticket, effects))
+                self._deferred.append(_DeferredEffects(self._ticket, effects))
             return
-        self._release(effects)
+        self._carry_out(effects)
 
     def _compact_if_large(self) -> None:
-        """Replace the file by a snapshot and what follows it.
+        """Replace the log file by a snapshot and the entries after it.
 
-        A leader does not: it would be silent meanwhile. The host lets another replica lead;
-        if none can for long, the disk goes before the silence.
+        A leader would be silent meanwhile, so the host first transfers leadership. If that fails
+        for long, the leader compacts to save disk space.
         """
-        if not self.wants_to_compact:
+        if not self.needs_compaction:
             return
-        may_wait = self._file_bytes < COMPACT_GROWTH * self._compact_bytes
+        may_wait = self._file_bytes < COMPACT_GROWTH_FACTOR * self._compact_bytes
         if self.leads and len(self.group.members) > 1 and may_wait:
             return
         self.group.compact(self._applied, encode_state(self._state))
@@ -387,13 +389,13 @@
         data = b"".join(encode_record(record) for record in records)
         self._ticket += 1
         self._file_bytes = len(data)
-        self._compact_bytes = max(self._least_compact_bytes, int(COMPACT_GROWTH * len(data)))
+        self._compact_bytes = max(self._min_compact_bytes, int(COMPACT_GROWTH_FACTOR * len(data)))
         self._effects.append(SyncFile(ticket=self._ticket, name=LOG_FILE, data=data, replace=True))
         self._log("ledger_compacted", index=snapshot.last_index, bytes=len(data))
 
     # ------------------------------------------------------------ effects
 
-    def _release(self, effects: list[RaftEffect]) -> None:
+    def _carry_out(self, effects: list[RaftEffect]) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self._send(effect.to, effect.message)
@@ -402,7 +404,7 @@
             elif isinstance(effect, Restored):
                 self._restore(effect)
             elif isinstance(effect, RoleChanged):
-                self._role_changed(effect)
+                self._handle_role_change(effect)
             elif isinstance(effect, MembersChanged):
                 self._log("members_changed", members=" ".join(effect.members))
 
@@ -410,8 +412,8 @@
         address = self.addresses.get(to)
         if address is not None:
             envelope = ReplicaMessage(sender_address=self._address, message=message)
-            cut = self._cut_entries.cut(to, envelope, self._now)
-            self._effects.append(SendPeer(to=to, address=address, message=cut))
+            stripped = self._stripper.strip(to, envelope, self._now)
+            self._effects.append(SendPeer(to=to, address=address, message=stripped))
 
     def _apply(self, entries: tuple[LogEntry, ...]) -> None:
         was_idle = not self._to_apply
@@ -421,19 +423,19 @@
 
     def _apply_some(self) -> None:
         operations = 0
-        while self._to_apply and operations < APPLIED_AT_ONCE:
+        while self._to_apply and operations < MAX_APPLIED_PER_TICK:
             operations += self._apply_entry(self._to_apply.popleft())
 
     def _apply_entry(self, entry: LogEntry) -> int:
-        """Apply an entry; return the number of its operations, at least one."""
+        """Apply an entry; return the number of its operations, at least 1."""
         self._applied = entry.index
         results: tuple[OperationResult, ...] = ()
         if entry.kind is EntryKind.COMMAND:
             results = self._apply_command(entry.command)
         pending = self._pending.pop(entry.index, None)
         if pending is not None:
-            taken = pending.term == entry.term
-            self._effects.extend(pending.ready(results if taken else None))
+            is_committed = pending.term == entry.term
+            self._effects.extend(pending.callback(results if is_committed else None))
         return max(1, len(results))
 
     def _apply_command(self, data: bytes) -> tuple[OperationResult, ...]:
@@ -451,7 +453,7 @@
         self._applied = effect.snapshot.last_index
         self._log("ledger_restored", index=self._applied, bytes=len(effect.snapshot.data))
 
-    def _role_changed(self, effect: RoleChanged) -> None:
+    def _handle_role_change(self, effect: RoleChanged) -> None:
         self._log(
             "ledger_role_changed",
             role=effect.role.value,
@@ -461,11 +463,11 @@
         )
         if effect.role is RaftRole.LEADER:
             return
-        self._cut_entries.clear()
+        self._stripper.clear()
         pending = list(self._pending.values())
         self._pending.clear()
         for item in pending:
-            self._effects.extend(item.ready(None))
+            self._effects.extend(item.callback(None))
 
     def _log(self, event: str, level: str = "info", **fields: str | int | float | None) -> None:
         self._effects.append(LogRecord(event=event, fields=dict(fields), level=level))
@@ -475,7 +477,7 @@
         self._effects = []
         return effects
 
-    # ------------------------------------------------------------ start
+    # ------------------------------------------------------------ recovery
 
     def _new_group(self, recovered: RecoveredLog, now: float) -> RaftGroup:
         has_run = recovered.hard_state is not None
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -1,8 +1,7 @@
-"""Operations of forwarding nodes on their way into the log: batched, proposed, answered.
+"""Operations of forwarding nodes: queued, proposed in batches, and answered.
 
-An operation that comes again while its first copy is on the way is not proposed once more: its
-asker is answered with the first copy. One whose effect is in the log already is answered from the
-state. So a repetition costs its own bytes and no more.
+A duplicate of a queued or proposed operation is answered together with the first copy. A duplicate
+of an applied operation is answered from the state. Duplicates therefore cost no log entry.
 """
 
 from __future__ import annotations
@@ -15,6 +14,7 @@
 
 from yokeline.effects import Address, Effect, LogRecord, SendPeer
 from yokeline.identifiers import ReplicaId
+from yokeline.ledger.admission_controller import AdmissionController
 from yokeline.ledger.leader_load import LeaderLoad
 from yokeline.ledger.messages import EngineTurns, LedgerReply, LedgerRequest, PoolShares
 from yokeline.ledger.operations import (
@@ -25,33 +25,33 @@
     OperationResult,
     QuotaSpent,
     Settle,
-    size_of,
+    approximate_size,
 )
-from yokeline.ledger.program_gate import ProgramGate
-from yokeline.ledger.quotas import QuotaClock
+from yokeline.ledger.quotas import LeadershipClock
 from yokeline.ledger.replica import LedgerReplica
 from yokeline.ledger.tenant_places import TenantPlaces
 from yokeline.ledger.turns_under_way import TurnsUnderWay
 
-MAX_BATCHED_OPERATIONS = 1024
-"""Operations that may wait for an entry under way; the oldest give way, as their askers have."""
+MAX_QUEUED_OPERATIONS = 1024
+"""Operations that wait for the entry in flight; the oldest are dropped, as their senders have given
+up."""
 MAX_BATCH_BYTES = 64 * 1024
-"""Bytes of an entry after which the next operation goes into the next one: heartbeats wait behind
-an entry on its way to the followers."""
+"""Size after which an entry is closed; heartbeats queue behind the entry on its way to
+followers."""
 
-MAX_DRAWN = 4096
-"""Draws whose results are remembered, so that a repetition takes no second token: at 200 a second
-those of the last 20 s, longer than any of them is repeated. A new leader remembers none."""
+MAX_RECENT_DRAWS = 4096
+"""Draws whose results are remembered, so that a duplicate takes no second token; covers the time
+for which draws are retried. A new leader remembers none."""
 
 OperationKey = tuple[str, str]
-"""Kind and request id: two operations of one key are the same one."""
+"""Type and request id; operations with the same key are duplicates."""
 
 
-class Asker(msgspec.Struct, frozen=True):
-    """Who waits for the result of an operation.
+class Requester(msgspec.Struct, frozen=True):
+    """A process that waits for the result of an operation.
 
     Attributes:
-        number: The asker's own number of the operation.
+        number: Number of the request at that process.
     """
 
     process: ReplicaId
@@ -59,8 +59,8 @@
     number: int
 
 
-class _Waiting(msgspec.Struct):
-    """An operation without a result yet, when it came first, and who asked for it.
+class _QueuedOperation(msgspec.Struct):
+    """An operation without a result, the time of its arrival, and its requesters.
 
     Attributes:
         is_copied: Its node has sent its text to the followers.
@@ -68,83 +68,83 @@
 
     operation: Operation
     since: float
-    askers: list[Asker]
+    requesters: list[Requester]
     is_copied: bool = False
 
-    def add_asker(self, asker: Asker) -> None:
-        if asker not in self.askers:
-            self.askers.append(asker)
+    def add_requester(self, requester: Requester) -> None:
+        if requester not in self.requesters:
+            self.requesters.append(requester)
 
 
 class RequestBatches:
-    """Proposes what came while the last entry was under way as one entry.
+    """Proposes the operations that arrive during one entry together in the next.
 
     Attributes:
-        turns: What nodes have told of the turns under way.
-        places: What they have told of their tenants, and how places are shared between these.
-        operations: Operations asked for so far.
-        load: What is logged of the leader's work.
-        gate: Refuses new programs that their tenants' limits would not carry to their end.
+        turns: The nodes' reports of turns at engines.
+        places: The tenants' loads and shares.
+        operations: Operations received so far.
+        load: Counters of the leader's load, for the log.
+        admission: Refuses new programs that their tenants' limits cannot carry.
     """
 
     def __init__(self, replica: LedgerReplica, wall: Callable[[], float], now: float) -> None:
-        """Propose to ``replica``; ``wall`` reads the time of day (seconds since the epoch)."""
+        """Propose to ``replica``; ``wall`` returns seconds since the epoch."""
         self.turns = TurnsUnderWay()
         self.places = TenantPlaces()
         self.operations = 0
         self.load = LeaderLoad(now)
-        self.gate = ProgramGate()
+        self.admission = AdmissionController()
         self._replica = replica
         self._wall = wall
         self._now = now
-        self._waiting: dict[OperationKey, _Waiting] = {}
-        self._proposed: dict[OperationKey, _Waiting] = {}
-        self._told: tuple[EngineTurns, ...] | None = None
-        self._quota_clock = QuotaClock()
-        self._drawn: OrderedDict[OperationKey, None] = OrderedDict()
+        self._queued: dict[OperationKey, _QueuedOperation] = {}
+        self._proposed: dict[OperationKey, _QueuedOperation] = {}
+        self._engines: tuple[EngineTurns, ...] | None = None
+        self._leadership_clock = LeadershipClock()
+        self._recent_draws: OrderedDict[OperationKey, None] = OrderedDict()
 
     def note_time(self, now: float) -> None:
-        """Note the time of the event that is being handled; answers may come of it."""
+        """Set the time of the event being handled, which answers and proposals use."""
         self._now = now
-        self._told = None
+        self._engines = None
 
     def take(self, sender: ReplicaId, request: LedgerRequest, now: float) -> list[Effect]:
-        """Take a request in, with its report of turns.
+        """Handle a request and its report of turns.
 
-        One without operations gets no answer, unless it wants to know of engines.
+        A request without operations gets no answer, unless it asks for engine data.
         """
         self.note_time(now)
         self._take_turns(sender, request, now)
-        self._take_passed_turns(request, now)
-        asker = Asker(sender, request.asker, request.number)
+        self._take_relayed_turns(request, now)
+        requester = Requester(sender, request.asker, request.number)
         effects: list[Effect] = []
         if request.wants_engines is True and self._replica.leads:
-            effects.append(self._tell_engines(asker))
+            effects.append(self._engines_reply(requester))
         for operation in request.operations:
             self.operations += 1
             self.load.note_operation(operation)
-            effects.extend(self._take_operation(asker, operation, request.is_copied))
+            effects.extend(self._take_operation(requester, operation, request.is_copied))
         return [*effects, *self.propose(now)]
 
     def tick(self, now: float) -> list[Effect]:
-        """Propose what waits, and log the load if it is time."""
+        """Propose queued operations, and log the load if due."""
         self._now = now
         if self._replica.leads:
-            self.gate.tick(self._replica.state(), self._passed())
+            self.admission.tick(self._replica.state(), self._leader_time())
         else:
-            self.gate.stand_down()
-        lines = self.load.report(now, len(self._waiting))
+            self.admission.reset()
+        lines = self.load.report(now, len(self._queued))
         return [*self.propose(now), *lines, *self.places.report(now)]
 
     def propose(self, now: float) -> list[Effect]:
-        """Propose what waits, up to a size, unless an entry is under way."""
+        """Propose queued operations up to the size limit, unless an entry is in flight."""
         self._now = now
-        if self._proposed or not self._waiting:
+        if self._proposed or not self._queued:
             return []
-        oldest_wait = now - next(iter(self._waiting.values())).since
+        oldest_wait = now - next(iter(self._queued.values())).since
         batch = self._take_batch()
         operations = tuple(item.operation for item in batch)
-        size = sum(size_of(operation) for operation in operations)
+        size = sum(approximate_size(operation) for operation in operations)
 
         def answer(results: tuple[OperationResult, ...] | None) -> list[Effect]:
             self._proposed.clear()
@@ -152,14 +152,16 @@
             return self._answer(batch, results)
 
         copied = tuple(turn for item in batch if (turn := _copied_turn(item)) is not None)
-        return self._replica.propose(operations, answer, now, self._wall(), copied, self._passed())
+        return self._replica.propose(
+            operations, answer, now, self._wall(), copied, self._leader_time()
+        )
 
-    def _passed(self) -> float:
-        """Return the time that has passed under all leaders so far."""
+    def _leader_time(self) -> float:
+        """Return the current leader time in seconds."""
         applied = self._replica.state().quotas.time
-        return self._quota_clock.time(self._replica.group.term, applied, self._now)
+        return self._leadership_clock.time(self._replica.group.term, applied, self._now)
 
-    # ------------------------------------------------------------ operations in
+    # ------------------------------------------------------------ requests
 
     def _take_turns(self, sender: ReplicaId, request: LedgerRequest, now: float) -> None:
         if not self._replica.leads:
@@ -170,57 +172,63 @@
             if not isinstance(request.tenant_loads, UnsetType):
                 self.places.take(sender, request.turns.sequence, request.tenant_loads, now)
 
-    def _take_passed_turns(self, request: LedgerRequest, now: float) -> None:
-        """Take the report of a node that reaches the leader through another one."""
-        passed = request.passed_turns
-        if isinstance(passed, UnsetType) or not self._replica.leads:
+    def _take_relayed_turns(self, request: LedgerRequest, now: float) -> None:
+        """Handle the report of a node that reaches the leader through another node."""
+        relayed = request.passed_turns
+        if isinstance(relayed, UnsetType) or not self._replica.leads:
             return
-        self.turns.take(passed.process, passed.turns, now)
-        if passed.tenant_loads is not None:
-            self.places.take(passed.process, passed.turns.sequence, passed.tenant_loads, now)
+        self.turns.take(relayed.process, relayed.turns, now)
+        if relayed.tenant_loads is not None:
+            self.places.take(relayed.process, relayed.turns.sequence, relayed.tenant_loads, now)
 
-    def _take_operation(self, asker: Asker, operation: Operation, is_copied: bool) -> list[Effect]:
+    def _take_operation(
+        self, requester: Requester, operation: Operation, is_copied: bool
+    ) -> list[Effect]:
         key = _key_of(operation)
-        for stage, known in (("waiting", self._waiting), ("proposed", self._proposed)):
+        for stage, known in (("waiting", self._queued), ("proposed", self._proposed)):
             if key in known:
-                known[key].add_asker(asker)
-                self.load.note_repetition(stage)
+                known[key].add_requester(requester)
+                self.load.note_duplicate(stage)
                 return []
-        result = Drawn() if key in self._drawn else self._replica.state().known_result(operation)
+        result = (
+            Drawn() if key in self._recent_draws else self._replica.state().known_result(operation)
+        )
         if result is not None and self._replica.leads:
-            self.load.note_repetition("applied")
-            return [self._reply(asker, result)]
+            self.load.note_duplicate("applied")
+            return [self._reply(requester, result)]
         if self._replica.leads:
             spent, lines = self._refusal(operation)
             if spent is not None:
-                return [*lines, self._reply(asker, spent)]
-        self._waiting[key] = _Waiting(operation, self._now, [asker], is_copied)
-        if len(self._waiting) > MAX_BATCHED_OPERATIONS:
-            oldest = self._waiting.pop(next(iter(self._waiting)))
-            self.gate.give_up(oldest.operation)
+                return [*lines, self._reply(requester, spent)]
+        self._queued[key] = _QueuedOperation(operation, self._now, [requester], is_copied)
+        if len(self._queued) > MAX_QUEUED_OPERATIONS:
+            oldest = self._queued.pop(next(iter(self._queued)))
+            self.admission.cancel(oldest.operation)
         return []
 
     def _refusal(self, operation: Operation) -> tuple[QuotaSpent | None, list[LogRecord]]:
-        """Return the refusal by its tenant's limit of an operation that came for the first time.
+        """Return the refusal of a new operation by its tenant's limit, and log lines.
 
-        Repetitions were answered before: they are on their way into the log, or in the state.
+        Duplicates were answered before.
         """
         replica = self._replica
-        return self.gate.refusal(operation, replica.state(), replica.group.term, self._passed())
+        return self.admission.refusal(
+            operation, replica.state(), replica.group.term, self._leader_time()
+        )
 
-    def _take_batch(self) -> list[_Waiting]:
-        """Take the oldest operations that fit an entry out of those that wait."""
+    def _take_batch(self) -> list[_QueuedOperation]:
+        """Take the oldest operations that fit into one entry from the queue."""
         size = 0
-        while self._waiting and size < MAX_BATCH_BYTES:
-            key = next(iter(self._waiting))
-            self._proposed[key] = self._waiting.pop(key)
-            size += size_of(self._proposed[key].operation)
+        while self._queued and size < MAX_BATCH_BYTES:
+            key = next(iter(self._queued))
+            self._proposed[key] = self._queued.pop(key)
+            size += approximate_size(self._proposed[key].operation)
         return list(self._proposed.values())
 
-    # ------------------------------------------------------------ answers out
+    # ------------------------------------------------------------ answers
 
     def _answer(
-        self, batch: list[_Waiting], results: tuple[OperationResult, ...] | None
+        self, batch: list[_QueuedOperation], results: tuple[OperationResult, ...] | None
     ) -> list[Effect]:
         effects: list[Effect] = []
         for number, item in enumerate(batch):
@@ -228,52 +236,52 @@
             self._note_result(item.operation, result)
             if isinstance(result, Drawn):
                 self._note_drawn(item.operation)
-            effects.extend(self._reply(asker, result) for asker in item.askers)
+            effects.extend(self._reply(requester, result) for requester in item.requesters)
         return effects
 
     def _note_result(self, operation: Operation, result: OperationResult | None) -> None:
         replica = self._replica
-        self.gate.note_result(operation, result, replica.state(), replica.group.term)
+        self.admission.note_result(operation, result, replica.state(), replica.group.term)
 
     def _note_drawn(self, operation: Operation) -> None:
-        self._drawn[_key_of(operation)] = None
-        if len(self._drawn) > MAX_DRAWN:
-            self._drawn.popitem(last=False)
+        self._recent_draws[_key_of(operation)] = None
+        if len(self._recent_draws) > MAX_RECENT_DRAWS:
+            self._recent_draws.popitem(last=False)
 
-    def _reply(self, asker: Asker, result: OperationResult | None) -> Effect:
+    def _reply(self, requester: Requester, result: OperationResult | None) -> Effect:
         is_granted = isinstance(result, Granted)
         reply = LedgerReply(
-            number=asker.number,
+            number=requester.number,
             results=() if result is None else (result,),
             leader=self._replica.leader_hint(),
             term=self._replica.group.term,
-            engines=self._engines_now() if is_granted else (),
+            engines=self._current_engines() if is_granted else (),
             copies_to=self._replica.copies_to(self._now) if is_granted else (),
-            shares=self._shares_now() if is_granted else UNSET,
+            shares=self._current_shares() if is_granted else UNSET,
         )
         self.load.note_reply(reply)
-        return SendPeer(to=asker.process, address=asker.address, message=reply)
+        return SendPeer(to=requester.process, address=requester.address, message=reply)
 
-    def _tell_engines(self, asker: Asker) -> Effect:
-        """Tell a node of engines that has asked for nothing else."""
+    def _engines_reply(self, requester: Requester) -> Effect:
+        """Return the answer to a request for engine data alone."""
         reply = LedgerReply(
-            number=asker.number,
+            number=requester.number,
             leader=self._replica.leader_hint(),
             term=self._replica.group.term,
-            engines=self._engines_now(),
-            shares=self._shares_now(),
+            engines=self._current_engines(),
+            shares=self._current_shares(),
         )
         self.load.note_reply(reply)
-        return SendPeer(to=asker.process, address=asker.address, message=reply)
+        return SendPeer(to=requester.process, address=requester.address, message=reply)
 
-    def _engines_now(self) -> tuple[EngineTurns, ...]:
-        """Return what is known of engines, worked out once for all answers of one moment."""
-        if self._told is None:
-            self._told = self.turns.engines(self._now)
-        return self._told
+    def _current_engines(self) -> tuple[EngineTurns, ...]:
+        """Return the data on engines, computed once per event."""
+        if self._engines is None:
+            self._engines = self.turns.engines(self._now)
+        return self._engines
 
-    def _shares_now(self) -> tuple[PoolShares, ...] | UnsetType:
-        """Return how places are shared; nothing until a node has told of tenants."""
+    def _current_shares(self) -> tuple[PoolShares, ...] | UnsetType:
+        """Return the tenants' shares; unset until a node has reported loads of tenants."""
         return self.places.shares(self._now) if self.places.is_used else UNSET
 
 
@@ -281,8 +289,8 @@
     return (type(operation).__name__, operation.request_id)
 
 
-def _copied_turn(item: _Waiting) -> KeptTurn | None:
-    """Return the turn of an operation whose text followers get from its node."""
+def _copied_turn(item: _QueuedOperation) -> KeptTurn | None:
+    """Return the turn of an operation whose text followers receive from its node."""
     if not item.is_copied or not isinstance(item.operation, Settle):
         return None
     return item.operation.turn
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -1,8 +1,8 @@
-"""What the ledger's leader knows of the places that tenants have, and how these are shared.
+"""The leader's data on tenants' use of engines, and their shares.
 
-Nodes tell what their tenants have at engines and what waits, with their reports of turns. Like
-the book of turns it is neither replicated nor kept: it is whole again once each node has reported,
-and a node that falls silent counts no more.
+Places are the requests that a pool's engines serve concurrently. Nodes report their tenants'
+running and waiting turns together with their own turns. The data is neither replicated nor stored:
+a new leader has it once each node has reported, and the loads of silent nodes are dropped.
 """
 
 from __future__ import annotations
@@ -18,25 +18,24 @@
 from yokeline.ledger.node_reports import NodeReports
 from yokeline.scheduling.tenant_shares import Shares, TenantDemand, shares_of
 
-SHARES_SECONDS = 0.025
-"""Age up to which shares are told without being worked out anew; turns last longer by far."""
-SHARES_SECONDS_PER_TENANT = 4e-5
-"""The same for each tenant, if that is longer, so that the cost does not grow with their number."""
-CALM_SECONDS = 1.0
-"""Time within its share after which a tenant is logged as such; turns end all the time, so that
-one which asks for more comes and goes several times a second."""
-MAX_LOGGED = 32
-"""Tenants whose way beyond their share and back is logged; more at once are not told apart."""
+SHARES_MAX_AGE_SECONDS = 0.025
+"""Age up to which computed shares are reused; short in comparison with the duration of a turn."""
+SHARES_MAX_AGE_SECONDS_PER_TENANT = 4e-5
+"""Maximum age per tenant, if that is longer, to bound the cost with many tenants."""
+WITHIN_SHARE_LOG_SECONDS = 1.0
+"""Time within its share after which a tenant is logged as such; suppresses short changes."""
+MAX_LOGGED_TENANTS = 32
+"""Tenants tracked in the log; changes of further ones are not logged."""
 MAX_TENANTS = 4096
-"""Tenants of one pool; the load of more is not counted."""
-LEAST_WEIGHT = 1e-6
+"""Tenants of one pool; loads of further ones are not counted."""
+MIN_WEIGHT = 1e-6
 LEVEL_DIGITS = 3
 
 TenantOfPool = tuple[str, str]
 
 
 class _Pool(msgspec.Struct):
-    """The sums of one pool over all nodes; demands by tenant."""
+    """Sums of one pool over all nodes, and demands by tenant."""
 
     places: int = 0
     wanted: int = 0
@@ -44,11 +43,11 @@
     demands: dict[str, TenantDemand] = msgspec.field(default_factory=dict)
 
     def add(self, load: TenantLoad) -> None:
-        """Count what a node tells of a tenant."""
-        self._change(load, 1, max(LEAST_WEIGHT, load.weight))
+        """Add a node's load of a tenant."""
+        self._change(load, 1, max(MIN_WEIGHT, load.weight))
 
     def remove(self, load: TenantLoad) -> None:
-        """Count it no more."""
+        """Subtract a node's load of a tenant."""
         self._change(load, -1, self.demands[load.tenant].weight)
 
     def _change(self, load: TenantLoad, sign: int, weight: float) -> None:
@@ -65,76 +64,76 @@
             self.demands.pop(load.tenant, None)
 
     def shares(self) -> Shares:
-        """Return how the places are shared; without a look at each tenant if there are enough."""
+        """Return the shares of the pool; skips the computation if there are enough places."""
         if not self.waiting or self.wanted <= self.places:
             return Shares()
         return shares_of(self.demands.values(), self.places)
 
 
 class TenantPlaces:
-    """The latest rows of each node, their sums by pool and tenant, and the shares.
+    """The latest loads of each node, their sums by pool and tenant, and the shares.
 
     Attributes:
-        is_used: A node has told of tenants.
+        is_used: A node has reported loads of tenants.
     """
 
     def __init__(self) -> None:
-        """Know of no tenant."""
+        """Start without loads."""
         self.is_used = False
         self._nodes = NodeReports[PoolLoad]()
         self._pools: dict[str, _Pool] = {}
         self._shares: dict[str, Shares] = {}
-        self._told: tuple[PoolShares, ...] = ()
-        self._shared_at = -math.inf
-        self._beyond_at: dict[TenantOfPool, float] = {}
+        self._messages: tuple[PoolShares, ...] = ()
+        self._computed_at = -math.inf
+        self._beyond_share_at: dict[TenantOfPool, float] = {}
 
     def take(
         self, process: ReplicaId, sequence: int, loads: tuple[PoolLoad, ...], now: float
     ) -> None:
-        """Take the rows of a node's process in, unless later ones came before."""
-        if not self._nodes.has_room(process) or not self._nodes.is_news(process, sequence):
+        """Handle the loads reported by a node, unless they are outdated."""
+        if not self._nodes.has_room(process) or not self._nodes.is_newer(process, sequence):
             return
         self.is_used = True
-        self._count_no_more(self._nodes.take_out(process))
-        counted = tuple(self._counted(load) for load in loads)
-        self._nodes.put(process, sequence, counted, now)
-        for load in counted:
+        self._subtract(self._nodes.pop_report(process))
+        countable = tuple(self._countable(load) for load in loads)
+        self._nodes.put(process, sequence, countable, now)
+        for load in countable:
             pool = self._pools.setdefault(load.pool, _Pool())
             pool.places = load.places
             for row in load.tenants:
                 pool.add(row)
 
     def clear(self) -> None:
-        """Forget everything, since another replica leads."""
+        """Drop all data, because another replica leads."""
         self.is_used = False
         self._nodes.clear()
         self._pools.clear()
         self._shares.clear()
-        self._told = ()
-        self._shared_at = -math.inf
-        self._beyond_at.clear()
+        self._messages = ()
+        self._computed_at = -math.inf
+        self._beyond_share_at.clear()
 
     def shares(self, now: float) -> tuple[PoolShares, ...]:
-        """Return how the places are shared in the pools that have too few of them."""
+        """Return the shares of the pools that have too few places."""
         self._forget_silent(now)
-        if now - self._shared_at < self._pause():
-            return self._told
-        self._shared_at = now
+        if now - self._computed_at < self._max_age():
+            return self._messages
+        self._computed_at = now
         self._shares = {
             name: shares
             for name, pool in self._pools.items()
             if not math.isinf((shares := pool.shares()).level)
         }
-        self._told = tuple(_told(name, shares) for name, shares in self._shares.items())
-        return self._told
+        self._messages = tuple(_to_message(name, shares) for name, shares in self._shares.items())
+        return self._messages
 
-    def _pause(self) -> float:
-        """Return for how long shares are told without being worked out anew (seconds)."""
+    def _max_age(self) -> float:
+        """Return the time for which computed shares are reused, in seconds."""
         tenants = sum(len(pool.demands) for pool in self._pools.values())
-        return max(SHARES_SECONDS, SHARES_SECONDS_PER_TENANT * tenants)
+        return max(SHARES_MAX_AGE_SECONDS, SHARES_MAX_AGE_SECONDS_PER_TENANT * tenants)
 
     def gauges(self) -> dict[str, float]:
-        """Return the level of each pool with too few places, and the turns of who is beyond it."""
+        """Return the level of each pool with too few places, and the turns of tenants beyond it."""
         gauges: dict[str, float] = {}
         for pool, shares in self._shares.items():
             gauges[f'yokeline_ledger_share_level{{pool="{pool}"}}'] = shares.level
@@ -144,31 +143,31 @@
         return gauges
 
     def report(self, now: float) -> list[LogRecord]:
-        """Return a line for each tenant that came to be beyond its share, or no longer is."""
-        if not self._shares and not self._beyond_at:
+        """Return a log line for each tenant that has exceeded its share, or no longer does."""
+        if not self._shares and not self._beyond_share_at:
             return []
         lines: list[LogRecord] = []
         self.shares(now)
         for pool, shares in self._shares.items():
             for item in shares.beyond:
                 lines.extend(self._note_beyond(pool, shares, item, now))
-        for key, seen_at in list(self._beyond_at.items()):
-            if now - seen_at >= CALM_SECONDS:
-                del self._beyond_at[key]
-                lines.append(_line("tenant_within_share", key))
+        for key, seen_at in list(self._beyond_share_at.items()):
+            if now - seen_at >= WITHIN_SHARE_LOG_SECONDS:
+                del self._beyond_share_at[key]
+                lines.append(_log_record("tenant_within_share", key))
         return lines
 
     def _note_beyond(
         self, pool: str, shares: Shares, item: TenantDemand, now: float
     ) -> list[LogRecord]:
         key = (pool, item.tenant)
-        is_new = key not in self._beyond_at
-        if is_new and len(self._beyond_at) >= MAX_LOGGED:
+        is_new = key not in self._beyond_share_at
+        if is_new and len(self._beyond_share_at) >= MAX_LOGGED_TENANTS:
             return []
-        self._beyond_at[key] = now
+        self._beyond_share_at[key] = now
         if not is_new:
             return []
-        line = _line(
+        line = _log_record(
             "tenant_beyond_share",
             key,
             running=item.running,
@@ -180,34 +179,34 @@
         )
         return [line]
 
-    def _counted(self, load: PoolLoad) -> PoolLoad:
-        """Leave out the rows that count nothing or would be too many for the pool."""
+    def _countable(self, load: PoolLoad) -> PoolLoad:
+        """Return the load without empty rows, and without tenants beyond :data:`MAX_TENANTS`."""
         pool = self._pools.get(load.pool)
         rows = tuple(row for row in load.tenants if row.running > 0 or row.waiting > 0)
         if pool is not None and len(pool.demands) >= MAX_TENANTS:
             rows = tuple(row for row in rows if row.tenant in pool.demands)
         return msgspec.structs.replace(load, tenants=rows)
 
-    def _count_no_more(self, loads: Iterable[PoolLoad]) -> None:
+    def _subtract(self, loads: Iterable[PoolLoad]) -> None:
         for load in loads:
             for row in load.tenants:
                 self._pools[load.pool].remove(row)
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.take_out_silent(now)
+        silent = self._nodes.pop_silent_loads(now)
         if silent is None:
             return
-        self._count_no_more(silent)
+        self._subtract(silent)
         for name, pool in list(self._pools.items()):
             if not pool.demands:
                 del self._pools[name]
 
 
-def _told(pool: str, shares: Shares) -> PoolShares:
+def _to_message(pool: str, shares: Shares) -> PoolShares:
     beyond = tuple(item.tenant for item in shares.beyond)
     return PoolShares(pool, round(shares.level, LEVEL_DIGITS), beyond)
 
 
-def _line(event: str, key: TenantOfPool, **fields: str | float) -> LogRecord:
+def _log_record(event: str, key: TenantOfPool, **fields: str | float) -> LogRecord:
     pool, tenant = key
     return LogRecord(event=event, fields={"tenant": tenant, "pool": pool, **fields})
--- a/src/yokeline/ledger/text_copies.py
+++ b/src/yokeline/ledger/text_copies.py
@@ -1,11 +1,10 @@
-"""Texts of kept turns that reach the followers from the node that has them, not from the leader.
-
-A leader that sends each text to all followers needs four times the texts' bytes on its link, which
-binds first when turns are long and links are small. So when its followers' share of its link grows
-large, it asks nodes to send each text to the followers as well (:class:`TextCopy`); what it sends
-them then is the log entry without the texts, and they put the entry together again, byte for byte,
-as a checksum shows. A follower that lacks a text says so and gets whole entries for a while. So
-the log, its order and what a majority holds are as before; only the way of the bytes differs.
+"""Replicates texts of retained turns from their nodes to the followers, past the leader.
+
+Sending every text to all followers takes most of the leader's link when turns are long. At high
+utilization, the leader asks nodes to send the texts to the followers as well (:class:`TextCopy`),
+and strips them from the log entries that it sends. Followers insert the texts again and verify a
+checksum of the entry. A follower that lacks a text reports it and receives complete entries for a
+while. The log itself is unaffected.
 """
 
 from __future__ import annotations
@@ -18,25 +17,26 @@
 
 from yokeline.consensus.messages import AppendEntries, LogEntry
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.messages import EntryCuts, ReplicaMessage, TextCut
+from yokeline.ledger.messages import ReplicaMessage, StrippedTexts, TextSpan
 from yokeline.ledger.operations import KeptTurn
 
-LEAST_TEXT_BYTES = 512
-"""A shorter text is sent with its entry: a message of its own costs about as much."""
+MIN_TEXT_BYTES = 512
+"""Shorter texts are sent with their entry; a separate message costs about as much."""
 MAX_CACHED_BYTES = 8 * 1024 * 1024
-"""Texts that a follower keeps for entries that have not come yet: five seconds of the busiest
-deployment played (1.2 MB a second)."""
-MAX_ENTRIES = 512
-"""Entries of which a leader remembers the texts; a follower lags by fewer, or gets them whole."""
-HOLD_SECONDS = 0.02
-"""Time for which a follower waits for a text: it was sent before the entry was proposed, on a link
-that may be as slow as 15 Mbit/s (a text of 14 kB takes 7 ms there)."""
-WHOLE_SECONDS = 0.5
-"""Time for which a follower that lacked a text gets whole entries."""
+"""Bytes of texts that a follower caches for entries that have not arrived yet; some seconds of a
+busy deployment."""
+MAX_TRACKED_ENTRIES = 512
+"""Entries whose texts a leader can strip; a follower that lags further behind gets them
+complete."""
+MISSING_TEXT_WAIT_SECONDS = 0.02
+"""Time for which a follower waits for a missing text, which was sent before its entry was proposed;
+covers the transmission of a long text over a slow link."""
+FULL_ENTRIES_SECONDS = 0.5
+"""Time for which a follower that lacked a text gets complete entries."""
 
 
 class TextCache:
-    """Texts that nodes have sent to a follower, the oldest dropped first."""
+    """Texts received by a follower; the oldest are evicted first."""
 
     def __init__(self) -> None:
         """Create an empty cache."""
@@ -44,7 +44,7 @@
         self._bytes = 0
 
     def put(self, turn_id: str, text: bytes) -> None:
-        """Keep a text for a while."""
+        """Cache a text."""
         before = self._texts.pop(turn_id, b"")
         self._texts[turn_id] = text
         self._bytes += len(text) - len(before)
@@ -53,112 +53,112 @@
             self._bytes -= len(oldest)
 
     def get(self, turn_id: str) -> bytes | None:
-        """Return a text; None if it did not come or was dropped."""
+        """Return a text; None if it has not arrived or was evicted."""
         return self._texts.get(turn_id)
 
 
-class CutEntries:
-    """The entries of one leader whose texts followers have from elsewhere."""
+class TextStripper:
+    """Strips texts from the entries that a leader sends."""
 
     def __init__(self) -> None:
-        """Know of none."""
-        self._cuts: OrderedDict[int, EntryCuts] = OrderedDict()
-        self._whole_until: dict[ReplicaId, float] = {}
+        """Create a stripper without known texts."""
+        self._stripped: OrderedDict[int, StrippedTexts] = OrderedDict()
+        self._full_entries_until: dict[ReplicaId, float] = {}
 
     def note(self, index: int, term: int, command: bytes, turns: Iterable[KeptTurn]) -> None:
-        """Note that followers have the texts of some turns of a proposed entry."""
-        cuts: list[TextCut] = []
+        """Note a proposed entry, and the turns whose texts followers receive from their node."""
+        cuts: list[TextSpan] = []
         end = 0
         for turn in turns:
             offset = command.find(turn.text, end)
             if offset >= 0:
-                cuts.append(TextCut(offset, len(turn.text), turn.turn_id))
+                cuts.append(TextSpan(offset, len(turn.text), turn.turn_id))
                 end = offset + len(turn.text)
         if cuts:
             digest = xxhash.xxh3_128_digest(command)
-            self._cuts[index] = EntryCuts(index, term, digest, tuple(cuts))
-        while len(self._cuts) > MAX_ENTRIES:
-            self._cuts.popitem(last=False)
+            self._stripped[index] = StrippedTexts(index, term, digest, tuple(cuts))
+        while len(self._stripped) > MAX_TRACKED_ENTRIES:
+            self._stripped.popitem(last=False)
 
     def clear(self) -> None:
-        """Forget all, since another replica leads."""
-        self._cuts.clear()
+        """Forget all entries, because another replica leads."""
+        self._stripped.clear()
 
-    def lacked(self, follower: ReplicaId, now: float) -> None:
-        """Note that a follower did not have a text."""
-        self._whole_until[follower] = now + WHOLE_SECONDS
+    def note_missing(self, follower: ReplicaId, now: float) -> None:
+        """Note that a follower lacked a text."""
+        self._full_entries_until[follower] = now + FULL_ENTRIES_SECONDS
 
-    def cut(self, follower: ReplicaId, envelope: ReplicaMessage, now: float) -> ReplicaMessage:
-        """Return a message for a follower without the texts that it has."""
+    def strip(self, follower: ReplicaId, envelope: ReplicaMessage, now: float) -> ReplicaMessage:
+        """Return a message without the texts that the follower has received."""
         message = envelope.message
-        if not isinstance(message, AppendEntries) or not self._cuts:
+        if not isinstance(message, AppendEntries) or not self._stripped:
             return envelope
-        if now < self._whole_until.get(follower, now):
+        if now < self._full_entries_until.get(follower, now):
             return envelope
-        found = {item.index: item for item in map(self._cuts_of, message.entries) if item}
-        if not found:
+        stripped = {item.index: item for item in map(self._stripped_texts, message.entries) if item}
+        if not stripped:
             return envelope
         entries = tuple(
-            _without_texts(entry, found[entry.index]) if entry.index in found else entry
+            _strip_texts(entry, stripped[entry.index]) if entry.index in stripped else entry
             for entry in message.entries
         )
         return ReplicaMessage(
             sender_address=envelope.sender_address,
             message=msgspec.structs.replace(message, entries=entries),
-            cuts=tuple(found.values()),
+            cuts=tuple(stripped.values()),
         )
 
-    def _cuts_of(self, entry: LogEntry) -> EntryCuts | None:
-        cuts = self._cuts.get(entry.index)
+    def _stripped_texts(self, entry: LogEntry) -> StrippedTexts | None:
+        cuts = self._stripped.get(entry.index)
         return cuts if cuts is not None and cuts.term == entry.term else None
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _PendingMessage(msgspec.Struct, frozen=True):
     sender: ReplicaId
     envelope: ReplicaMessage
     until: float
 
 
-class CutMessages:
-    """Messages that reach a follower without texts, in their order.
+class TextRestorer:
+    """Restores messages without texts, in order of arrival.
 
     Attributes:
-        texts: What nodes have sent.
-        restored: Entries put together so far.
-        lacking: Messages dropped, since a text did not come.
+        texts: The texts received from nodes.
+        restored: Entries restored so far.
+        incomplete: Messages dropped because a text was missing.
     """
 
     def __init__(self) -> None:
-        """Hold none."""
+        """Create a restorer without messages."""
         self.texts = TextCache()
         self.restored = 0
-        self.lacking = 0
-        self._held: deque[_Held] = deque()
+        self.incomplete = 0
+        self._pending: deque[_PendingMessage] = deque()
 
     def take(self, sender: ReplicaId, envelope: ReplicaMessage, now: float) -> None:
-        """Take a message in; :meth:`ready` gives it out."""
-        self._held.append(_Held(sender, envelope, now + HOLD_SECONDS))
+        """Queue a message for :meth:`ready`."""
+        self._pending.append(_PendingMessage(sender, envelope, now + MISSING_TEXT_WAIT_SECONDS))
 
     def ready(self, now: float) -> tuple[list[tuple[ReplicaId, ReplicaMessage]], list[ReplicaId]]:
-        """Return the whole messages that may be stepped, and the senders of those dropped."""
-        whole: list[tuple[ReplicaId, ReplicaMessage]] = []
-        lacked: list[ReplicaId] = []
-        while self._held:
-            held = self._held[0]
-            restored = self._restore(held.envelope)
-            if restored is None and now < held.until:
+        """Return the complete messages, and the senders of dropped ones."""
+        complete: list[tuple[ReplicaId, ReplicaMessage]] = []
+        dropped_senders: list[ReplicaId] = []
+        while self._pending:
+            pending = self._pending[0]
+            restored = self._restore(pending.envelope)
+            if restored is None and now < pending.until:
                 break
-            self._held.popleft()
+            self._pending.popleft()
             if restored is None:
-                self.lacking += 1
-                lacked.append(held.sender)
+                self.incomplete += 1
+                dropped_senders.append(pending.sender)
             else:
-                whole.append((held.sender, restored))
-        return whole, lacked
+                complete.append((pending.sender, restored))
+        return complete, dropped_senders
 
     def next_deadline(self) -> float | None:
-        """Return when the first held message has waited long enough."""
-        return self._held[0].until if self._held else None
+        """Return when the first queued message expires."""
+        return self._pending[0].until if self._pending else None
 
     def _restore(self, envelope: ReplicaMessage) -> ReplicaMessage | None:
         message = envelope.message
@@ -167,10 +167,10 @@
         cuts = {item.index: item for item in envelope.cuts}
         entries: list[LogEntry] = []
         for entry in message.entries:
-            whole = _with_texts(entry, cuts.get(entry.index), self.texts)
-            if whole is None:
+            complete = _insert_texts(entry, cuts.get(entry.index), self.texts)
+            if complete is None:
                 return None
-            entries.append(whole)
+            entries.append(complete)
         self.restored += len(cuts)
         return ReplicaMessage(
             sender_address=envelope.sender_address,
@@ -178,31 +178,31 @@
         )
 
 
-def _without_texts(entry: LogEntry, cuts: EntryCuts) -> LogEntry:
+def _strip_texts(entry: LogEntry, cuts: StrippedTexts) -> LogEntry:
     parts: list[bytes] = []
     start = 0
-    for cut in cuts.cuts:
-        parts.append(entry.command[start : cut.offset])
-        start = cut.offset + cut.size
+    for span in cuts.cuts:
+        parts.append(entry.command[start : span.offset])
+        start = span.offset + span.size
     parts.append(entry.command[start:])
     return msgspec.structs.replace(entry, command=b"".join(parts))
 
 
-def _with_texts(entry: LogEntry, cuts: EntryCuts | None, texts: TextCache) -> LogEntry | None:
-    """Return the entry as its leader has it; None if a text is not there or another one."""
+def _insert_texts(entry: LogEntry, cuts: StrippedTexts | None, texts: TextCache) -> LogEntry | None:
+    """Return the leader's entry; None if a text is missing or does not match the checksum."""
     if cuts is None:
         return entry
     parts: list[bytes] = []
     taken = 0
     filled = 0
-    for cut in cuts.cuts:
-        text = texts.get(cut.turn_id)
-        if text is None or len(text) != cut.size:
+    for span in cuts.cuts:
+        text = texts.get(span.turn_id)
+        if text is None or len(text) != span.size:
             return None
-        between = cut.offset - filled
+        between = span.offset - filled
         parts.extend((entry.command[taken : taken + between], text))
         taken += between
-        filled = cut.offset + cut.size
+        filled = span.offset + span.size
     parts.append(entry.command[taken:])
     command = b"".join(parts)
     if xxhash.xxh3_128_digest(command) != cuts.digest:
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -1,10 +1,9 @@
-"""What the ledger's leader knows of engines: turns under way, and how engines served the last ones.
+"""The leader's data on engines: running turns, and outcomes of recent ones.
 
-Every turn asks the leader before it is sent, and its node tells the leader of all turns that it
-has at engines, so the leader sees the load of all nodes some milliseconds old, where reports
-between nodes are a few tenths of a second old. The book is not replicated and not on the disk: a
-new leader begins with an empty one, which is whole again once each node has reported. Nothing but
-the choice of an engine depends on it.
+Nodes report all their turns at engines with the operations that precede each turn, so the leader's
+data is more recent than the load reports between nodes. It is neither replicated nor stored: a new
+leader starts without data, and has it once each node has reported. Only the choice of an engine
+depends on it.
 """
 
 from __future__ import annotations
@@ -28,26 +27,27 @@
 from yokeline.ledger.node_reports import NodeReports
 from yokeline.scheduling.engine_profiles import EngineProfile
 
-FORGET_SECONDS = 15.0
-"""An engine without turns of which nothing was seen for this long may be forgotten if there are
-too many to tell."""
-PROFILE_SECONDS = 120.0
-"""The same for any engine: its profile weighs next to nothing by then, or the engine has gone."""
-MAX_ENGINES_TOLD = 256
-"""Engines told with one answer; in a larger fleet nodes go by the load reports alone."""
-WEIGHT = 0.15
+IDLE_ENGINE_SECONDS = 15.0
+"""Time without reports after which an engine without turns may be dropped, if there are too many
+engines to report."""
+PROFILE_RETENTION_SECONDS = 120.0
+"""Time without reports after which any engine without turns is dropped; its profile carries almost
+no weight by then."""
+MAX_ENGINES_REPORTED = 256
+"""Engines listed in one answer; in a larger fleet nodes rely on the load reports alone."""
+SLOWNESS_WEIGHT = 0.15
 """Weight of one turn in an engine's slowness."""
-FADE_SECONDS = 4.0
-"""Time in which the slowness of an engine fades to a third without new turns."""
+SLOWNESS_DECAY_SECONDS = 4.0
+"""Time constant with which an engine's slowness decays without new turns."""
 
 
 class _EngineRecord(msgspec.Struct):
     running: int = 0
-    told_at: float = -math.inf
+    updated_at: float = -math.inf
     is_app: bool = False
     profile: EngineProfile = msgspec.field(default_factory=EngineProfile)
     slowness: FadingAverage = msgspec.field(
-        default_factory=lambda: FadingAverage(1.0, WEIGHT, FADE_SECONDS)
+        default_factory=lambda: FadingAverage(1.0, SLOWNESS_WEIGHT, SLOWNESS_DECAY_SECONDS)
     )
 
 
@@ -55,49 +55,49 @@
     """The latest report of each node, and the engines by id."""
 
     def __init__(self) -> None:
-        """Know of no turn."""
+        """Start without reports."""
         self._nodes = NodeReports[EngineLoad]()
         self._engines: dict[str, _EngineRecord] = {}
 
     def __len__(self) -> int:
-        """Return how many turns are under way."""
+        """Return the number of running turns."""
         return sum(record.running for record in self._engines.values())
 
     def take(self, process: ReplicaId, report: NodeTurns, now: float) -> None:
-        """Take the report of a node's process in, unless a later one came before."""
+        """Handle a node's report; the loads of an outdated one are ignored."""
         if not self._nodes.has_room(process):
             return
         for served in report.served:
             self._note_served(served, now)
-        if not self._nodes.is_news(process, report.sequence):
+        if not self._nodes.is_newer(process, report.sequence):
             return
-        self._count_no_more(self._nodes.take_out(process))
+        self._subtract(self._nodes.pop_report(process))
         self._nodes.put(process, report.sequence, report.loads, now)
         for load in report.loads:
             record = self._engine(load.engine_id)
             record.running += load.running
-            record.told_at = now
+            record.updated_at = now
 
     def clear(self) -> None:
-        """Forget everything, since another replica leads."""
+        """Drop all data, because another replica leads."""
         self._nodes.clear()
         self._engines.clear()
 
     def engines(self, now: float) -> tuple[EngineTurns, ...]:
-        """Return what is known of engines; empty if there are too many of them to tell."""
+        """Return the data on all engines; empty if there are too many engines."""
         self._forget_silent(now)
-        if len(self._engines) > MAX_ENGINES_TOLD:
-            self._forget_idle(now, FORGET_SECONDS)
-            if len(self._engines) > MAX_ENGINES_TOLD:
+        if len(self._engines) > MAX_ENGINES_REPORTED:
+            self._forget_idle(now, IDLE_ENGINE_SECONDS)
+            if len(self._engines) > MAX_ENGINES_REPORTED:
                 return ()
-        return tuple(_told(name, item, now) for name, item in self._engines.items())
+        return tuple(_to_message(name, item, now) for name, item in self._engines.items())
 
     def _engine(self, engine_id: str) -> _EngineRecord:
         return self._engines.setdefault(engine_id, _EngineRecord())
 
     def _note_served(self, served: TurnServed, now: float) -> None:
         record = self._engine(served.engine_id)
-        record.told_at = now
+        record.updated_at = now
         record.is_app = record.is_app or served.is_call
         record.profile.note_outcome(now, failed=served.failed)
         if served.pace > 0:
@@ -105,28 +105,28 @@
         if served.slowness > 0:
             record.slowness.observe(served.slowness, now)
 
-    def _count_no_more(self, loads: Iterable[EngineLoad]) -> None:
+    def _subtract(self, loads: Iterable[EngineLoad]) -> None:
         for load in loads:
             self._engine(load.engine_id).running -= load.running
 
     def _forget_silent(self, now: float) -> None:
-        silent = self._nodes.take_out_silent(now)
+        silent = self._nodes.pop_silent_loads(now)
         if silent is not None:
-            self._count_no_more(silent)
-            self._forget_idle(now, PROFILE_SECONDS)
+            self._subtract(silent)
+            self._forget_idle(now, PROFILE_RETENTION_SECONDS)
 
-    def _forget_idle(self, now: float, silence: float) -> None:
-        """Forget engines without turns of which nothing was seen for ``silence`` seconds."""
+    def _forget_idle(self, now: float, max_age: float) -> None:
+        """Drop engines without turns that were last reported more than ``max_age`` seconds ago."""
         idle = [
             name
             for name, item in self._engines.items()
-            if not item.running and now - item.told_at > silence
+            if not item.running and now - item.updated_at > max_age
         ]
         for name in idle:
             del self._engines[name]
 
 
-def _told(engine_id: str, record: _EngineRecord, now: float) -> EngineTurns:
+def _to_message(engine_id: str, record: _EngineRecord, now: float) -> EngineTurns:
     profile = record.profile
     pace = profile.pace(now)
     return EngineTurns(
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -23,7 +23,8 @@
 from yokeline.consensus.types import RaftRole
 from yokeline.effects import Address, Effect, SendPeer
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.claims import LONGEST_TURN_SECONDS, ClaimBook
+from yokeline.ledger.admission_controller import CAUSE_CLAIMS, AdmissionController
+from yokeline.ledger.claims import MAX_TURN_SECONDS, ClaimTracker
 from yokeline.ledger.messages import LedgerReply, LedgerRequest
 from yokeline.ledger.operations import (
     Draw,
@@ -36,7 +37,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import BY_CLAIMS, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.request_batches import RequestBatches
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
@@ -254,9 +254,11 @@
 
     def submit(self, number: int, operation: Operation) -> None:
         request = LedgerRequest(number=number, asker=_CLIENT, operations=(operation,))
-        refused = self.batches.gate.refused[BY_CLAIMS]
+        refused = self.batches.admission.refused[CAUSE_CLAIMS]
         effects = self.batches.take(ReplicaId("edge~1"), request, self.local_time())
-        if self.batches.gate.refused[BY_CLAIMS] > refused and self.is_granted_by_log(operation):
+        if self.batches.admission.refused[CAUSE_CLAIMS] > refused and self.is_granted_by_log(
+            operation
+        ):
             self.wrongly_refused.append(operation.request_id)
         self.note_proposals()
         self.handle_effects(effects)
@@ -318,9 +320,9 @@
     def claims_after_idle(self) -> int:
         """Return the claims that are held when nobody has asked for a while."""
         self.commit_all()
-        self.now += LONGEST_TURN_SECONDS + 1.0
+        self.now += MAX_TURN_SECONDS + 1.0
         self.batches.tick(self.local_time())
-        return self.batches.gate.claims
+        return self.batches.admission.claims
 
     def commit_all(self) -> None:
         for _ in range(100):
@@ -380,7 +382,7 @@
     def test_programs_are_refused_by_claims_in_them(self) -> None:
         simulation = _Simulation(1)
         simulation.run()
-        self.assertGreater(simulation.batches.gate.refused[BY_CLAIMS], 0)
+        self.assertGreater(simulation.batches.admission.refused[CAUSE_CLAIMS], 0)
         self.assertGreater(simulation.started_programs["small"], 30)
         self.assertGreater(simulation.started_programs["large"], 3)
 
@@ -402,32 +404,36 @@
 
     def test_a_kind_that_is_never_let_in(self) -> None:
         def decided(
-            book: ClaimBook, tenant: str, kind: str, *others: Any, original: Any = ClaimBook.decide
+            book: ClaimTracker,
+            tenant: str,
+            kind: str,
+            *others: Any,
+            original: Any = ClaimTracker.decide,
         ) -> Admission | None:
             found: Admission | None = original(book, tenant, kind, *others)
             if found is None or kind == "small":
                 return found
             return msgspec.structs.replace(found, is_let_in=False, retry_after=1.0)
 
-        with patch.object(ClaimBook, "decide", decided):
+        with patch.object(ClaimTracker, "decide", decided):
             self.assertTrue(self.caught("starved"))
 
     def test_claims_that_are_never_given_back(self) -> None:
-        with patch.object(ClaimBook, "sweep", lambda book, now: None):
+        with patch.object(ClaimTracker, "sweep", lambda book, now: None):
             self.assertTrue(self.caught("claims held"))
 
     def test_a_leader_that_takes_what_is_on_its_way_for_new(self) -> None:
         seen = itertools.count()
 
         def refused_blindly(
-            gate: ProgramGate, operation: Operation, *others: object
+            gate: AdmissionController, operation: Operation, *others: object
         ) -> tuple[QuotaSpent | None, list[object]]:
             if not isinstance(operation, Reserve) or next(seen) % 3:
                 return None, []
-            gate.refused[BY_CLAIMS] += 1
+            gate.refused[CAUSE_CLAIMS] += 1
             return QuotaSpent(retry_after=0.1, is_empty=False), []
 
-        with patch.object(ProgramGate, "refusal", refused_blindly):
+        with patch.object(AdmissionController, "refusal", refused_blindly):
             self.assertTrue(self.caught("repetition refused"))
 
     def test_a_result_that_depends_on_what_the_earlier_build_does_not_know(self) -> None:
--- a/tests/unit/ledger/cluster.py
+++ b/tests/unit/ledger/cluster.py
@@ -1,5 +1,8 @@
-"""Storage nodes on a virtual clock: a network that drops, disks that forget what was not synced,
-and a key-value service that may be down."""
+"""Simulated storage nodes on a virtual clock.
+
+The network loses messages, a power loss discards unsynced writes, and the key-value service may be
+unavailable.
+"""
 
 from __future__ import annotations
 
@@ -45,13 +48,13 @@
 from yokeline.start_phases import StartPhases
 
 WALL_START = 1_000_000.0
-_EDGE = ReplicaId("edge~1")
-_EDGE_ADDRESS = Address("10.0.9.9", 1)
+_DEFAULT_EDGE = ReplicaId("edge~1")
+_DEFAULT_EDGE_ADDRESS = Address("10.0.9.9", 1)
 _CODEC = LedgerCodec()
 
 
 class MemoryStore:
-    """The items of the key-value service, with their changes."""
+    """Items of the key-value service and their changes."""
 
     def __init__(self) -> None:
         self.items: dict[str, StoredItem] = {}
@@ -70,11 +73,11 @@
 
 
 class StoreView:
-    """One process's calls; a call is spelled as the recipe of its answer."""
+    """Calls of one process; the answer of each call is computed when it is read."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
-        self._recipes: dict[RequestId, Callable[[], RegistryAnswer | None]] = {}
+        self._pending_answers: dict[RequestId, Callable[[], RegistryAnswer | None]] = {}
 
     def list_call(
         self, request: RequestId, prefix: str, after_key: str, *, may_lag: bool
@@ -112,17 +115,17 @@
         return self._call(request, answer)
 
     def read_answer(self, response: HttpResponse) -> RegistryAnswer:
-        answer = self._recipes.pop(response.request)()
+        answer = self._pending_answers.pop(response.request)()
         return answer or WatchEvents((), self._store.revision)
 
     def waits(self, request: HttpRequest) -> bool:
-        """Return whether a watch has nothing to say yet."""
-        return request.path == "watch" and self._recipes[request.request]() is None
+        """Return whether a watch has no changes to report yet."""
+        return request.path == "watch" and self._pending_answers[request.request]() is None
 
     def _call(
         self, request: RequestId, answer: Callable[[], RegistryAnswer | None], wait: float = 0.0
     ) -> HttpRequest:
-        self._recipes[request] = answer
+        self._pending_answers[request] = answer
         path = "watch" if wait else "call"
         return HttpRequest(
             request=request, address=Address("s", 1), method="GET", path=path, timeout=wait or 1.0
@@ -130,7 +133,7 @@
 
 
 class Machine:
-    """A storage machine: its disk outlives its processes."""
+    """A storage machine, whose disk outlives its processes."""
 
     def __init__(self, name: str, number: int) -> None:
         self.name = NodeName(name)
@@ -138,18 +141,18 @@
         self.disk = b""
         self.node: StorageNode | None = None
         self.frozen = False
-        self.cut = False
-        self.cut_from_peers = False
+        self.is_isolated = False
+        self.is_isolated_from_peers = False
         self.disk_hangs = False
         self.sync_seconds = 0.001
         self.started_before = False
         self.generation = 0
         self.unsynced: list[SyncFile] = []
         self.link_bytes_per_second = 0.0
-        """Of what the machine sends; 0 for a link without a limit."""
+        """Rate of the machine's outgoing link; 0 for unlimited."""
         self.link_free_at = 0.0
         self.sent_bytes = 0
-        self.gets_copies = True
+        self.receives_copies = True
         self.view: StoreView | None = None
         self.watch_calls = 0
 
@@ -159,8 +162,8 @@
         return self.node.replica.replica
 
 
-class Asker:
-    """A forwarding node's client of the ledger, and how to reach it."""
+class EdgeClient:
+    """The ledger client of a forwarding node."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.process = ReplicaId(name)
@@ -168,7 +171,7 @@
 
 
 class Cluster:
-    """Machines, an asking edge, and the events between them."""
+    """Machines, forwarding nodes, and the events between them."""
 
     def __init__(self, count: int, seed: int, *, link_mbps: float = 0.0) -> None:
         self.random = random.Random(seed)
@@ -176,29 +179,29 @@
         self.now = 0.0
         self.store = MemoryStore()
         self.store_seconds = 0.004
-        """What an answer of the key-value service takes."""
+        """Response time of the key-value service."""
         self.machines = [Machine(f"storage-{index}", index) for index in range(count)]
-        self.askers = {_EDGE: Asker(_EDGE, _EDGE_ADDRESS)}
-        self.client = self.askers[_EDGE].client
+        self.edges = {_DEFAULT_EDGE: EdgeClient(_DEFAULT_EDGE, _DEFAULT_EDGE_ADDRESS)}
+        self.client = self.edges[_DEFAULT_EDGE].client
         self._queue: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.frames = 0
         self.log: list[LogRecord] = []
         self.histories: list[HistoryReply] = []
         self.joins: list[ReplicaId] = []
-        """Replicas that were asked for membership, once for each request."""
-        self.copied: list[str] = []
-        """Turns whose texts were sent to a follower, once for each."""
-        self.unclaimed: list[tuple[ReplicaId, LedgerReply]] = []
-        """Answers to askers that are not played."""
+        """Recipients of join requests, once per request."""
+        self.text_copies_sent: list[str] = []
+        """Turns whose texts were sent to a follower, once per message."""
+        self.undelivered: list[tuple[ReplicaId, LedgerReply]] = []
+        """Replies to processes that are not simulated."""
         for machine in self.machines:
             self.start(machine)
-        self._schedule(0.01, self._drive_client)
+        self._schedule(0.01, self._tick_edges)
 
     # ------------------------------------------------------------ machines
 
     def prepare_machine(self, number: int) -> Machine:
-        """Add a machine of the first start that does not run yet."""
+        """Add a machine of the first start without starting it."""
         machine = Machine(f"storage-{number}", number)
         self.machines.append(machine)
         return machine
@@ -240,27 +243,27 @@
             now=self.now,
         )
         machine.started_before = True
-        self._tick_soon(machine, machine.generation)
+        self._tick_repeatedly(machine, machine.generation)
 
     def kill(self, machine: Machine) -> None:
-        """End the process; what was written stays."""
+        """End the process; all writes reach the disk."""
         for effect in machine.unsynced:
-            _write(machine, effect)
+            _write_to_disk(machine, effect)
         self._end(machine)
 
     def power_off(self, machine: Machine) -> None:
-        """End the process; of the writes that were not synced a random part stays, maybe torn."""
+        """End the process; a random part of the unsynced writes stays, possibly truncated."""
         for effect in machine.unsynced:
             if effect.replace or self.random.random() < 0.4:
                 break
-            cut = self.random.randint(0, len(effect.data))
-            machine.disk += effect.data[:cut]
-            if cut < len(effect.data):
+            written_bytes = self.random.randint(0, len(effect.data))
+            machine.disk += effect.data[:written_bytes]
+            if written_bytes < len(effect.data):
                 break
         self._end(machine)
 
     def wipe(self, machine: Machine) -> None:
-        """Lose the machine's disk with its process."""
+        """End the process and erase the disk."""
         self._end(machine)
         machine.disk = b""
 
@@ -272,7 +275,7 @@
     # ------------------------------------------------------------ time
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
@@ -280,7 +283,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit: float) -> bool:
-        """Let time pass until something holds; return whether it did within ``limit``."""
+        """Advance the time until a condition holds; return whether it does within ``limit``."""
         end = self.now + limit
         while not condition():
             if not self._queue or self._queue[0][0] > end:
@@ -300,14 +303,14 @@
         return max(leading, key=lambda item: item.node.replica.group.term, default=None)
 
     def members(self) -> set[ReplicaId]:
-        """Return the members that the leader knows."""
+        """Return the members in the leader's configuration."""
         leader = self.leader()
         if leader is None or leader.node is None:
             return set()
         return set(leader.node.replica.group.members)
 
     def all_members(self) -> bool:
-        """Return whether every running machine is a member that holds all that is committed."""
+        """Return whether every running machine is a member that has caught up."""
         leader = self.leader()
         running = {item.replica for item in self.machines if item.node is not None}
         if leader is None or leader.node is None or self.members() != running:
@@ -319,7 +322,7 @@
     # ------------------------------------------------------------ requests
 
     def ask(self, operation: Operation, limit: float = 5.0) -> OperationResult | None:
-        """Ask the ledger as an edge does, and wait."""
+        """Submit an operation through the default edge, and wait for its result."""
         answers: list[OperationResult | None] = []
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
@@ -329,26 +332,28 @@
         self.client.set_storage(
             {item.replica: item.address for item in self.machines if item.node is not None}
         )
-        self.carry_out_asker(_EDGE, self.client.ask(operation, done, self.now, self.now + limit))
+        self.carry_out_edge(
+            _DEFAULT_EDGE, self.client.ask(operation, done, self.now, self.now + limit)
+        )
         self.run_until(lambda: bool(answers), limit + 1)
         return answers[0] if answers else None
 
-    def add_asker(self, name: str) -> Asker:
-        """Add another forwarding node's client; it knows the machines that run now."""
-        asker = Asker(name, Address(f"10.0.9.{len(self.askers) + 10}", 1))
-        asker.client.set_storage(
+    def add_edge(self, name: str) -> EdgeClient:
+        """Add a forwarding node's client that knows the machines running now."""
+        edge = EdgeClient(name, Address(f"10.0.9.{len(self.edges) + 10}", 1))
+        edge.client.set_storage(
             {item.replica: item.address for item in self.machines if item.node is not None}
         )
-        self.askers[asker.process] = asker
-        return asker
+        self.edges[edge.process] = edge
+        return edge
 
-    def _drive_client(self) -> None:
-        for process, asker in self.askers.items():
-            self.carry_out_asker(process, asker.client.tick(self.now))
-        self._schedule(0.01, self._drive_client)
+    def _tick_edges(self) -> None:
+        for process, edge in self.edges.items():
+            self.carry_out_edge(process, edge.client.tick(self.now))
+        self._schedule(0.01, self._tick_edges)
 
-    def carry_out_asker(self, process: ReplicaId, effects: list[Effect]) -> None:
-        """Carry out what a forwarding node's client wants done."""
+    def carry_out_edge(self, process: ReplicaId, effects: list[Effect]) -> None:
+        """Carry out the effects of a forwarding node's client."""
         for effect in effects:
             if isinstance(effect, SendPeer):
                 self._send(process, None, effect)
@@ -356,7 +361,7 @@
                 self.log.append(effect)
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a moment."""
+        """Schedule an action."""
         self._schedule(time - self.now, action)
 
     # ------------------------------------------------------------ events
@@ -364,15 +369,15 @@
     def _schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._queue, (self.now + delay, next(self._order), action))
 
-    def _tick_soon(self, machine: Machine, generation: int) -> None:
+    def _tick_repeatedly(self, machine: Machine, generation: int) -> None:
         if machine.generation != generation or machine.node is None:
             return
         if not machine.frozen:
-            self.hand(machine, Tick())
-        self._schedule(0.01, lambda: self._tick_soon(machine, generation))
+            self.deliver_event(machine, Tick())
+        self._schedule(0.01, lambda: self._tick_repeatedly(machine, generation))
 
-    def hand(self, machine: Machine, event: Event) -> None:
-        """Let a machine take an event now."""
+    def deliver_event(self, machine: Machine, event: Event) -> None:
+        """Deliver an event to a machine immediately."""
         assert machine.node is not None
         generation = machine.generation
         for effect in machine.node.handle(event, self.now):
@@ -388,7 +393,8 @@
         elif isinstance(effect, HttpRequest):
             machine.watch_calls += effect.path == "watch"
             self._schedule(
-                self.store_seconds, lambda: self._answer(machine, generation, effect, self.now)
+                self.store_seconds,
+                lambda: self._answer_store_call(machine, generation, effect, self.now),
             )
         elif isinstance(effect, LogRecord):
             self.log.append(effect)
@@ -402,22 +408,24 @@
             self._schedule(0.05, lambda: self._sync(machine, generation, effect))
             return
         while machine.unsynced and machine.unsynced[0].ticket <= effect.ticket:
-            _write(machine, machine.unsynced.pop(0))
+            _write_to_disk(machine, machine.unsynced.pop(0))
         self._deliver(machine, generation, FileSynced(effect.ticket))
 
-    def _answer(
+    def _answer_store_call(
         self, machine: Machine, generation: int, request: HttpRequest, asked_at: float
     ) -> None:
         if machine.generation != generation:
             return
-        if self.store.down or machine.cut:
+        if self.store.down or machine.is_isolated:
             failed = HttpFailed(request=request.request, sent=True, reason="silent")
             self._schedule(0.5, lambda: self._deliver(machine, generation, failed))
             return
         waited = self.now - asked_at
         assert machine.view is not None
         if machine.view.waits(request) and waited < request.timeout:
-            self._schedule(0.02, lambda: self._answer(machine, generation, request, asked_at))
+            self._schedule(
+                0.02, lambda: self._answer_store_call(machine, generation, request, asked_at)
+            )
             return
         self._deliver(machine, generation, HttpResponse(request=request.request, status=200))
 
@@ -427,58 +435,60 @@
         if machine.frozen:
             self._schedule(0.05, lambda: self._deliver(machine, generation, event))
             return
-        self.hand(machine, event)
+        self.deliver_event(machine, event)
 
     def _send(self, sender: ReplicaId, source: Machine | None, effect: SendPeer) -> None:
         self.frames += 1
         delay = 0.0005 + 0.002 * self.random.random()
-        to_asker = effect.to in self.askers
-        if source is not None and (source.cut or (source.cut_from_peers and not to_asker)):
+        to_edge = effect.to in self.edges
+        if source is not None and (
+            source.is_isolated or (source.is_isolated_from_peers and not to_edge)
+        ):
             return
         if source is not None and source.link_bytes_per_second:
-            delay += self._pass_link(source, effect)
-        if to_asker:
-            self._schedule(delay, lambda: self._answer_asker(sender, effect))
+            delay += self._link_delay(source, effect)
+        if to_edge:
+            self._schedule(delay, lambda: self._deliver_to_edge(sender, effect))
             return
         if isinstance(effect.message, HistoryReply):
             self.histories.append(effect.message)
         if isinstance(effect.message, LedgerReply):
-            self.unclaimed.append((effect.to, effect.message))
+            self.undelivered.append((effect.to, effect.message))
         if isinstance(effect.message, Join):
             self.joins.append(effect.to)
         if isinstance(effect.message, TextCopy):
-            self.copied.append(effect.message.turn_id)
+            self.text_copies_sent.append(effect.message.turn_id)
         event = PeerMessage(sender=sender, message=effect.message)
         for machine in self.machines:
-            if isinstance(effect.message, TextCopy) and not machine.gets_copies:
+            if isinstance(effect.message, TextCopy) and not machine.receives_copies:
                 continue
             from_peer = source is not None
-            unreachable = machine.cut or (machine.cut_from_peers and from_peer)
+            unreachable = machine.is_isolated or (machine.is_isolated_from_peers and from_peer)
             if machine.address == effect.address and not unreachable:
                 self._schedule(delay, lambda m=machine: self._arrive(m, effect.to, event))
 
-    def _pass_link(self, source: Machine, effect: SendPeer) -> float:
-        """Return how long a message takes through its sender's link, behind the earlier ones."""
+    def _link_delay(self, source: Machine, effect: SendPeer) -> float:
+        """Return a message's delay on its sender's link, behind earlier messages."""
         size = len(_CODEC.encode_peer(source.replica, effect.to, effect.message))
         source.sent_bytes += size
         source.link_free_at = max(source.link_free_at, self.now)
         source.link_free_at += size / source.link_bytes_per_second
         return source.link_free_at - self.now
 
-    def _answer_asker(self, sender: ReplicaId, effect: SendPeer) -> None:
+    def _deliver_to_edge(self, sender: ReplicaId, effect: SendPeer) -> None:
         message = effect.message
-        client = self.askers[effect.to].client
+        client = self.edges[effect.to].client
         if isinstance(message, LeaderAnswer):
-            self.carry_out_asker(effect.to, client.take_leader(sender, message, self.now))
+            self.carry_out_edge(effect.to, client.take_leader(sender, message, self.now))
             return
         assert isinstance(message, LedgerReply)
-        self.carry_out_asker(effect.to, client.take_reply(message, self.now))
+        self.carry_out_edge(effect.to, client.take_reply(message, self.now))
 
     def _arrive(self, machine: Machine, to: ReplicaId, event: PeerMessage) -> None:
-        if machine.node is None or machine.cut or machine.replica != to:
+        if machine.node is None or machine.is_isolated or machine.replica != to:
             return
         self._deliver(machine, machine.generation, event)
 
 
-def _write(machine: Machine, effect: SyncFile) -> None:
+def _write_to_disk(machine: Machine, effect: SyncFile) -> None:
     machine.disk = effect.data if effect.replace else machine.disk + effect.data
--- a/tests/unit/ledger/test_program_gate.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""The leader refuses the first turn of a program that its tenant's limit would not carry."""
+"""Refusal of programs whose tenant's limit cannot carry them to the end."""
 
 from __future__ import annotations
 
@@ -10,7 +10,12 @@
 from tests.unit.ledger.test_storage_nodes import StorageCase
 from yokeline.effects import Address, LogRecord, PeerMessage
 from yokeline.identifiers import ReplicaId
-from yokeline.ledger.claims import LONGEST_TURN_SECONDS, REST_SECONDS
+from yokeline.ledger.admission_controller import (
+    CAUSE_CLAIMS,
+    MAX_LOG_RECORDS_PER_SECOND,
+    AdmissionController,
+)
+from yokeline.ledger.claims import MAX_IDLE_SECONDS, MAX_TURN_SECONDS
 from yokeline.ledger.codec import decode_command, decode_state, encode_command, encode_state
 from yokeline.ledger.messages import LedgerRequest
 from yokeline.ledger.operations import (
@@ -25,7 +30,6 @@
     Reserve,
     Settle,
 )
-from yokeline.ledger.program_gate import BY_CLAIMS, LINES_PER_SECOND, ProgramGate
 from yokeline.ledger.quotas import TenantQuotas
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program, StoredTurn
 from yokeline.ledger.storage_node import storage_figures
@@ -49,24 +53,24 @@
     )
 
 
-class GateCase(unittest.TestCase):
+class AdmissionCase(unittest.TestCase):
     def setUp(self) -> None:
         self.state = LedgerState()
-        self.gate = ProgramGate()
+        self.controller = AdmissionController()
         self.now = 0.0
         self.lines: list[LogRecord] = []
 
     def ask(self, operation: Reserve | Draw | Settle) -> OperationResult:
-        """Ask the gate, and commit what it lets through."""
-        self.gate.tick(self.state, self.now)
-        spent, lines = self.gate.refusal(operation, self.state, TERM, self.now)
+        """Submit an operation, and commit it if it is admitted."""
+        self.controller.tick(self.state, self.now)
+        spent, lines = self.controller.refusal(operation, self.state, TERM, self.now)
         self.lines.extend(lines)
         return spent if spent is not None else self.commit(operation)
 
     def commit(self, operation: Reserve | Draw | Settle) -> OperationResult:
         command = LedgerCommand(time=self.now, operations=(operation,), passed=self.now)
         (result,) = self.state.transition_apply(command)
-        self.gate.note_result(operation, result, self.state, TERM)
+        self.controller.note_result(operation, result, self.state, TERM)
         return result
 
     def run_program(self, name: str, limit: RateLimit) -> None:
@@ -76,20 +80,20 @@
             self.ask(Draw(request_id=f"{name}/{number}", limit=limit, program=name))
 
     def learn(self) -> None:
-        """Let programs of 20 requests end under a wider limit; the later one begins full."""
+        """Let programs of 20 requests end under a wider limit."""
         for number in range(LEAST_PROGRAMS):
             self.run_program(f"earlier{number}", WIDE)
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
 
     def begin(self, count: int) -> list[OperationResult]:
         return [self.ask(first_turn(f"new{number}")) for number in range(count)]
 
 
-class Gate(GateCase):
-    def test_new_programs_are_let_in_while_their_size_is_not_known(self) -> None:
+class Admission(AdmissionCase):
+    def test_new_programs_are_admitted_while_their_size_is_unknown(self) -> None:
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
-    def test_then_no_more_than_the_limit_carries_and_those_are_carried(self) -> None:
+    def test_admits_as_many_programs_as_the_limit_carries_to_the_end(self) -> None:
         self.learn()
         results = self.begin(50)
         admitted = sum(isinstance(item, Granted) for item in results)
@@ -102,105 +106,104 @@
                 draw = Draw(request_id=f"{name}/{number}", limit=LIMIT, program=name)
                 self.assertNotIsInstance(self.ask(draw), QuotaSpent)
 
-    def test_begun_programs_and_tenants_without_a_limit_are_never_refused_by_it(self) -> None:
+    def test_begun_programs_and_tenants_without_a_limit_are_never_refused(self) -> None:
         self.learn()
         self.begin(50)
         self.assertIsInstance(self.ask(first_turn("new0", request="sub-agent")), Granted)
         self.assertIsInstance(self.ask(first_turn("free", limit=None)), Granted)
 
-    def test_programs_that_their_budget_stopped_hold_nothing_and_teach_nothing(self) -> None:
-        """They loop: 86 of 550 requests in one second were told that their budget is spent.
-
-        Of a kind with 17 requests a program, 33 were expected, and the limit was half used:
-
-            program_not_admitted expected_requests=32.68 deviation=14.99 claims=121 claimed=1933
-        """
+    def test_a_program_that_exhausts_its_budget_releases_its_claim_and_its_size_is_ignored(
+        self,
+    ) -> None:
+        """Looping programs would otherwise inflate the expected size of their kind."""
         for number in range(LEAST_PROGRAMS):
             name = f"loop{number}"
             self.run_program(name, WIDE)
             more = msgspec.structs.replace(first_turn(name, WIDE, f"{name}/more"), tokens=10**7)
             self.assertIsInstance(self.ask(more), BudgetSpent)
-        self.assertEqual(self.gate.claims, 0)
-        self.now += REST_SECONDS
+        self.assertEqual(self.controller.claims, 0)
+        self.now += MAX_IDLE_SECONDS
         self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
 
-    def test_a_program_on_its_way_into_the_log_is_not_new(self) -> None:
+    def test_a_program_whose_first_turn_is_in_flight_is_not_new(self) -> None:
         self.learn()
-        self.assertIsNone(self.gate.refusal(first_turn("a"), self.state, TERM, self.now)[0])
+        self.assertIsNone(self.controller.refusal(first_turn("a"), self.state, TERM, self.now)[0])
         self.begin(50)
         sub_agent = first_turn("a", request="sub-agent")
-        self.assertIsNone(self.gate.refusal(sub_agent, self.state, TERM, self.now)[0])
+        self.assertIsNone(self.controller.refusal(sub_agent, self.state, TERM, self.now)[0])
 
-    def test_claims_of_programs_that_rest_let_others_in(self) -> None:
+    def test_idle_programs_release_their_claims(self) -> None:
         self.learn()
         self.begin(50)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
-        self.now += LONGEST_TURN_SECONDS
+        self.now += MAX_TURN_SECONDS
         self.assertIsInstance(self.ask(first_turn("late")), Granted)
 
-    def test_a_lowered_limit_lets_nothing_in_until_claims_fit(self) -> None:
+    def test_a_lowered_limit_admits_no_program_until_the_claims_fit(self) -> None:
         self.learn()
         self.begin(5)
         lowered = RateLimit("hule", rate=0.5, burst=100.0, version=3)
         self.assertIsInstance(self.ask(first_turn("late", lowered)), QuotaSpent)
         for number in range(5):
             self.ask(Settle(request_id=f"new{number}/0", program=f"new{number}"))
-        self.now += REST_SECONDS
+        self.now += MAX_IDLE_SECONDS
         self.assertIsInstance(self.ask(first_turn("late", lowered)), Granted)
 
-    def test_what_it_refuses_takes_nothing(self) -> None:
+    def test_a_refusal_leaves_the_state_unchanged(self) -> None:
         self.learn()
         self.begin(10)
         before = encode_state(self.state)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
         self.assertEqual(encode_state(self.state), before)
 
-    def test_each_refusal_is_counted_and_some_lines_a_second_tell_its_inputs(self) -> None:
+    def test_refusals_are_counted_and_logged_at_a_limited_rate(self) -> None:
         self.learn()
         results = self.begin(300)
         refused = sum(isinstance(item, QuotaSpent) for item in results)
-        self.assertEqual(self.gate.refused[BY_CLAIMS], refused)
-        self.assertEqual(len(self.lines), LINES_PER_SECOND)
+        self.assertEqual(self.controller.refused[CAUSE_CLAIMS], refused)
+        self.assertEqual(len(self.lines), MAX_LOG_RECORDS_PER_SECOND)
         fields = self.lines[0].fields
         self.assertEqual((fields["expected_requests"], fields["claims"]), (SIZE, 200 // SIZE))
         self.assertGreater(fields["retry_after"] or 0, 0)
         self.now += 1.0
         self.ask(first_turn("late"))
-        self.assertEqual(self.lines[-1].fields["left_out_before"], refused - LINES_PER_SECOND)
+        self.assertEqual(
+            self.lines[-1].fields["left_out_before"], refused - MAX_LOG_RECORDS_PER_SECOND
+        )
 
 
-class NewLeader(GateCase):
-    def successor(self, *, has_committed: bool) -> ProgramGate:
-        """Return the gate of a new leader, which has applied an entry of its term or not yet."""
-        gate = ProgramGate()
+class NewLeader(AdmissionCase):
+    def successor(self, *, has_committed: bool) -> AdmissionController:
+        """Return the controller of a new leader, which may have committed an entry of its term."""
+        controller = AdmissionController()
         if has_committed:
             settle = Settle(request_id="x", program="y")
-            gate.note_result(settle, self.state._apply(settle), self.state, TERM + 1)
-        gate.tick(self.state, self.now)
-        return gate
+            controller.note_result(settle, self.state._apply(settle), self.state, TERM + 1)
+        controller.tick(self.state, self.now)
+        return controller
 
-    def test_it_makes_sizes_and_claims_from_the_state(self) -> None:
+    def test_a_new_leader_rebuilds_sizes_and_claims_from_the_state(self) -> None:
         self.learn()
         self.begin(10)
-        gate = self.successor(has_committed=True)
-        self.assertEqual(gate.claims, self.gate.claims)
-        spent, _lines = gate.refusal(first_turn("late"), self.state, TERM + 1, self.now)
+        controller = self.successor(has_committed=True)
+        self.assertEqual(controller.claims, self.controller.claims)
+        spent, _lines = controller.refusal(first_turn("late"), self.state, TERM + 1, self.now)
         self.assertIsInstance(spent, QuotaSpent)
 
-    def test_it_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
-        """What the one before it has proposed may be on its way; it may have led before itself."""
+    def test_a_new_leader_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
+        """Entries of the previous leader may be in flight, also if the same replica led before."""
         self.learn()
         self.begin(10)
         late = first_turn("late")
-        for gate in (self.successor(has_committed=False), self.gate):
-            spent, _lines = gate.refusal(late, self.state, TERM + 1, self.now)
+        for controller in (self.successor(has_committed=False), self.controller):
+            spent, _lines = controller.refusal(late, self.state, TERM + 1, self.now)
             self.assertIsNone(spent)
 
-    def test_one_that_leads_no_more_holds_nothing(self) -> None:
+    def test_a_replica_that_no_longer_leads_has_no_claims(self) -> None:
         self.learn()
         self.begin(10)
-        self.gate.stand_down()
-        self.assertEqual(self.gate.claims, 0)
+        self.controller.reset()
+        self.assertEqual(self.controller.claims, 0)
 
 
 class Wiring(StorageCase):
@@ -211,12 +214,12 @@
             cluster.ask(Settle(request_id=f"{name}/0", program=name, tokens=1))
             for number in range(1, SIZE):
                 cluster.ask(Draw(request_id=f"{name}/{number}", limit=WIDE, program=name))
-        cluster.run(REST_SECONDS + 0.1)
+        cluster.run(MAX_IDLE_SECONDS + 0.1)
 
     def begin(self, cluster: Cluster, count: int) -> list[OperationResult | None]:
         return [cluster.ask(first_turn(f"new{number}")) for number in range(count)]
 
-    def test_a_refusal_needs_no_entry(self) -> None:
+    def test_a_refusal_needs_no_log_entry(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -230,12 +233,12 @@
         self.assertGreater(sum(isinstance(item, Granted) for item in results), 2)
         figures = storage_figures(leader.node)
         refused = sum(isinstance(item, QuotaSpent) for item in results) + 1
-        name = f'yokeline_ledger_programs_refused_total{{cause="{BY_CLAIMS}"}}'
+        name = f'yokeline_ledger_programs_refused_total{{cause="{CAUSE_CLAIMS}"}}'
         self.assertEqual(figures.counters[name], refused)
         self.assertGreater(figures.gauges["yokeline_ledger_claims"], 2)
         self.assertTrue(any(line.event == "program_not_admitted" for line in cluster.log))
 
-    def test_a_repetition_of_what_is_applied_is_answered_as_before(self) -> None:
+    def test_a_duplicate_of_an_applied_operation_gets_the_same_result(self) -> None:
         cluster = self.cluster()
         self.learn(cluster)
         results = self.begin(cluster, 20)
@@ -243,7 +246,7 @@
         for number in admitted:
             self.assertIsInstance(cluster.ask(first_turn(f"new{number}")), Granted)
 
-    def test_a_repetition_of_what_is_proposed_is_not_refused_nor_after_a_change_of_leader(
+    def test_a_duplicate_of_a_proposed_operation_is_not_refused_even_by_a_new_leader(
         self,
     ) -> None:
         for seed in range(6):
@@ -258,12 +261,12 @@
                 cluster.kill(leader)
                 leader = self.leader(cluster)
             assert leader.node is not None
-            refused = leader.node.batches.gate.refused[BY_CLAIMS]
+            refused = leader.node.batches.admission.refused[CAUSE_CLAIMS]
             self.hand(cluster, leader, asked, number=2)
-            self.assertEqual(leader.node.batches.gate.refused[BY_CLAIMS], refused)
+            self.assertEqual(leader.node.batches.admission.refused[CAUSE_CLAIMS], refused)
             self.assertIsInstance(cluster.ask(asked), Granted)
 
-    def test_a_new_leader_goes_on_with_the_claims(self) -> None:
+    def test_a_new_leader_keeps_the_claims(self) -> None:
         cluster = self.cluster()
         self.learn(cluster)
         self.begin(cluster, 20)
@@ -276,7 +279,7 @@
         request = LedgerRequest(
             number=number, asker=Address("10.0.9.8", 1), operations=(operation,)
         )
-        cluster.hand(leader, PeerMessage(sender=ReplicaId("edge~2"), message=request))
+        cluster.deliver_event(leader, PeerMessage(sender=ReplicaId("edge~2"), message=request))
 
 
 class _EarlierReserve(msgspec.Struct, frozen=True, kw_only=True, tag="reserve"):
@@ -320,8 +323,8 @@
     quotas: TenantQuotas = msgspec.field(default_factory=TenantQuotas)
 
 
-class EarlierBuilds(GateCase):
-    """Replicas of the release before run side by side with this one during an upgrade."""
+class EarlierRelease(AdmissionCase):
+    """Replicas of the previous release run beside this one during an upgrade."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -333,7 +336,9 @@
         )
         self.command = LedgerCommand(time=1e9, operations=self.operations, passed=5.0)
 
-    def test_they_read_our_entries_and_snapshots_without_the_new_fields(self) -> None:
+    def test_the_earlier_release_reads_our_entries_and_snapshots_without_the_new_fields(
+        self,
+    ) -> None:
         read = decode_struct(encode_command(self.command), _EarlierCommand).unwrap()
         self.assertEqual(len(read.operations), 3)
         first = read.operations[0]
@@ -344,7 +349,7 @@
         self.assertEqual(state.programs["p"].settled, ["p/0"])
         self.assertEqual(state.quotas, self.state.quotas)
 
-    def test_we_read_theirs(self) -> None:
+    def test_we_read_entries_and_snapshots_of_the_earlier_release(self) -> None:
         theirs = _EarlierCommand(
             time=1e9,
             operations=(
@@ -361,7 +366,7 @@
         self.assertEqual(state.programs["p"], Program(settled=["p/0"]))
 
     def test_an_entry_that_an_earlier_leader_wrote_gives_the_same_results(self) -> None:
-        """It skips the fields when it reads what nodes ask for, and writes none."""
+        """A leader of the earlier release drops the new fields from operations and writes none."""
         read = decode_struct(encode_command(self.command), _EarlierCommand).unwrap()
         theirs = decode_command(encode_struct(read)).unwrap()
         other = LedgerState()
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -1,4 +1,4 @@
-"""Loads of a tenant beyond its limit, replayed without network against the ledger's state."""
+"""Replays of a tenant above its limit against the ledger's state, without a network."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from benchmarks.program_admission import Kind, Ledger, Load, Outcome, Replay, play
 from msgspec.structs import replace
 
-from yokeline.ledger.claims import _TenantBook
+from yokeline.ledger.claims import _TenantClaims
 
 SEEDS = (1, 2, 3)
 LOST_SHARE = 0.01
-"""Most of the programs that began and were refused after all: what they used is lost."""
+"""Maximum share of admitted programs that are refused later."""
 USED_SHARE = 0.95
-"""Least of a limit that is used while far more is asked for."""
+"""Minimum share of the limit that is used at high demand."""
 STARVED_SHARE = 0.25
-"""A kind is starved if it is served less than this as often as all."""
+"""A kind is starved if it begins less often than this, relative to all kinds."""
 
 LONG = Kind(name="long", weight=0.3, requests=18, step_seconds=0.4, fan_out=2)
 SHORT = Kind(name="short", weight=0.7, requests=4, step_seconds=0.4)
@@ -28,33 +28,33 @@
     return (play(way, replace(load, seed=seed)) for seed in SEEDS)
 
 
-class Loads(unittest.TestCase):
+class AdmittedLoads(unittest.TestCase):
     def assert_carried(self, load: Load, used: float = USED_SHARE) -> None:
         for outcome in outcomes(load):
             self.assertGreater(len(outcome.began), 50)
             self.assertLessEqual(len(outcome.lost), LOST_SHARE * len(outcome.began))
             self.assertGreaterEqual(outcome.limit_used, used)
 
-    def test_a_hot_tenants_programs_that_begin_end(self) -> None:
+    def test_admitted_programs_of_a_hot_tenant_end(self) -> None:
         self.assert_carried(HOT)
 
-    def test_so_do_those_that_fan_out(self) -> None:
+    def test_admitted_programs_that_fan_out_end(self) -> None:
         fan_out = replace(LONG, requests=24, fan_out=5)
         self.assert_carried(replace(HOT, kinds=(SHORT, fan_out)))
 
-    def test_so_do_those_beside_programs_that_loop(self) -> None:
+    def test_admitted_programs_beside_looping_ones_end(self) -> None:
         self.assert_carried(replace(HOT, kinds=(SHORT, replace(LONG, loop_share=0.05))))
 
-    def test_so_do_those_that_had_begun_when_the_limit_was_lowered(self) -> None:
+    def test_admitted_programs_end_after_the_limit_is_lowered(self) -> None:
         lowered = replace(HOT, lowered_at=35.0, lowered_to=0.7)
         self.assert_carried(lowered, used=0.7)
 
-    def test_within_its_limit_a_tenants_programs_are_let_in(self) -> None:
+    def test_programs_of_a_tenant_within_its_limit_are_admitted(self) -> None:
         for outcome in outcomes(replace(HOT, hot=1.0)):
             self.assertGreaterEqual(len(outcome.ended), 0.98 * len(outcome.offered))
 
-    def test_they_are_let_in_beside_a_hot_tenant(self) -> None:
-        """Both share one leader, and one book of claims."""
+    def test_programs_of_a_tenant_within_its_limit_are_admitted_beside_a_hot_tenant(self) -> None:
+        """Both tenants share one leader and its claims."""
         ledger = Ledger(has_gate=True)
         hot = Replay(HOT, ledger)
         calm = Replay(replace(HOT, tenant="calm", hot=1.0), ledger)
@@ -64,10 +64,10 @@
         self.assertGreaterEqual(len(hot.outcome().ended), 0.99 * len(hot.outcome().began))
 
 
-class Ways(unittest.TestCase):
-    """The ways of the design note on the same arrivals."""
+class AdmissionPolicies(unittest.TestCase):
+    """The policies of ``benchmarks.program_admission`` on the same arrivals."""
 
-    def test_by_time_loses_less_than_what_stood_and_uses_more_than_claims_in_full(self) -> None:
+    def test_by_time_loses_fewer_programs_and_uses_more_of_the_limit(self) -> None:
         slow = replace(
             HOT, kinds=(replace(SHORT, step_seconds=0.6), replace(LONG, step_seconds=0.6))
         )
@@ -82,10 +82,10 @@
 
 
 class LargePrograms(unittest.TestCase):
-    """A kind that needs much at once, beside one that always takes what there is."""
+    """A kind that needs many tokens at once, beside one that takes tokens as they accrue."""
 
     def served_share(self, seed: int) -> float:
-        """Return how often large programs begin, as a share of how often all do."""
+        """Return how often large programs begin, relative to all programs."""
         slow = Kind(name="slow", weight=0.9, requests=10, step_seconds=0.5)
         large = Kind(name="large", weight=0.1, requests=40, step_seconds=0.2, fan_out=10)
         load = Load(kinds=(slow, large), hot_until=60.0, ends=70.0, seed=seed)
@@ -95,12 +95,12 @@
         all_share = len(outcome.began) / len(outcome.offered)
         return len(began) / len(offered) / all_share
 
-    def test_they_are_not_starved(self) -> None:
+    def test_large_programs_are_not_starved(self) -> None:
         for seed in (1, 2):
             self.assertGreater(self.served_share(seed), STARVED_SHARE)
 
-    def test_they_would_be_if_nobody_waited_for_them(self) -> None:
-        with patch.object(_TenantBook, "claims_of_passed_over", lambda book, kind, now: []):
+    def test_large_programs_starve_without_priority_of_refused_kinds(self) -> None:
+        with patch.object(_TenantClaims, "claims_of_refused_kinds", lambda book, kind, now: []):
             self.assertTrue(any(self.served_share(seed) < STARVED_SHARE for seed in (1, 2)))
 
 
