--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -5,16 +5,16 @@
 
 from yokeline.ledger import claims as claims_module
 from yokeline.ledger.claims import (
-    LATE_YIELDS_SECONDS,
-    LEAST_REST_SECONDS,
-    LONGEST_TURN_SECONDS,
-    PASSED_OVER_SECONDS,
-    RECHECK_SECONDS,
-    REST_SECONDS,
-    RETURN_SECONDS,
+    KIND_PRIORITY_SECONDS,
+    LATE_YIELD_SECONDS,
+    MAX_IDLE_SECONDS,
+    MAX_TURN_SECONDS,
+    MIN_IDLE_SECONDS,
+    REFUSAL_CACHE_SECONDS,
+    RETRY_GRACE_SECONDS,
     SWEEP_SECONDS,
-    AskingProgram,
-    ClaimBook,
+    CandidateProgram,
+    ClaimTracker,
 )
 from yokeline.ledger.state import Program
 from yokeline.scheduling.program_admission import Admission, Supply
@@ -25,12 +25,12 @@
 LITTLE = Supply(level=2.0, rate=1.0)
 
 
-def asking(name: str, kind: str = "k", left: float | None = None) -> AskingProgram:
-    return AskingProgram(name=name, tenant=TENANT, kind=kind, left=left)
+def candidate(name: str, kind: str = "k", time_left: float | None = None) -> CandidateProgram:
+    return CandidateProgram(name=name, tenant=TENANT, kind=kind, time_left=time_left)
 
 
 def account(
-    requests: int, began: float, active: float, *, kind: str = "k", is_under_way: bool = False
+    requests: int, began: float, active: float, *, kind: str = "k", has_open_turn: bool = False
 ) -> Program:
     return Program(
         tenant=TENANT,
@@ -38,37 +38,37 @@
         requests=requests,
         began_at=began,
         active_at=active,
-        reserved={"r": 1} if is_under_way else {},
+        reserved={"r": 1} if has_open_turn else {},
     )
 
 
-class Books(unittest.TestCase):
+class ClaimCase(unittest.TestCase):
     def setUp(self) -> None:
-        self.book = ClaimBook()
+        self.claims = ClaimTracker()
         self.now = 0.0
 
     def learn(self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS) -> None:
-        """Let programs of a kind run and rest."""
+        """Let programs of a kind run and become idle."""
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
-            self.follow(name, account(requests, self.now, self.now + 2.0, kind=kind))
-        self.now += 2.0 + REST_SECONDS
-        self.book.sweep(self.now)
+            self.update(name, account(requests, self.now, self.now + 2.0, kind=kind))
+        self.now += 2.0 + MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
 
-    def follow(self, name: str, program: Program, *, is_complete: bool = False) -> None:
-        self.book.follow(name, program, is_complete=is_complete)
+    def update(self, name: str, program: Program, *, is_complete: bool = False) -> None:
+        self.claims.update(name, program, is_complete=is_complete)
 
     def decide(self, supply: Supply, kind: str = "k") -> Admission | None:
-        return self.book.decide(asking("new", kind), supply, self.now)
+        return self.claims.decide(candidate("new", kind), supply, self.now)
 
     def expected(self, kind: str = "k") -> float:
-        size = self.book.size_of(TENANT, kind)
+        size = self.claims.size_of(TENANT, kind)
         assert size is not None
         return size.requests
 
 
-class Learning(Books):
-    def test_before_enough_programs_have_rested_nothing_is_decided(self) -> None:
+class ProgramSizes(ClaimCase):
+    def test_no_decision_before_enough_programs_have_ended(self) -> None:
         self.learn(count=LEAST_PROGRAMS - 1)
         self.assertIsNone(self.decide(LITTLE))
 
@@ -77,171 +77,170 @@
         self.learn(20, "long")
         self.assertEqual((self.expected("short"), self.expected("long")), (4.0, 20.0))
 
-    def test_a_tenant_goes_by_all_tenants_programs_until_enough_of_its_own_have_ended(self) -> None:
+    def test_sizes_over_all_tenants_apply_until_enough_programs_of_the_tenant_have_ended(
+        self,
+    ) -> None:
         self.learn(20, "long")
-        self.assertIsNone(self.book.size_of("other", "short"))
-        first = self.book.size_of("other", "long")
+        self.assertIsNone(self.claims.size_of("other", "short"))
+        first = self.claims.size_of("other", "long")
         assert first is not None
         self.assertEqual(first.requests, 20.0)
         for number in range(LEAST_PROGRAMS):
             own = account(4, self.now, self.now + 2.0, kind="long")
             own.tenant = "other"
-            self.follow(f"other{number}", own)
-        self.now += 2.0 + REST_SECONDS
-        self.book.sweep(self.now)
-        learned = self.book.size_of("other", "long")
+            self.update(f"other{number}", own)
+        self.now += 2.0 + MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
+        learned = self.claims.size_of("other", "long")
         assert learned is not None
         self.assertEqual(learned.requests, 4.0)
 
-    def test_a_program_that_was_refused_on_its_way_says_nothing_of_its_kind(self) -> None:
+    def test_the_size_of_a_program_refused_halfway_is_ignored(self) -> None:
         self.learn(10)
         for number in range(20):
-            self.follow(f"cut{number}", account(2, self.now, self.now))
-            self.book.note_refused(f"cut{number}")
-        self.now += REST_SECONDS
-        self.book.sweep(self.now)
+            self.update(f"cut{number}", account(2, self.now, self.now))
+            self.claims.note_refused(f"cut{number}")
+        self.now += MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
         self.assertEqual(self.expected(), 10.0)
 
-    def test_one_that_was_let_in_again_after_all_does(self) -> None:
+    def test_the_size_of_a_program_that_continues_after_a_refusal_counts(self) -> None:
         self.learn(10)
-        self.follow("p", account(2, self.now, self.now))
-        self.book.note_refused("p")
-        self.follow("p", account(30, self.now, self.now))
-        self.now += REST_SECONDS
-        self.book.sweep(self.now)
+        self.update("p", account(2, self.now, self.now))
+        self.claims.note_refused("p")
+        self.update("p", account(30, self.now, self.now))
+        self.now += MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
         self.assertGreater(self.expected(), 10.0)
 
 
-class Holding(Books):
-    def test_claims_are_given_back_after_a_rest(self) -> None:
-        self.follow("p", account(3, 0.0, 1.0))
-        self.book.sweep(1.0 + REST_SECONDS - SWEEP_SECONDS)
-        self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + REST_SECONDS)
-        self.assertEqual(len(self.book), 0)
-
-    def test_a_program_of_a_fast_kind_need_not_rest_for_long(self) -> None:
-        """Else those that have ended keep others out of a limit that is half used.
+class HeldClaims(ClaimCase):
+    def test_an_idle_program_releases_its_claim(self) -> None:
+        self.update("p", account(3, 0.0, 1.0))
+        self.claims.sweep(1.0 + MAX_IDLE_SECONDS - SWEEP_SECONDS)
+        self.assertEqual(len(self.claims), 1)
+        self.claims.sweep(1.0 + MAX_IDLE_SECONDS)
+        self.assertEqual(len(self.claims), 0)
 
-        program_not_admitted level=803.36 (full) rate=532.0 claims=119 claimed=1894.1
-        """
+    def test_a_program_of_a_fast_kind_releases_its_claim_sooner(self) -> None:
+        """Claims of ended programs must not keep others out of a partly unused limit."""
         self.learn(40, "fast")
-        self.follow("p", account(39, self.now - 2.0, self.now, kind="fast"))
-        self.follow("slow", account(3, self.now, self.now, kind="unknown"))
-        self.now += LEAST_REST_SECONDS
-        self.book.sweep(self.now)
-        self.assertFalse(self.book.knows("p"))
-        self.assertTrue(self.book.knows("slow"))
-
-    def test_a_turn_under_way_is_no_rest_but_a_node_that_is_gone_holds_nothing_for_long(
+        self.update("p", account(39, self.now - 2.0, self.now, kind="fast"))
+        self.update("slow", account(3, self.now, self.now, kind="unknown"))
+        self.now += MIN_IDLE_SECONDS
+        self.claims.sweep(self.now)
+        self.assertFalse(self.claims.has_claim("p"))
+        self.assertTrue(self.claims.has_claim("slow"))
+
+    def test_a_program_with_an_open_turn_keeps_its_claim_for_a_limited_time(
         self,
     ) -> None:
-        self.follow("p", account(3, 0.0, 1.0, is_under_way=True))
-        self.book.sweep(1.0 + LONGEST_TURN_SECONDS - SWEEP_SECONDS)
-        self.assertEqual(len(self.book), 1)
-        self.book.sweep(1.0 + LONGEST_TURN_SECONDS)
-        self.assertEqual(len(self.book), 0)
+        self.update("p", account(3, 0.0, 1.0, has_open_turn=True))
+        self.claims.sweep(1.0 + MAX_TURN_SECONDS - SWEEP_SECONDS)
+        self.assertEqual(len(self.claims), 1)
+        self.claims.sweep(1.0 + MAX_TURN_SECONDS)
+        self.assertEqual(len(self.claims), 0)
 
-    def test_a_program_that_goes_on_after_a_rest_claims_again_and_is_learned_once(self) -> None:
+    def test_a_program_that_continues_claims_again_and_its_size_counts_once(self) -> None:
         self.learn(10)
-        self.follow("p", account(10, self.now, self.now))
-        self.now += REST_SECONDS
-        self.book.sweep(self.now)
+        self.update("p", account(10, self.now, self.now))
+        self.now += MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
         before = self.expected()
-        self.follow("p", account(40, 0.0, self.now), is_complete=True)
-        self.assertEqual(len(self.book), 1)
-        self.now += REST_SECONDS
-        self.book.sweep(self.now)
-        self.assertEqual((len(self.book), self.expected()), (0, before))
+        self.update("p", account(40, 0.0, self.now), is_complete=True)
+        self.assertEqual(len(self.claims), 1)
+        self.now += MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
+        self.assertEqual((len(self.claims), self.expected()), (0, before))
 
-    def test_a_program_that_may_begin_holds_a_claim_before_its_turn_is_in_the_log(self) -> None:
+    def test_an_admitted_program_has_a_claim_before_its_turn_is_committed(self) -> None:
         self.learn(10)
         admitted = 0
         for number in range(50):
-            decided = self.decide(Supply(level=35.0, rate=0.01))
-            assert decided is not None
-            if decided.is_let_in:
-                self.book.expect(asking(f"p{number}"), self.now)
+            decision = self.decide(Supply(level=35.0, rate=0.01))
+            assert decision is not None
+            if decision.is_let_in:
+                self.claims.add_provisional(candidate(f"p{number}"), self.now)
                 admitted += 1
         self.assertEqual(admitted, 3)
 
-    def test_that_claim_goes_if_the_turn_does_not_get_there(self) -> None:
-        self.book.expect(asking("p"), 0.0)
-        self.book.drop("p")
-        self.assertEqual(len(self.book), 0)
-        self.follow("q", account(1, 0.0, 0.0))
-        self.book.drop("q")
-        self.assertEqual(len(self.book), 1)
+    def test_the_claim_is_cancelled_if_the_turn_is_not_committed(self) -> None:
+        self.claims.add_provisional(candidate("p"), 0.0)
+        self.claims.cancel_provisional("p")
+        self.assertEqual(len(self.claims), 0)
+        self.update("q", account(1, 0.0, 0.0))
+        self.claims.cancel_provisional("q")
+        self.assertEqual(len(self.claims), 1)
 
-    def test_what_it_keeps_has_a_bound(self) -> None:
+    def test_claims_tenants_and_kinds_are_bounded(self) -> None:
         with (
             patch.object(claims_module, "MAX_CLAIMS", 10),
             patch.object(claims_module, "MAX_TENANTS", 5),
-            patch.object(claims_module, "MAX_KINDS", 3),
-            patch.object(claims_module, "MAX_KINDS_OF_ALL", 7),
+            patch.object(claims_module, "MAX_KINDS_PER_TENANT", 3),
+            patch.object(claims_module, "MAX_SHARED_KINDS", 7),
         ):
-            self.book = ClaimBook()
+            self.claims = ClaimTracker()
             for number in range(100):
                 program = account(1, 0.0, 0.0, kind=f"k{number}")
                 program.tenant = f"t{number}"
-                self.follow(f"p{number}", program)
-                self.assertLessEqual(len(self.book), 10)
-            self.book.sweep(100.0)
+                self.update(f"p{number}", program)
+                self.assertLessEqual(len(self.claims), 10)
+            self.claims.sweep(100.0)
             for number in range(100):
-                self.follow(f"q{number}", account(1, 100.0, 100.0, kind=f"k{number}"))
-                self.book.sweep(200.0 + number)
-        self.assertLessEqual(len(self.book._tenants), 5 + 10)
-        self.assertLessEqual(len(self.book._tenants[TENANT].sizes), 3)
-        self.assertLessEqual(len(self.book._tenants[TENANT].time_shares), 3)
-        self.assertLessEqual(len(self.book._sizes_of_all), 7)
+                self.update(f"q{number}", account(1, 100.0, 100.0, kind=f"k{number}"))
+                self.claims.sweep(200.0 + number)
+        self.assertLessEqual(len(self.claims._tenants), 5 + 10)
+        self.assertLessEqual(len(self.claims._tenants[TENANT].sizes), 3)
+        self.assertLessEqual(len(self.claims._tenants[TENANT].time_shares), 3)
+        self.assertLessEqual(len(self.claims._shared_sizes), 7)
 
 
-class Refusing(Books):
-    def test_many_refusals_of_a_moment_are_decided_once_and_tell_the_time_that_is_left(
+class Refusals(ClaimCase):
+    def test_a_refusal_is_cached_and_its_retry_time_counts_down(
         self,
     ) -> None:
         self.learn(10)
-        self.follow("p", account(1, self.now, self.now))
-        with patch.object(claims_module, "decide", wraps=claims_module.decide) as decided:
+        self.update("p", account(1, self.now, self.now))
+        with patch.object(claims_module, "decide", wraps=claims_module.decide) as decision:
             first = self.decide(LITTLE)
-            self.now += RECHECK_SECONDS / 2
+            self.now += REFUSAL_CACHE_SECONDS / 2
             second = self.decide(LITTLE)
-            self.assertEqual(decided.call_count, 1)
-            self.now += RECHECK_SECONDS
+            self.assertEqual(decision.call_count, 1)
+            self.now += REFUSAL_CACHE_SECONDS
             self.decide(LITTLE)
-            self.assertEqual(decided.call_count, 2)
+            self.assertEqual(decision.call_count, 2)
         assert first is not None and second is not None
-        self.assertAlmostEqual(second.retry_after, first.retry_after - RECHECK_SECONDS / 2)
+        self.assertAlmostEqual(second.retry_after, first.retry_after - REFUSAL_CACHE_SECONDS / 2)
 
-    def test_a_kind_that_is_passed_over_is_next(self) -> None:
+    def test_a_refused_kind_gets_priority(self) -> None:
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="small", is_under_way=True))
+        self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
         self.assertEqual((large.is_let_in, small.is_let_in), (False, True))
-        self.now += PASSED_OVER_SECONDS + 0.1
+        self.now += KIND_PRIORITY_SECONDS + 0.1
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
         self.assertEqual((large.is_let_in, small.is_let_in), (False, False))
-        self.now += RECHECK_SECONDS
+        self.now += REFUSAL_CACHE_SECONDS
         later = self.decide(Supply(level=40.0, rate=1.0), "large")
         assert later is not None
         self.assertTrue(later.is_let_in)
-        self.now += RECHECK_SECONDS
+        self.now += REFUSAL_CACHE_SECONDS
         small = self.decide(supply, "small")
         assert small is not None
         self.assertTrue(small.is_let_in)
 
-    def test_it_is_not_waited_for_once_it_does_not_come_back(self) -> None:
+    def test_a_refused_kind_loses_priority_without_retries(self) -> None:
         self.learn(2, "small")
         self.learn(20, "large")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="small", is_under_way=True))
+        self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large = self.decide(supply, "large")
         assert large is not None
-        self.now += large.retry_after + RETURN_SECONDS + 0.1
+        self.now += large.retry_after + RETRY_GRACE_SECONDS + 0.1
         small = self.decide(supply, "small")
         assert small is not None
         self.assertTrue(small.is_let_in)
@@ -250,72 +249,72 @@
         self.learn(200, "one")
         self.learn(200, "two")
         supply = Supply(level=15.0, rate=1.0)
-        self.follow("p", account(1, self.now, self.now, kind="one"))
+        self.update("p", account(1, self.now, self.now, kind="one"))
         for _ in range(5):
             for kind in ("one", "two"):
                 self.decide(supply, kind)
-            self.now += REST_SECONDS / 4
-        self.now += REST_SECONDS
-        decided = [self.decide(supply, kind) for kind in ("one", "two")]
-        self.assertTrue(any(item is not None and item.is_let_in for item in decided))
+            self.now += MAX_IDLE_SECONDS / 4
+        self.now += MAX_IDLE_SECONDS
+        decision = [self.decide(supply, kind) for kind in ("one", "two")]
+        self.assertTrue(any(item is not None and item.is_let_in for item in decision))
 
 
-class Late(Books):
-    """Programs that are refused and come back leave the limit to those that can end in time."""
+class LatePrograms(ClaimCase):
+    """Refused programs that retry too late leave the limit to those that meet their deadline."""
 
-    given = 4.0
+    time_limit = 4.0
 
     def learn_times(self, seconds: float) -> None:
-        """Let programs that were given four seconds run, and rest."""
+        """Let programs with a time limit of four seconds run and become idle."""
         for number in range(LEAST_PROGRAMS):
             name = f"t{number}"
-            self.book.expect(asking(name, left=self.given), self.now)
-            self.follow(name, account(10, self.now, self.now + seconds))
-        self.now += seconds + REST_SECONDS
-        self.book.sweep(self.now)
+            self.claims.add_provisional(candidate(name, time_left=self.time_limit), self.now)
+            self.update(name, account(10, self.now, self.now + seconds))
+        self.now += seconds + MAX_IDLE_SECONDS
+        self.claims.sweep(self.now)
 
-    def ask(self, name: str, left: float, supply: Supply) -> Admission:
-        decided = self.book.decide(asking(name, left=left), supply, self.now)
-        assert decided is not None
-        return decided
+    def ask(self, name: str, time_left: float, supply: Supply) -> Admission:
+        decision = self.claims.decide(candidate(name, time_left=time_left), supply, self.now)
+        assert decision is not None
+        return decision
 
     def hold(self) -> None:
-        """Let a program claim what the bucket holds."""
-        self.follow("held", account(1, self.now, self.now, is_under_way=True))
+        """Let a program claim all tokens in the bucket."""
+        self.update("held", account(1, self.now, self.now, has_open_turn=True))
 
-    def test_one_that_came_back_too_late_leaves_what_there_is_to_others(self) -> None:
+    def test_a_late_program_yields_to_others(self) -> None:
         self.learn_times(3.0)
         self.hold()
-        self.assertFalse(self.ask("late", self.given, LITTLE).is_let_in)
-        self.now += 2 * RECHECK_SECONDS
+        self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_let_in)
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         late = self.ask("late", 2.0, FULL)
         self.assertTrue(late.cannot_end_in_time)
         self.assertFalse(late.is_let_in)
-        self.assertTrue(self.ask("fresh", self.given, FULL).is_let_in)
+        self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_let_in)
 
-    def test_one_that_can_still_end_in_time_is_like_a_new_one(self) -> None:
+    def test_a_retry_that_can_meet_its_deadline_is_treated_as_new(self) -> None:
         self.learn_times(2.0)
         self.hold()
-        self.ask("p", self.given, LITTLE)
-        self.now += 2 * RECHECK_SECONDS
+        self.ask("p", self.time_limit, LITTLE)
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
 
-    def test_it_is_let_in_once_nobody_else_is_refused(self) -> None:
+    def test_a_late_program_is_admitted_once_no_other_is_refused(self) -> None:
         self.learn_times(3.0)
         self.hold()
-        self.ask("late", self.given, LITTLE)
-        self.now += LATE_YIELDS_SECONDS
+        self.ask("late", self.time_limit, LITTLE)
+        self.now += LATE_YIELD_SECONDS
         self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
 
-    def test_without_word_of_their_time_all_are_alike(self) -> None:
+    def test_programs_without_a_deadline_are_never_late(self) -> None:
         self.learn(10)
         self.hold()
-        self.ask("p", self.given, LITTLE)
-        self.now += 2 * RECHECK_SECONDS
+        self.ask("p", self.time_limit, LITTLE)
+        self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
-    def test_a_tenant_at_twice_its_limit_ends_its_programs_in_time(self) -> None:
-        """Each refused program comes back five times; with the rule few are let in late."""
+    def test_admitted_programs_of_a_tenant_at_twice_its_limit_meet_their_deadlines(self) -> None:
+        """Each refused program retries up to five times; few are admitted too late."""
         in_time, let_in = self.replay(knows_time=True)
         before, let_in_before = self.replay(knows_time=False)
         self.assertGreater(in_time, 0.95 * let_in)
@@ -323,14 +322,14 @@
         self.assertGreater(let_in, 0.95 * let_in_before)
 
     def replay(self, *, knows_time: bool) -> tuple[int, int]:
-        """Return how many programs of ten requests began in time, and at all, in 40 s."""
-        self.book, self.now = ClaimBook(), 0.0
+        """Return how many programs of ten requests began in time, and how many began, in 40 s."""
+        self.claims, self.now = ClaimTracker(), 0.0
         self.learn_times(3.0)
         rate, level, began = 20.0, 0.0, self.now
         returning: list[tuple[float, int, str, float]] = []
-        """When a program asks, for which time, its name, and when it asked first."""
+        """Time of the request, attempt, name, time of the first request."""
         running: list[tuple[float, str, int, float]] = []
-        """When a program asks next, its name, its requests so far, and when it began."""
+        """Time of the next request, name, requests so far, time of the beginning."""
         in_time = let_in = number = 0
         while self.now < began + 40.0:
             self.now += 0.05
@@ -339,7 +338,7 @@
                 running.remove(item)
                 _, name, used, begin = item
                 level -= 1.0
-                self.follow(name, account(used + 1, begin, self.now, is_under_way=used < 9))
+                self.update(name, account(used + 1, begin, self.now, has_open_turn=used < 9))
                 if used < 9:
                     running.append((self.now + 0.3, name, used + 1, begin))
             if number * 0.25 < self.now - began:
@@ -348,18 +347,18 @@
             for asked in [item for item in returning if item[0] <= self.now]:
                 returning.remove(asked)
                 _, tries, name, first = asked
-                left = self.given - (self.now - first)
-                told = left if knows_time else None
+                time_left = self.time_limit - (self.now - first)
+                told = time_left if knows_time else None
                 supply = Supply(level=max(0.0, level), rate=rate)
-                decided = self.book.decide(asking(name, left=told), supply, self.now)
-                assert decided is not None
-                if decided.is_let_in:
-                    self.book.expect(asking(name, left=told), self.now)
+                decision = self.claims.decide(candidate(name, time_left=told), supply, self.now)
+                assert decision is not None
+                if decision.is_let_in:
+                    self.claims.add_provisional(candidate(name, time_left=told), self.now)
                     running.append((self.now, name, 0, self.now))
                     let_in += 1
-                    in_time += left >= 2.7
+                    in_time += time_left >= 2.7
                 elif tries < 6:
-                    wait = 0.25 + min(1.0, decided.retry_after)
+                    wait = 0.25 + min(1.0, decision.retry_after)
                     returning.append((self.now + wait, tries + 1, name, first))
         return in_time, let_in
 
--- a/tests/unit/ledger/test_earlier_release.py
+++ b/tests/unit/ledger/test_earlier_release.py
@@ -1,4 +1,4 @@
-"""Bytes that an earlier release wrote are read as what that release meant."""
+"""Data written by an earlier release is decoded correctly."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def accounts(ledger: LedgerState) -> dict[str, object]:
-    """Return what each program has spent and reserved, and where it was read."""
+    """Return the spent and reserved tokens and the contexts of each program."""
     return {
         name: (program.spent, program.reserved, program.settled, program.contexts)
         for name, program in ledger.programs.items()
@@ -20,7 +20,7 @@
 
 
 def texts(ledger: LedgerState) -> dict[str, object]:
-    """Return the kept turns, and until when they are kept."""
+    """Return the retained turns and their expiry."""
     return {name: (stored.turn, stored.expires) for name, stored in ledger.turns.items()}
 
 
@@ -28,11 +28,11 @@
     def setUp(self) -> None:
         self.stored = release_samples.stored()
 
-    def test_entries_of_its_log_are_read(self) -> None:
+    def test_log_entries_are_read(self) -> None:
         read = [decode_command(data).unwrap() for data in self.stored["commands"]]
         self.assertEqual(read, release_samples.commands())
 
-    def test_its_log_leads_to_the_same_programs_and_turns(self) -> None:
+    def test_replaying_the_log_gives_the_same_programs_and_turns(self) -> None:
         read = [decode_command(data).unwrap() for data in self.stored["commands"]]
         replayed = LedgerState()
         for command in read:
@@ -42,17 +42,17 @@
         self.assertEqual(texts(replayed), texts(kept))
         self.assertEqual(replayed.time, kept.time)
 
-    def test_its_snapshot_is_gone_on_with(self) -> None:
+    def test_a_snapshot_can_be_continued(self) -> None:
         kept = decode_state(self.stored["state"][0]).unwrap()
         again = LedgerCommand(time=1003.0, operations=(release_samples.SETTLE,), passed=4.0)
         kept.transition_apply(again)
         program = kept.programs["p"]
-        self.assertEqual((program.spent, program.counted()), (40, 90))
+        self.assertEqual((program.spent, program.committed_tokens()), (40, 90))
         known = kept.known_result(release_samples.OPEN)
         assert isinstance(known, Granted)
         self.assertEqual(kept.turns["k1"].turn, release_samples.TURN)
 
-    def test_its_messages_are_read(self) -> None:
+    def test_messages_are_read(self) -> None:
         codec = LedgerCodec()
         expected = release_samples.messages(self.stored["commands"][1])
         for data, message in zip(self.stored["messages"], expected, strict=True):
@@ -65,7 +65,7 @@
             with self.subTest(type(message).__name__):
                 self.assertEqual(codec.decode_datagram(data).unwrap(), message)
 
-    def test_its_disk_is_read_whole(self) -> None:
+    def test_the_log_file_is_read_completely(self) -> None:
         data = self.stored["disk"][0]
         log = recover(data).unwrap()
         self.assertEqual(log.valid_bytes, len(data))
--- a/tests/unit/ledger/test_histories.py
+++ b/tests/unit/ledger/test_histories.py
@@ -1,4 +1,4 @@
-"""Texts of kept turns that come from a replica which does not lead."""
+"""Texts of retained turns served by replicas that do not lead."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from yokeline.effects import Address, Effect, PeerMessage, SendPeer
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.history_fetches import (
-    AVOID_SECONDS,
     FETCH_SECONDS,
-    OUTSIDE_SECONDS,
+    NON_MEMBER_BACKOFF_SECONDS,
+    SILENT_BACKOFF_SECONDS,
     HistoryFetches,
     NearReplica,
 )
-from yokeline.ledger.history_service import HOLD_SECONDS
+from yokeline.ledger.history_service import MISSING_TURN_WAIT_SECONDS
 from yokeline.ledger.messages import HistoryAsk, HistoryReply
 from yokeline.ledger.operations import KeptTurn
 
@@ -24,7 +24,7 @@
 KEPT = KeptTurn(turn_id="t", previous="", text=b"text", retention=60.0)
 
 
-class Fetches(unittest.TestCase):
+class HistoryFetching(unittest.TestCase):
     def setUp(self) -> None:
         self.fetches = HistoryFetches("edge", OWN)
         self.fetches.set_replicas(
@@ -52,14 +52,14 @@
         reply = HistoryReply(number=sent.message.number, turns=turns, is_member=is_member)
         self.fetches.take_reply(reply, now)
 
-    def test_a_replica_of_the_own_zone_is_asked_first_and_never_the_leader(self) -> None:
+    def test_a_replica_of_the_same_zone_is_preferred_and_the_leader_is_never_asked(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.assertEqual(first.to, "near")
         self.answer(first, 0.01, KEPT)
         self.assertEqual(self.got, [(KEPT,)])
 
-    def test_one_that_is_no_member_or_is_silent_is_avoided_for_a_while(self) -> None:
+    def test_non_members_and_silent_replicas_are_avoided_for_a_while(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.answer(first, 0.01, is_member=False)
@@ -69,10 +69,10 @@
         self.fetches.tick(0.03 + FETCH_SECONDS)
         self.assertEqual(self.got, [(), ()])
         self.assertIsNone(self.fetch(0.2))
-        third = self.fetch(0.03 + FETCH_SECONDS + AVOID_SECONDS)
+        third = self.fetch(0.03 + FETCH_SECONDS + SILENT_BACKOFF_SECONDS)
         assert third is not None
         self.assertEqual(third.to, "far")
-        fourth = self.fetch(0.01 + OUTSIDE_SECONDS)
+        fourth = self.fetch(0.01 + NON_MEMBER_BACKOFF_SECONDS)
         assert fourth is not None
         self.assertEqual(fourth.to, "near")
 
@@ -83,7 +83,7 @@
             self.assertEqual(sent.to, "near")
             self.answer(sent, 0.1)
 
-    def test_an_answer_after_the_end_changes_nothing(self) -> None:
+    def test_a_late_answer_is_ignored(self) -> None:
         first = self.fetch(0.0)
         assert first is not None
         self.fetches.tick(FETCH_SECONDS)
@@ -91,19 +91,19 @@
         self.assertEqual(self.got, [()])
 
 
-class Service(StorageCase):
+class HistoryServing(StorageCase):
     def followers(self, cluster: Cluster) -> list[Machine]:
         leader = self.leader(cluster)
         return [machine for machine in cluster.machines if machine is not leader]
 
     def ask(self, cluster: Cluster, machine: Machine, last: str, known: str = "") -> None:
         message = HistoryAsk(number=1, asker=OWN, last=last, known=known)
-        cluster.hand(machine, PeerMessage(sender=READER, message=message))
+        cluster.deliver_event(machine, PeerMessage(sender=READER, message=message))
 
     def texts(self, cluster: Cluster) -> list[list[bytes]]:
         return [[item.text for item in reply.turns] for reply in cluster.histories]
 
-    def test_a_follower_gives_out_a_chain_after_a_turn_that_is_known(self) -> None:
+    def test_a_follower_serves_a_chain_after_a_known_turn(self) -> None:
         cluster = self.cluster()
         for name, previous in (("t1", ""), ("t2", "t1"), ("t3", "t2")):
             cluster.ask(turn(name, previous, name.encode()))
@@ -113,22 +113,22 @@
         self.ask(cluster, follower, "t3", "t1")
         self.assertEqual(self.texts(cluster), [[b"t1", b"t2", b"t3"], [b"t2", b"t3"]])
 
-    def test_a_follower_that_is_told_of_a_turn_a_moment_later_answers_then(self) -> None:
+    def test_a_follower_answers_when_a_missing_turn_arrives(self) -> None:
         cluster = self.cluster()
         follower = self.followers(cluster)[0]
         self.ask(cluster, follower, "t1")
         self.assertEqual(self.texts(cluster), [])
         cluster.ask(turn("t1"))
-        cluster.run(HOLD_SECONDS)
+        cluster.run(MISSING_TURN_WAIT_SECONDS)
         self.assertEqual(self.texts(cluster), [[b"text"]])
 
-    def test_a_turn_that_does_not_come_is_answered_as_lacking(self) -> None:
+    def test_a_turn_that_does_not_arrive_is_answered_as_missing(self) -> None:
         cluster = self.cluster()
         self.ask(cluster, self.followers(cluster)[0], "never")
-        cluster.run(HOLD_SECONDS + 0.05)
+        cluster.run(MISSING_TURN_WAIT_SECONDS + 0.05)
         self.assertEqual(self.texts(cluster), [[]])
 
-    def test_a_replica_that_is_no_member_answers_at_once(self) -> None:
+    def test_a_non_member_answers_immediately(self) -> None:
         cluster = self.cluster(5)
         spare = cluster.add_machine()
         cluster.run(1.0)
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -1,15 +1,12 @@
-"""A ledger leader whose link is nearly full: what a burst leaves behind once it is over.
-
-Incident of sine-harvest-grown (docs/incidents/sine-harvest-grown-short.md).
-"""
+"""Recovery of a ledger leader with a nearly full link after a burst of load."""
 
 from __future__ import annotations
 
 import unittest
 
-from tests.unit.ledger.cluster import Asker, Cluster
+from tests.unit.ledger.cluster import Cluster, EdgeClient
 from yokeline.effects import Effect
-from yokeline.ledger.client import OperationDone
+from yokeline.ledger.client import OperationCallback
 from yokeline.ledger.messages import TurnServed
 from yokeline.ledger.operations import Granted, KeptTurn, OperationResult, Reserve, Settle
 
@@ -18,30 +15,30 @@
 TURN_SECONDS = 0.2
 TURNS = 5
 PROGRAMS_PER_SECOND = 5.0
-"""25 turns a second: the texts take 250,000 bytes a second to two followers, and answers and
-heartbeats some 60,000 more: the link is three quarters full."""
+"""25 turns per second; their texts, the answers and the heartbeats fill three quarters of the
+link."""
 BURST = 1.6
 ANSWER_LIMIT = 2.0
-"""As a forwarding node gives a reservation up."""
+"""Timeout of a reservation at a forwarding node."""
 ENGINES = 4
 
 
 class Load:
-    """Programs whose turns are reserved, generated and kept, each at another forwarding node."""
+    """Programs whose turns are reserved, generated and retained by different forwarding nodes."""
 
-    def __init__(self, cluster: Cluster, askers: list[Asker]) -> None:
+    def __init__(self, cluster: Cluster, edges: list[EdgeClient]) -> None:
         self.cluster = cluster
-        self.askers = askers
+        self.edges = edges
         self.answers: list[tuple[float, float, bool]] = []
-        """When each operation was asked, the time to its result, and whether there was one."""
+        """For each operation: submission time, time to the result, whether there was a result."""
         self.kept: list[str] = []
-        """Turns that were acknowledged as kept."""
+        """Turns acknowledged as retained."""
         self.under_way = 0
         self._programs = 0
         self._turns = 0
 
     def arrive(self, start: float, end: float, per_second: float) -> None:
-        """Let programs begin, evenly."""
+        """Let programs begin at regular intervals."""
         for number in range(int((end - start) * per_second)):
             self.cluster.at(start + number / per_second, self._begin)
 
@@ -49,12 +46,12 @@
         self._programs += 1
         self._reserve(f"p{self._programs}", "", TURNS)
 
-    def _asker(self) -> Asker:
+    def _next_edge(self) -> EdgeClient:
         self._turns += 1
-        return self.askers[self._turns % len(self.askers)]
+        return self.edges[self._turns % len(self.edges)]
 
     def _reserve(self, program: str, previous: str, turns_left: int) -> None:
-        asker = self._asker()
+        edge = self._next_edge()
         name = f"{program}-{turns_left}"
         operation = Reserve(
             request_id=name,
@@ -69,23 +66,23 @@
             self.answers.append((asked_at, now - asked_at, result is not None))
             if isinstance(result, Granted):
                 engine = f"engine-{self._turns % ENGINES}"
-                asker.client.turns.begin(name, engine)
+                edge.client.turns.begin(name, engine)
                 self.under_way += 1
                 self.cluster.at(
                     now + TURN_SECONDS * (0.5 + self.cluster.random.random()),
-                    lambda: self._keep(asker, engine, program, name, previous, turns_left),
+                    lambda: self._keep(edge, engine, program, name, previous, turns_left),
                 )
             return []
 
-        self._ask(asker, operation, done)
+        self._ask(edge, operation, done)
 
     def _keep(
-        self, asker: Asker, engine: str, program: str, name: str, previous: str, turns_left: int
+        self, edge: EdgeClient, engine: str, program: str, name: str, previous: str, turns_left: int
     ) -> None:
         turn = KeptTurn(turn_id=name, previous=previous, text=b"x" * TEXT_BYTES, retention=60.0)
         operation = Settle(request_id=name, program=program, tokens=50, turn=turn)
         asked_at = self.cluster.now
-        asker.client.turns.end(name, TurnServed(engine, False, 1.0))
+        edge.client.turns.end(name, TurnServed(engine, False, 1.0))
         self.under_way -= 1
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
@@ -96,39 +93,39 @@
                 self._reserve(program, name, turns_left - 1)
             return []
 
-        self._ask(asker, operation, done)
+        self._ask(edge, operation, done)
 
-    def _ask(self, asker: Asker, operation: Reserve | Settle, done: OperationDone) -> None:
+    def _ask(self, edge: EdgeClient, operation: Reserve | Settle, done: OperationCallback) -> None:
         now = self.cluster.now
-        effects = asker.client.ask(operation, done, now, now + ANSWER_LIMIT)
-        self.cluster.carry_out_asker(asker.process, effects)
+        effects = edge.client.ask(operation, done, now, now + ANSWER_LIMIT)
+        self.cluster.carry_out_edge(edge.process, effects)
 
     def seconds(self, start: float, end: float) -> list[float]:
-        """Return the times to the results of what was asked between two moments, sorted."""
+        """Return the sorted response times of the operations submitted in an interval."""
         return sorted(took for asked, took, _ in self.answers if start <= asked < end)
 
     def median(self, start: float, end: float) -> float:
-        """Return the median of these times."""
+        """Return the median response time."""
         times = self.seconds(start, end)
         return times[len(times) // 2]
 
 
 class Burst(unittest.TestCase):
     def loaded(self, seed: int) -> tuple[Load, float]:
-        """Play five seconds of load, three of a burst and six of the load as before."""
+        """Run five seconds of load, three of a burst and eight of the original load."""
         cluster = Cluster(3, seed)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
         cluster.run(0.5)
         for machine in cluster.machines:
             machine.link_bytes_per_second = LINK_BYTES_PER_SECOND
-        load = Load(cluster, [cluster.add_asker(f"edge-{number}~1") for number in range(8)])
+        load = Load(cluster, [cluster.add_edge(f"edge-{number}~1") for number in range(8)])
         start = cluster.now
         load.arrive(start, start + 5.0, PROGRAMS_PER_SECOND)
         load.arrive(start + 5.0, start + 8.0, PROGRAMS_PER_SECOND * BURST)
         load.arrive(start + 8.0, start + 16.0, PROGRAMS_PER_SECOND)
         return load, start
 
-    def test_the_ledger_answers_as_before_once_a_burst_is_over(self) -> None:
+    def test_response_times_recover_after_a_burst(self) -> None:
         for seed in range(3):
             load, start = self.loaded(seed)
             load.cluster.run(17.0)
@@ -136,8 +133,8 @@
             after = load.median(start + 13.0, start + 16.0)
             self.assertLess(after, 3 * before + 0.05, f"seed {seed}: {before:.3f} before")
 
-    def test_no_engine_looks_busy_once_all_turns_have_ended(self) -> None:
-        """Else nodes refuse calls for want of room while the engines are idle."""
+    def test_no_running_turns_are_reported_once_all_have_ended(self) -> None:
+        """Nodes would otherwise refuse calls while the engines are idle."""
         for seed in range(3):
             load, start = self.loaded(seed)
             load.cluster.run(16.0)
