--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -27,7 +27,7 @@
 from yokeline.forwarding.dispatch import Dispatch
 from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_sends import EngineSends
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import (
     Call,
@@ -79,7 +79,7 @@
     def __init__(self, engines: int, waiting: int) -> None:
         """Fill all engines, and let turns wait."""
         dialect = HeaderDialect()
-        self.book = EngineBook("edge")
+        self.book = EngineTable("edge")
         self.state = NodeState("a", self.book, Outcomes(dialect))
         self.state.now = 1.0
         self.state.table = RoutingTable(version=1, routes=(_route(),), pools={POOL: _pool()})
@@ -90,7 +90,7 @@
         for number in range(engines):
             self.book.put(_engine(number))
         for state in self.book.all():
-            state.others = SLOTS * 2
+            state.running_elsewhere = SLOTS * 2
         for number in range(waiting):
             self.dispatch.wait(_turn(number, self.state.now))
 
@@ -108,13 +108,13 @@
     def look_with_one_free(self) -> float:
         """Return the same after one place has come free; a new turn replaces the one sent."""
         state = next(iter(self.book.all()))
-        state.others = int(SLOTS * MODEL_HEADROOM) - 1
+        state.running_elsewhere = int(SLOTS * MODEL_HEADROOM) - 1
         seconds = self.look()
         sent = list(self.state.by_request.values())
         assert len(sent) == 1, "one place serves one turn"
         self.state.by_request.clear()
         state.running = 0
-        state.others = SLOTS * 2
+        state.running_elsewhere = SLOTS * 2
         self.state.outcomes.take_effects()
         self.dispatch.wait(_turn(10_000, self.state.now))
         return seconds
--- a/benchmarks/engine_choice.py
+++ b/benchmarks/engine_choice.py
@@ -25,7 +25,7 @@
 
 from yokeline.effects import Address
 from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefixes import PrefixBeliefs
 from yokeline.ledger.operations import CachedContext
@@ -81,7 +81,7 @@
         """Know all engines; only with ``subset`` some of them are preferred."""
         self.zone = own.zone
         self.subset = subset
-        self.book = EngineBook(own.name)
+        self.book = EngineTable(own.name)
         self.model = EngineModel()
         self.model.take_usual(EVENT_SECONDS)
         self.beliefs = PrefixBeliefs()
@@ -92,7 +92,7 @@
             self.book.set_nodes(own.zone, nodes)
         for state in self.book.all():
             pace = fleet.speed(state.engine.engine_id) * EVENT_SECONDS
-            state.profile = ToldProfile(
+            state.reported_profile = ToldProfile(
                 pace_seconds=pace, samples=SAMPLES, spell=1.0, told_at=PLAY_SECONDS
             )
 
@@ -172,9 +172,9 @@
     def _begin(self, program: Program, now: float) -> None:
         node = self.nodes[program.node]
         for state in node.book.all():
-            state.others = self.fleet.running[state.engine.engine_id] - state.running
+            state.running_elsewhere = self.fleet.running[state.engine.engine_id] - state.running
             if not node.subset:
-                state.idle_connections, state.left_at = 1, now
+                state.idle_connections, state.idle_since = 1, now
         call = Call(request_id="r", deadline=now + 9.0, prompt_tokens=PROMPT_TOKENS)
         inputs = ChoiceInputs(
             call=call,
@@ -194,7 +194,7 @@
         self.row.turns += 1
         self.row.opened += node.opens(engine.engine_id, now)
         self.row.crossed += engine.zone != node.zone
-        node.book.note_sent(choice.state)
+        node.book.record_sent(choice.state)
         self.fleet.running[engine.engine_id] += 1
         seconds = self._turn_seconds(choice)
         self.row.seconds.append(seconds)
@@ -208,10 +208,10 @@
 
     def _end(self, program: Program, choice: Choice, now: float) -> None:
         node, engine_id = self.nodes[program.node], choice.state.engine.engine_id
-        node.book.note_left(choice.state, now)
+        node.book.record_released(choice.state, now)
         self.fleet.running[engine_id] -= 1
         node.idle[engine_id].append(now)
-        node.model.observe(self._served(choice), now, choice.state.profile)
+        node.model.observe(self._served(choice), now, choice.state.reported_profile)
         program.left -= 1
         program.context = CachedContext(engine_id=engine_id, tokens=PROMPT_TOKENS - NEW_TOKENS)
         if program.left:
--- a/benchmarks/engine_profiles.py
+++ b/benchmarks/engine_profiles.py
@@ -17,7 +17,7 @@
 
 from yokeline.effects import Address
 from yokeline.forwarding.choice import ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefixes import PrefixBeliefs
 from yokeline.ledger.messages import EngineTurns, TurnServed
@@ -90,13 +90,13 @@
     print(f"profile read: {_seconds(read) / TURNS * MICROSECONDS:.1f} us")
 
 
-def _book(engines: int, *, told: bool) -> EngineBook:
-    book = EngineBook("edge-1")
+def _book(engines: int, *, told: bool) -> EngineTable:
+    book = EngineTable("edge-1")
     for number in range(engines):
         address = Address("10.0.0.1", number + 1)
         book.put(Engine(engine_id=f"e{number:05}", pool=POOL, address=address, zone="a", slots=6))
     for state in book.all() if told else ():
-        state.profile = ToldProfile(pace_seconds=PACE, samples=15, spell=1.0, told_at=NOW)
+        state.reported_profile = ToldProfile(pace_seconds=PACE, samples=15, spell=1.0, told_at=NOW)
     return book
 
 
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -14,7 +14,7 @@
 from tests.unit.forwarding.refusal_replay import POISON_SHARE, replay
 from tests.unit.forwarding.test_refusals import charges_each_engine
 
-from yokeline.forwarding.engines import FULL_SECONDS, EngineState
+from yokeline.forwarding.engines import FULL_BACKOFF_SECONDS, EngineState
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.refusals import RefusalCause, RefusalJudge
 
@@ -29,7 +29,7 @@
     full = min(1.0, engine.load / max(1, engine.engine.slots))
     if judge.suspects(exchange, now):
         full = 0.0
-    engine.full_until = max(engine.full_until, now + full * FULL_SECONDS)
+    engine.full_until = max(engine.full_until, now + full * FULL_BACKOFF_SECONDS)
     exchange.refused_by.append(engine)
     return RefusalCause.OPEN
 
--- a/src/yokeline/forwarding/choice.py
+++ b/src/yokeline/forwarding/choice.py
@@ -103,7 +103,7 @@
     """Return the best engine with room; None if there is none."""
     best: Choice | None = None
     usual_pace = _usual_pace(engines) if inputs.model is None else 0.0
-    listed = sum(not state.lapsed_until for state in engines) / max(1, len(engines))
+    listed = sum(not state.expires_at for state in engines) / max(1, len(engines))
     pool = PoolView(usual_pace, listed)
     for state in engines:
         if state.engine.engine_id in inputs.excluded or now < state.full_until:
@@ -143,12 +143,12 @@
     if inputs.affine == state.engine.engine_id:
         cost -= AFFINITY_SECONDS
     fault_cost = FAULT_TURNS if inputs.may_fail else LOST_CALL_FAULT_CALLS
-    cost += state.faults(now) * fault_cost * usual
+    cost += state.failure_rate(now) * fault_cost * usual
     if now < state.suspect_until:
         cost += SUSPECT_TURNS * usual
     cost += state.rank * RANK_SHARE * usual
     cost += _connection_cost(state, now)
-    if state.lapsed_until:
+    if state.expires_at:
         cost += pool.listed * LAPSED_TURNS * usual
     return msgspec.structs.replace(choice, cost=cost)
 
@@ -177,8 +177,8 @@
         unread=max(0, inputs.call.prompt_tokens - cached),
         beside=load,
         now=now,
-        told=state.profile,
-        told_slowness=state.slowness,
+        told=state.reported_profile,
+        told_slowness=state.reported_slowness,
         hinted_events=_hinted_events(inputs),
     )
     waiting = max(0, load - slots + 1) * prediction.seconds / slots
@@ -202,11 +202,11 @@
     """Return how long the calls under way keep an app, and how slow it is."""
     load = state.load
     slots = max(1, state.engine.slots)
-    pace = state.pace or AFFINITY_SECONDS
+    pace = state.call_seconds or AFFINITY_SECONDS
     cost = load / slots * pace
     cost += max(0, load - slots + 1) * pace / slots
-    if usual_pace and state.pace > usual_pace:
-        cost += state.pace - usual_pace
+    if usual_pace and state.call_seconds > usual_pace:
+        cost += state.call_seconds - usual_pace
     return Choice(state=state, cost=cost, load=load, cached=0)
 
 
@@ -222,5 +222,5 @@
 
 def _usual_pace(engines: list[EngineState]) -> float:
     """Return the median pace of a pool; 0 if it is not known."""
-    paces = sorted(state.pace for state in engines if state.pace)
+    paces = sorted(state.call_seconds for state in engines if state.call_seconds)
     return paces[len(paces) // 2] if paces else 0.0
--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -25,7 +25,7 @@
     StopRequested,
 )
 from yokeline.forwarding.engine_entries import EngineEntries
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.freshness import ConfigurationFreshness, Currency
 from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
@@ -84,7 +84,7 @@
         registry: RegistryClient,
         formats: DeploymentFormats,
         forwarder: Forwarder,
-        engines: EngineBook,
+        engines: EngineTable,
         ledger: LedgerClient,
         histories: HistoryFetches,
         freshness: ConfigurationFreshness,
@@ -109,7 +109,7 @@
         self._entries = EngineEntries(formats, engines, forwarder, engine_drain_seconds, now)
         self._sharing = LoadSharing(record, process, engines, now)
         self._exchange = RegistryExchange(record, registry, self._sharing, now)
-        ledger.engines_told = engines.take_told
+        ledger.engines_told = engines.apply_leader_report
         ledger.turns.earlier_name = engines.names.earlier_name
         ledger.helpful_peers = lambda: self._sharing.peers_that_reach_ledger(self._now)
         self._refused_records: set[str] = set()
@@ -198,7 +198,7 @@
             self.histories.next_deadline(),
             self.forwarder.next_deadline(),
             self._sharing.next_deadline(),
-            self._engines.next_lapse(),
+            self._engines.next_expiry(),
             self.freshness.next_deadline(),
         ]
         return min(due for due in dues if due is not None)
--- a/src/yokeline/forwarding/engine_entries.py
+++ b/src/yokeline/forwarding/engine_entries.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from yokeline.effects import CloseIdleConnections, Effect, LogRecord
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.model import Engine
 from yokeline.forwarding.outcomes import LogField
@@ -32,7 +32,7 @@
     def __init__(
         self,
         formats: DeploymentFormats,
-        engines: EngineBook,
+        engines: EngineTable,
         forwarder: Forwarder,
         drain_seconds: float,
         now: float,
@@ -68,7 +68,7 @@
     def forget_lapsed(self, now: float) -> list[Effect]:
         """Take engines whose entries did not come back as gone."""
         effects: list[Effect] = []
-        for engine_id in self._engines.take_lapsed(now):
+        for engine_id in self._engines.remove_expired(now):
             self._forwarder.forget_engine(engine_id)
             effects.append(LogRecord(event="engine_gone", fields={"engine": engine_id}))
         return effects
@@ -104,7 +104,7 @@
             return []
         engine_id = known.engine.engine_id
         fields = _fields(engine_id, item)
-        if self._engines.lapse(engine_id, self._lapse_until):
+        if self._engines.mark_unregistered(engine_id, self._lapse_until):
             fields["until_seconds"] = round(self._lapse_until - now, 2)
             return [LogRecord(event="engine_lapsed", fields=fields)]
         self._forget(engine_id)
--- a/src/yokeline/forwarding/engine_figures.py
+++ b/src/yokeline/forwarding/engine_figures.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 
 MAX_ENGINES_SHOWN = 32
 """Engines with gauges of their own; with two gauges each, a page of them stays readable."""
@@ -24,16 +24,16 @@
         return max(present, 1 / present)
 
 
-def pace_gauges(engines: EngineBook, now: float) -> dict[str, float]:
+def pace_gauges(engines: EngineTable, now: float) -> dict[str, float]:
     """Return the lasting pace and the spell of engines, as multiples of what is usual."""
     known = [
         _Shown(
             engine_id=state.engine.engine_id,
-            lasting=state.profile.pace_seconds / engines.usual_pace(state.engine.pool),
-            spell=state.profile.spell_at(now),
+            lasting=state.reported_profile.pace_seconds / engines.usual_pace(state.engine.pool),
+            spell=state.reported_profile.spell_at(now),
         )
         for state in engines.all()
-        if state.profile is not None and engines.usual_pace(state.engine.pool) > 0
+        if state.reported_profile is not None and engines.usual_pace(state.engine.pool) > 0
     ]
     gauges: dict[str, float] = {}
     for item in heapq.nlargest(MAX_ENGINES_SHOWN, known, key=lambda item: item.distance):
--- a/src/yokeline/forwarding/engine_sends.py
+++ b/src/yokeline/forwarding/engine_sends.py
@@ -41,7 +41,7 @@
         exchange.uncached = max(0, exchange.call.prompt_tokens - choice.cached)
         exchange.request = RequestId(f"call/{next(self._numbers)}")
         state.by_request[exchange.request] = exchange
-        state.engines.note_sent(engine)
+        state.engines.record_sent(engine)
         self._settlements.tell_of_begin(exchange, engine)
         state.placement.note_sent(exchange, choice, state.pool_of(exchange), state.now)
         state.shares.note_served(exchange, state.now)
@@ -66,7 +66,9 @@
             exchange.request = None
         if exchange.engine is not None:
             is_kept = not (failed or cancelled)
-            self._state.engines.note_left(exchange.engine, self._state.now, is_kept=is_kept)
+            self._state.engines.record_released(
+                exchange.engine, self._state.now, connection_kept=is_kept
+            )
             self._settlements.tell_of_end(exchange, exchange.engine, failed=failed, pace=pace)
 
     def cancel(self, exchange: Exchange, *, failed: bool = False) -> None:
--- a/src/yokeline/forwarding/engines.py
+++ b/src/yokeline/forwarding/engines.py
@@ -27,20 +27,20 @@
 )
 from yokeline.scheduling.engine_subsets import ZoneMember, preferred_engines, rank
 
-REPORT_FRESH_SECONDS = 1.0
+NODE_REPORT_TTL_SECONDS = 1.0
 """Age after which another node's report of its load counts for nothing."""
-TOLD_FRESH_SECONDS = 0.6
+LEADER_REPORT_TTL_SECONDS = 0.6
 """Age after which what the ledger's leader told of engines counts for nothing."""
-BUSY_SHARE = 0.4
-KEPT_SECONDS = 1.0
+BUSY_LOAD_SHARE = 0.4
+IDLE_CONNECTION_TTL_SECONDS = 1.0
 """Time for which an idle connection can be counted on; engines close theirs after a second or
 more."""
-FULL_SECONDS = 0.08
+FULL_BACKOFF_SECONDS = 0.08
 """Time for which an engine that rejected a request gets no other one."""
 SUSPECT_SECONDS = 1.0
 """Time for which an engine that broke off or fell silent is a last resort."""
 MAX_SUSPECT_SECONDS = 4.0
-_PACE_WEIGHT = 0.15
+_CALL_SECONDS_WEIGHT = 0.15
 """Weight of a new observation in the moving average of an engine's pace."""
 
 
@@ -74,61 +74,61 @@
     rank: float = 0.0
     is_preferred: bool = True
     idle_connections: int = 0
-    left_at: float = -math.inf
+    idle_since: float = -math.inf
     running: int = 0
-    others: int = 0
-    told_failed: float = 0.0
-    slowness: float = 1.0
-    profile: ToldProfile | None = None
+    running_elsewhere: int = 0
+    reported_failure_rate: float = 0.0
+    reported_slowness: float = 1.0
+    reported_profile: ToldProfile | None = None
     full_until: float = 0.0
-    refused_caller: str = ""
-    refused_at: float = -math.inf
+    rejected_caller: str = ""
+    rejected_at: float = -math.inf
     suspect_until: float = 0.0
     failures: int = 0
-    pace: float = 0.0
-    lapsed_until: float = 0.0
-    own_faults: FadingAverage = msgspec.field(
+    call_seconds: float = 0.0
+    expires_at: float = 0.0
+    local_failure_rate: FadingAverage = msgspec.field(
         default_factory=lambda: FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
     )
 
-    def faults(self, now: float) -> float:
+    def failure_rate(self, now: float) -> float:
         """Return the share of requests that fail here, as far as it is believed now."""
-        return max(self.told_failed, self.own_faults.value(now))
+        return max(self.reported_failure_rate, self.local_failure_rate.value(now))
 
-    def note_outcome(self, now: float, *, failed: bool) -> None:
+    def record_outcome(self, now: float, *, failed: bool) -> None:
         """Take the end of a request into the share of failures."""
-        self.own_faults.observe(float(failed), now)
+        self.local_failure_rate.observe(float(failed), now)
 
     @property
     def load(self) -> int:
         """Requests of all nodes that it has under way, as far as known."""
-        return self.running + self.others
+        return self.running + self.running_elsewhere
 
     def has_idle_connection(self, now: float) -> bool:
         """Return whether this node probably has a connection to it that waits for a request."""
-        return self.idle_connections > 0 and now - self.left_at <= KEPT_SECONDS
+        return self.idle_connections > 0 and now - self.idle_since <= IDLE_CONNECTION_TTL_SECONDS
 
-    def note_pace(self, seconds: float) -> None:
+    def record_call_seconds(self, seconds: float) -> None:
         """Take an observation of the time for a unit of work in."""
-        if not self.pace:
-            self.pace = seconds
-        self.pace += _PACE_WEIGHT * (seconds - self.pace)
+        if not self.call_seconds:
+            self.call_seconds = seconds
+        self.call_seconds += _CALL_SECONDS_WEIGHT * (seconds - self.call_seconds)
 
-    def note_failure(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Prefer others for a time that grows with the failures in a row."""
-        self.note_outcome(now, failed=True)
+        self.record_outcome(now, failed=True)
         self.failures += 1
         seconds = min(MAX_SUSPECT_SECONDS, SUSPECT_SECONDS * self.failures)
         self.suspect_until = max(self.suspect_until, now + seconds)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Trust it again."""
-        self.note_outcome(now, failed=False)
+        self.record_outcome(now, failed=False)
         self.failures = 0
         self.suspect_until = 0.0
 
 
-def _profile(item: EngineTurns, now: float) -> ToldProfile:
+def _reported_profile(item: EngineTurns, now: float) -> ToldProfile:
     return ToldProfile(
         pace_seconds=item.pace * PACE_UNIT_SECONDS,
         samples=item.samples,
@@ -141,10 +141,10 @@
     """Requests that wait at other nodes, and the age of the oldest report of them (seconds)."""
 
     requests: int
-    age: float
+    report_age: float
 
 
-class EngineBook:
+class EngineTable:
     """All engines, by the name of their start and by pool.
 
     Attributes:
@@ -159,44 +159,46 @@
         self._engines: dict[str, EngineState] = {}
         self.names = StartNames()
         self._by_pool: dict[str, list[EngineState]] = {}
-        self._places: dict[str, int] = {}
+        self._slots_by_pool: dict[str, int] = {}
         self._reports: dict[NodeName, tuple[float, LoadReport]] = {}
-        self._sums_are_stale = False
-        self._subsets_are_stale = False
-        self._self = ZoneMember(node, "")
+        self._remote_load_is_stale = False
+        self._preferences_are_stale = False
+        self._own_member = ZoneMember(node, "")
         self._nodes: tuple[ZoneMember, ...] = ()
-        self._told_at = -math.inf
-        self._told: frozenset[str] = frozenset()
+        self._leader_report_at = -math.inf
+        self._counted_by_leader: frozenset[str] = frozenset()
         self._usual_paces: dict[str, float] = {}
-        self.own_changes = 0
-        self.fresh_seconds = REPORT_FRESH_SECONDS
+        self.local_changes = 0
+        self.node_report_ttl = NODE_REPORT_TTL_SECONDS
 
-    def note_sent(self, state: EngineState) -> None:
+    def record_sent(self, state: EngineState) -> None:
         """Count a request of this node that an engine has under way."""
         state.running += 1
         state.idle_connections = max(0, state.idle_connections - 1)
-        self.own_changes += 1
+        self.local_changes += 1
 
-    def note_left(self, state: EngineState, now: float, *, is_kept: bool = True) -> None:
+    def record_released(
+        self, state: EngineState, now: float, *, connection_kept: bool = True
+    ) -> None:
         """Count a request of this node that is no longer at its engine.
 
         Its connection waits for the next one if it ``is_kept``.
         """
         state.running = max(0, state.running - 1)
-        self.own_changes += 1
-        if not is_kept:
+        self.local_changes += 1
+        if not connection_kept:
             return
         if not state.has_idle_connection(now):
             state.idle_connections = 0
         state.idle_connections += 1
-        state.left_at = now
+        state.idle_since = now
 
     def set_nodes(self, zone: str, nodes: Sequence[ZoneMember]) -> None:
         """Note this node's zone, and the nodes that share the engines with it."""
-        place, known = ZoneMember(self._node, zone), tuple(nodes)
-        if (place, known) != (self._self, self._nodes):
-            self._self, self._nodes = place, known
-            self._subsets_are_stale = True
+        own_member, known = ZoneMember(self._node, zone), tuple(nodes)
+        if (own_member, known) != (self._own_member, self._nodes):
+            self._own_member, self._nodes = own_member, known
+            self._preferences_are_stale = True
 
     def get(self, engine_id: str) -> EngineState | None:
         """Return an engine that is known."""
@@ -233,43 +235,43 @@
         if known is None:
             own_rank = rank(self._node, engine.instance) if self._node else 0.0
             self._engines[engine.engine_id] = EngineState(engine=engine, rank=own_rank)
-            self._sums_are_stale = self._sums_are_stale or bool(self._reports)
-            self._index()
+            self._remote_load_is_stale = self._remote_load_is_stale or bool(self._reports)
+            self._rebuild_pools()
             return True
-        was_lapsed = known.lapsed_until > 0
-        known.lapsed_until = 0.0
+        was_unregistered = known.expires_at > 0
+        known.expires_at = 0.0
         if known.engine == engine:
-            return was_lapsed
+            return was_unregistered
         known.engine = engine
-        self._index()
+        self._rebuild_pools()
         return True
 
-    def lapse(self, engine_id: str, until: float) -> bool:
+    def mark_unregistered(self, engine_id: str, until: float) -> bool:
         """Note that an engine's entry went without a word of leaving; return whether it is kept.
 
         It may live and have missed its heartbeats while the key-value service was away.
         """
         known = self._engines.get(engine_id)
-        if known is None or known.engine.draining or known.lapsed_until:
+        if known is None or known.engine.draining or known.expires_at:
             return False
-        known.lapsed_until = until
+        known.expires_at = until
         return True
 
-    def take_lapsed(self, now: float) -> list[str]:
+    def remove_expired(self, now: float) -> list[str]:
         """Forget engines whose entries did not come back in time; return their ids."""
-        gone = [
+        expired = [
             engine_id
             for engine_id, state in self._engines.items()
-            if state.lapsed_until and now >= state.lapsed_until
+            if state.expires_at and now >= state.expires_at
         ]
-        for engine_id in gone:
+        for engine_id in expired:
             self.remove(engine_id)
-        return gone
+        return expired
 
-    def next_lapse(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return when the first lapsed engine is to be forgotten."""
         return min(
-            (state.lapsed_until for state in self._engines.values() if state.lapsed_until),
+            (state.expires_at for state in self._engines.values() if state.expires_at),
             default=None,
         )
 
@@ -279,50 +281,50 @@
         if state is None:
             return False
         self.names.remove(state.engine.instance)
-        self._index()
+        self._rebuild_pools()
         return True
 
-    def take_told(self, engines: tuple[EngineTurns, ...], now: float) -> None:
+    def apply_leader_report(self, engines: tuple[EngineTurns, ...], now: float) -> None:
         """Note what the ledger's leader knows; it is newer than any report of turns."""
-        self._told_at = now
-        told = {item.engine_id: item for item in engines}
+        self._leader_report_at = now
+        reported = {item.engine_id: item for item in engines}
         running = [(item.engine_id, item.running) for item in engines]
         counted = self.names.by_start((row for row in running if row[1] != NOT_COUNTED), now)
-        self._told = frozenset(counted)
+        self._counted_by_leader = frozenset(counted)
         for engine_id, state in self._engines.items():
-            item = told.get(engine_id)
+            item = reported.get(engine_id)
             if engine_id in counted:
-                state.others = max(0, counted[engine_id] - state.running)
-            state.told_failed = item.failed_percent / PERCENT if item is not None else 0.0
-            state.slowness = item.slowness_percent / PERCENT if item is not None else 1.0
+                state.running_elsewhere = max(0, counted[engine_id] - state.running)
+            state.reported_failure_rate = item.failed_percent / PERCENT if item is not None else 0.0
+            state.reported_slowness = item.slowness_percent / PERCENT if item is not None else 1.0
             if item is not None and item.pace > 0:
-                state.profile = _profile(item, now)
+                state.reported_profile = _reported_profile(item, now)
         self._usual_paces.clear()
 
     def usual_pace(self, pool: str) -> float:
         """Return the median of the lasting paces told of a pool's engines; 0 if none is known."""
         usual = self._usual_paces.get(pool)
         if usual is None:
-            profiles = (state.profile for state in self._by_pool.get(pool, []))
+            profiles = (state.reported_profile for state in self._by_pool.get(pool, []))
             usual = usual_pace(item.pace_seconds for item in profiles if item is not None)
             self._usual_paces[pool] = usual
         return usual
 
-    def is_told(self, now: float) -> bool:
+    def has_fresh_leader_report(self, now: float) -> bool:
         """Return whether what the leader told still counts."""
-        return now - self._told_at <= TOLD_FRESH_SECONDS
+        return now - self._leader_report_at <= LEADER_REPORT_TTL_SECONDS
 
     def in_pool(self, pool: str, now: float) -> list[EngineState]:
         """Return the engines of a pool that take new work, in the order of their ids."""
-        if self._sums_are_stale:
-            self._sum_reports(now)
-        if self._subsets_are_stale:
-            self._prefer()
+        if self._remote_load_is_stale:
+            self._sum_remote_load(now)
+        if self._preferences_are_stale:
+            self._update_preferences()
         return self._by_pool.get(pool, [])
 
-    def places_of(self, pool: str) -> int:
+    def slots_in_pool(self, pool: str) -> int:
         """Return how many requests the engines of a pool that take new work serve at once."""
-        return self._places.get(pool, 0)
+        return self._slots_by_pool.get(pool, 0)
 
     def all(self) -> Iterable[EngineState]:
         """Return every engine."""
@@ -333,16 +335,18 @@
 
         Those of which the ledger's leader tells are left out: reports are of no use there.
         """
-        if self._sums_are_stale:
-            self._sum_reports(now)
-        told = self._told if self.is_told(now) else frozenset()
+        if self._remote_load_is_stale:
+            self._sum_remote_load(now)
+        counted_by_leader = (
+            self._counted_by_leader if self.has_fresh_leader_report(now) else frozenset()
+        )
         return any(
-            state.load > BUSY_SHARE * state.engine.slots
+            state.load > BUSY_LOAD_SHARE * state.engine.slots
             for engine_id, state in self._engines.items()
-            if engine_id not in told
+            if engine_id not in counted_by_leader
         )
 
-    def own_loads(self, now: float) -> tuple[EngineLoad, ...]:
+    def local_loads(self, now: float) -> tuple[EngineLoad, ...]:
         """Return what this node has under way."""
         running = [state for state in self._engines.values() if state.running]
         loads = [EngineLoad(state.engine.engine_id, state.running) for state in running]
@@ -352,69 +356,71 @@
                 loads.append(EngineLoad(earlier_name, load.running))
         return tuple(loads)
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def apply_node_report(self, report: LoadReport, now: float) -> None:
         """Note another node's load, unless a later report came before."""
         known = self._reports.get(report.node)
         is_older = known is not None and known[1].sequence >= report.sequence
-        if known is not None and is_older and now - known[0] <= self.fresh_seconds:
+        if known is not None and is_older and now - known[0] <= self.node_report_ttl:
             return
         self._reports[report.node] = (now, report)
-        self._sums_are_stale = True
+        self._remote_load_is_stale = True
 
     def fresh_reports(self, now: float) -> list[LoadReport]:
         """Return the latest report of each node that reported lately."""
-        return [item for at, item in self._reports.values() if now - at <= self.fresh_seconds]
+        return [item for at, item in self._reports.values() if now - at <= self.node_report_ttl]
 
     def waiting_elsewhere(self, pool: str, now: float) -> WaitingElsewhere:
         """Return how many requests wait for a pool at nodes that reported lately."""
         requests, oldest = 0, now
         for at, report in self._reports.values():
-            if now - at <= self.fresh_seconds:
+            if now - at <= self.node_report_ttl:
                 requests += report.waiting.get(pool, 0)
                 oldest = min(oldest, at)
         return WaitingElsewhere(requests, now - oldest)
 
     def drop_stale_reports(self, now: float) -> None:
         """Let reports that are too old count no more."""
-        stale = [node for node, (at, _) in self._reports.items() if now - at > self.fresh_seconds]
+        stale = [node for node, (at, _) in self._reports.items() if now - at > self.node_report_ttl]
         for node in stale:
             del self._reports[node]
-            self._sums_are_stale = True
+            self._remote_load_is_stale = True
 
-    def _sum_reports(self, now: float) -> None:
+    def _sum_remote_load(self, now: float) -> None:
         """Add the other nodes' loads up anew, but for engines of which the leader tells."""
-        self._sums_are_stale = False
-        told = self._told if self.is_told(now) else frozenset()
+        self._remote_load_is_stale = False
+        counted_by_leader = (
+            self._counted_by_leader if self.has_fresh_leader_report(now) else frozenset()
+        )
         for engine_id, state in self._engines.items():
-            if engine_id not in told:
-                state.others = 0
+            if engine_id not in counted_by_leader:
+                state.running_elsewhere = 0
         for _, report in self._reports.values():
             loads = ((load.engine_id, load.running) for load in report.loads)
             for engine_id, running in self.names.by_start(loads, now).items():
-                state_of = self._engines.get(engine_id)
-                if state_of is not None and engine_id not in told:
-                    state_of.others += running
+                known = self._engines.get(engine_id)
+                if known is not None and engine_id not in counted_by_leader:
+                    known.running_elsewhere += running
 
-    def _prefer(self) -> None:
+    def _update_preferences(self) -> None:
         """Choose the engines of each pool anew to which this node keeps connections."""
-        self._subsets_are_stale = False
+        self._preferences_are_stale = False
         if not self._nodes:
             return
         for states in self._by_pool.values():
             engines = [ZoneMember(state.engine.instance, state.engine.zone) for state in states]
-            preferred = preferred_engines(self._self, self._nodes, engines)
+            preferred = preferred_engines(self._own_member, self._nodes, engines)
             for state in states:
                 state.is_preferred = state.engine.instance in preferred
 
-    def _index(self) -> None:
+    def _rebuild_pools(self) -> None:
         self._by_pool = {}
-        self._subsets_are_stale = True
+        self._preferences_are_stale = True
         self._usual_paces.clear()
         for engine_id in sorted(self._engines):
             state = self._engines[engine_id]
             if not state.engine.draining:
                 self._by_pool.setdefault(state.engine.pool, []).append(state)
-        self._places = {
+        self._slots_by_pool = {
             pool: sum(state.engine.slots for state in states)
             for pool, states in self._by_pool.items()
         }
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -35,7 +35,7 @@
 from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_figures import pace_gauges
 from yokeline.forwarding.engine_sends import EngineSends
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HeldRequests
@@ -94,7 +94,7 @@
         dialect: Dialect,
         ledger: LedgerClient,
         histories: HistoryFetches,
-        engines: EngineBook,
+        engines: EngineTable,
         tolerance: LimitTolerance = NO_TOLERANCE,
         process: str = "",
     ) -> None:
@@ -457,10 +457,10 @@
         if engine is not None and has_failed:
             exchange.attempts.note_left(engine.engine.engine_id)
             if not is_over:
-                engine.note_outcome(self._state.now, failed=True)
+                engine.record_outcome(self._state.now, failed=True)
         elif engine is not None:
-            engine.note_success(self._state.now)
-            engine.note_pace(self._state.now - exchange.sent_at)
+            engine.record_success(self._state.now)
+            engine.record_call_seconds(self._state.now - exchange.sent_at)
             self._note_call(exchange)
             self._repeats.note_answered(exchange)
         if has_failed and self._repeats.may_go_elsewhere(exchange):
--- a/src/yokeline/forwarding/load_sharing.py
+++ b/src/yokeline/forwarding/load_sharing.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from yokeline.effects import Effect, SendDatagram
-from yokeline.forwarding.engines import REPORT_FRESH_SECONDS, EngineBook
+from yokeline.forwarding.engines import NODE_REPORT_TTL_SECONDS, EngineTable
 from yokeline.identifiers import NodeName, ReplicaId
 from yokeline.ledger.client import PeerNode
 from yokeline.ledger.messages import LoadDigest, LoadReport
@@ -76,7 +76,7 @@
     """Reports of one node, and those that it passes on; a pure state machine."""
 
     def __init__(
-        self, record: NodeRecord, process: ReplicaId, engines: EngineBook, now: float
+        self, record: NodeRecord, process: ReplicaId, engines: EngineTable, now: float
     ) -> None:
         """Report for the node of ``record``, whose process answers as ``process``."""
         self._record = record
@@ -114,7 +114,7 @@
         self._zone_ring = ring
         self._zones = dict(zones)
         self._slowdown = min(MAX_SLOWDOWN, max(1.0, len(edges) / NODES_AT_FULL_PACE))
-        self._engines.fresh_seconds = REPORT_FRESH_SECONDS * self._slowdown
+        self._engines.node_report_ttl = NODE_REPORT_TTL_SECONDS * self._slowdown
         places = sorted(
             (ZoneMember(item.name, item.zone) for item in edges), key=lambda at: at.name
         )
@@ -192,7 +192,7 @@
     def take_report(self, report: LoadReport, now: float) -> None:
         """Take a report that its node sent here."""
         self._heard_at[report.node] = now
-        self._engines.take_report(report, now)
+        self._engines.apply_node_report(report, now)
         if self.uses_relays:
             self._collected[report.node] = report
             self._schedule_digest(now)
@@ -202,7 +202,7 @@
         self._heard_at[digest.sender] = now
         for report in digest.reports:
             if report.node != self._record.name:
-                self._engines.take_report(report, now)
+                self._engines.apply_node_report(report, now)
         comes_from_elsewhere = digest.zone != self._record.zone
         if comes_from_elsewhere and self.relay(now).name == self._record.name:
             self._from_zones.update((report.node, report) for report in digest.reports)
@@ -228,7 +228,7 @@
         return effects
 
     def _report(self, state: ReportedState, now: float) -> list[Effect]:
-        if now >= self._next_look and self._reported_changes != self._engines.own_changes:
+        if now >= self._next_look and self._reported_changes != self._engines.local_changes:
             pause = RELAYED_REPORT_SECONDS if self.uses_relays else REPORT_SECONDS
             self._next_look = now + pause * self._slowdown
             if self._engines.any_busy(now):
@@ -239,9 +239,9 @@
             return []
         self._reported_revision = state.revision
         self._engines.drop_stale_reports(now)
-        self._reported_changes = self._engines.own_changes
+        self._reported_changes = self._engines.local_changes
         self._next_report = now + CALM_REPORT_SECONDS * self._slowdown
-        loads = self._engines.own_loads(now)
+        loads = self._engines.local_loads(now)
         self._sequence += 1
         report = LoadReport(
             node=self._record.name,
--- a/src/yokeline/forwarding/node_state.py
+++ b/src/yokeline/forwarding/node_state.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RoutingTable
 from yokeline.forwarding.outcomes import Outcomes
@@ -37,7 +37,7 @@
         room_waits: Time that those waited which then got a place.
     """
 
-    def __init__(self, zone: str, engines: EngineBook, outcomes: Outcomes) -> None:
+    def __init__(self, zone: str, engines: EngineTable, outcomes: Outcomes) -> None:
         """Begin without requests and without a configuration."""
         self.now = 0.0
         self.table: RoutingTable | None = None
--- a/src/yokeline/forwarding/place_shares.py
+++ b/src/yokeline/forwarding/place_shares.py
@@ -10,7 +10,7 @@
 
 import math
 
-from yokeline.forwarding.engines import TOLD_FRESH_SECONDS
+from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
 from yokeline.forwarding.exchange import Exchange
 from yokeline.ledger.messages import PoolShares
 from yokeline.scheduling.passing_over import PassingOver
@@ -34,7 +34,7 @@
 
     def take_told(self, shares: tuple[PoolShares, ...], now: float) -> None:
         """Note what the leader told."""
-        self._lapses_at = now + TOLD_FRESH_SECONDS
+        self._lapses_at = now + LEADER_REPORT_TTL_SECONDS
         self.levels = {item.pool: item.level for item in shares}
         self._told = {item.pool: frozenset(item.beyond) for item in shares if item.beyond}
 
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RouteKind
 from yokeline.forwarding.prefixes import PrefixBeliefs
@@ -38,7 +38,7 @@
         programs: Which share of their time programs take.
     """
 
-    def __init__(self, zone: str, engines: EngineBook) -> None:
+    def __init__(self, zone: str, engines: EngineTable) -> None:
         """Choose among ``engines`` for a node in ``zone``."""
         self.beliefs = PrefixBeliefs()
         self.programs = ProgramTimes()
@@ -125,7 +125,7 @@
             event_seconds=event_seconds if gaps >= LEAST_GAPS else None,
             events=exchange.events,
         )
-        return self._model(exchange.pool).observe(turn, now, exchange.engine.profile)
+        return self._model(exchange.pool).observe(turn, now, exchange.engine.reported_profile)
 
     def _own_engines(self, exchange: Exchange) -> list[EngineState]:
         """Return the engines that were left with a request and take work, the latest first."""
--- a/src/yokeline/forwarding/refusals.py
+++ b/src/yokeline/forwarding/refusals.py
@@ -18,7 +18,7 @@
 from collections import OrderedDict
 
 from yokeline.fading import FadingAverage
-from yokeline.forwarding.engines import FULL_SECONDS, EngineState
+from yokeline.forwarding.engines import FULL_BACKOFF_SECONDS, EngineState
 from yokeline.forwarding.exchange import Exchange
 
 FULL_SHARE = 1.0
@@ -71,16 +71,16 @@
             misdirected: Another engine answered at its address.
         """
         if misdirected:
-            engine.note_failure(now)
+            engine.record_failure(now)
             return RefusalCause.ENGINE_GONE
         caller = _caller(exchange)
         if self.suspects(exchange, now):
             exchange.refused_by.append(engine)
             return RefusalCause.REQUEST
         if self._is_full(engine, caller, now):
-            engine.full_until = now + FULL_SECONDS
+            engine.full_until = now + FULL_BACKOFF_SECONDS
             return RefusalCause.ENGINE_FULL
-        engine.refused_caller, engine.refused_at = caller, now
+        engine.rejected_caller, engine.rejected_at = caller, now
         exchange.refused_by.append(engine)
         return RefusalCause.REQUEST if len(exchange.refused_by) > 1 else RefusalCause.OPEN
 
@@ -94,7 +94,7 @@
         if not exchange.refused_by:
             return
         for engine in exchange.refused_by:
-            engine.note_outcome(now, failed=True)
+            engine.record_outcome(now, failed=True)
         exchange.refused_by.clear()
         self._suspicion(_caller(exchange)).observe(0.0, now)
 
@@ -111,8 +111,8 @@
         """Return whether something beside this refusal says that an engine is full."""
         if engine.load >= FULL_SHARE * engine.engine.slots:
             return True
-        is_recent = now - engine.refused_at <= FULL_SECONDS
-        return is_recent and engine.refused_caller != caller
+        is_recent = now - engine.rejected_at <= FULL_BACKOFF_SECONDS
+        return is_recent and engine.rejected_caller != caller
 
     def _suspicion(self, caller: str) -> FadingAverage:
         if caller not in self._suspicions:
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -134,7 +134,7 @@
         if engine is not None:
             exchange.tried.add(engine.engine.engine_id)
             if not failure.stale:
-                engine.note_failure(self._state.now)
+                engine.record_failure(self._state.now)
             if failure.sent:
                 exchange.attempts.note_left(engine.engine.engine_id)
         if not failure.sent:
@@ -151,7 +151,7 @@
         if engine is not None:
             engine_id = engine.engine.engine_id
             exchange.tried.add(engine_id)
-            engine.note_failure(self._state.now)
+            engine.record_failure(self._state.now)
             exchange.attempts.note_left(engine_id)
         self._repeat_or_fail(exchange, reason)
 
@@ -275,7 +275,7 @@
         exchange.runs += 1
         exchange.tried.add(engine_id)
         exchange.attempts.note_left(engine_id)
-        engine.note_outcome(self._state.now, failed=True)
+        engine.record_outcome(self._state.now, failed=True)
         self._sends.cancel(exchange, failed=True)
         self.repeat(exchange, "late engine")
         self._dispatch.dispatch(exchange.pool)
--- a/src/yokeline/forwarding/room_view.py
+++ b/src/yokeline/forwarding/room_view.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.placement import Placement
 from yokeline.scheduling.room_waits import PoolRoom
 
@@ -59,7 +59,7 @@
 class RoomViews:
     """The latest view of each pool."""
 
-    def __init__(self, engines: EngineBook, placement: Placement) -> None:
+    def __init__(self, engines: EngineTable, placement: Placement) -> None:
         """Look at ``engines``, and at what ``placement`` has learned."""
         self._engines = engines
         self._placement = placement
@@ -86,5 +86,5 @@
             begin_share=self._placement.begin_share(pool),
             begin_excess=max(0, least_excess) * len(engines),
             elsewhere=waiting.requests,
-            reports_age=waiting.age,
+            reports_age=waiting.report_age,
         )
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -65,7 +65,7 @@
         pace = self._state.placement.note_turn(exchange, self._state.now)
         self._sends.leave(exchange, pace=pace)
         if engine is not None:
-            engine.note_success(self._state.now)
+            engine.record_success(self._state.now)
         if exchange.phase is Phase.SENT:
             self._start(exchange)
         exchange.is_whole = True
--- a/src/yokeline/forwarding/tenant_loads.py
+++ b/src/yokeline/forwarding/tenant_loads.py
@@ -59,7 +59,7 @@
             TenantLoad(name, self._weight(name), running[name], waiting[name])
             for name, _ in wanted.most_common(MAX_ROWS)
         )
-        return PoolLoad(pool, self._state.engines.places_of(pool), tenants)
+        return PoolLoad(pool, self._state.engines.slots_in_pool(pool), tenants)
 
     def _is_model(self, pool: str) -> bool:
         table = self._state.table
--- a/src/yokeline/roles.py
+++ b/src/yokeline/roles.py
@@ -125,7 +125,7 @@
 ) -> Result[BoundServices, YokelineError]:
     # Imported here, as the storage part below: a role loads only what it needs.
     from yokeline.forwarding.edge_node import EdgeNode
-    from yokeline.forwarding.engines import EngineBook
+    from yokeline.forwarding.engines import EngineTable
     from yokeline.forwarding.forwarder import Forwarder
     from yokeline.forwarding.freshness import ConfigurationFreshness
     from yokeline.forwarding.limits import LimitTolerance
@@ -153,7 +153,7 @@
         address=settings.peer_address,
         zone=settings.zone,
     )
-    engines = EngineBook(settings.name)
+    engines = EngineTable(settings.name)
     ledger = LedgerClient(settings.peer_address)
     histories = HistoryFetches(settings.name, settings.peer_address)
     # Of this process alone: an answer to an earlier one must not reach it.
--- a/tests/unit/forwarding/support.py
+++ b/tests/unit/forwarding/support.py
@@ -24,7 +24,7 @@
     LogRecord,
     SendPeer,
 )
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.model import (
     Engine,
@@ -98,9 +98,9 @@
     def __init__(self, engines_per_pool: int = 2, slots: int = 4) -> None:
         self.now = 100.0
         self.ledger = LedgerClient(Address("10.0.0.1", 1))
-        self.ledger.engines_told = lambda told, now: self.engines.take_told(told, now)
+        self.ledger.engines_told = lambda told, now: self.engines.apply_leader_report(told, now)
         self.ledger.set_storage({STORAGE.replica: STORAGE.address})
-        self.engines = EngineBook()
+        self.engines = EngineTable()
         self.histories = HistoryFetches("edge", Address("10.0.0.1", 1))
         self.forwarder = Forwarder(
             zone="a",
--- a/tests/unit/forwarding/test_affinity.py
+++ b/tests/unit/forwarding/test_affinity.py
@@ -38,7 +38,7 @@
         played = Played(slots=4)
         state = played.engines.get("models-0")
         assert state is not None
-        state.others = 20
+        state.running_elsewhere = 20
         played.turn(token_usage="20000,50", session_id="s")
         context = CachedContext(engine_id="models-0", tokens=19_000)
         played.ledger_answers(Granted(spent=40, context=context))
@@ -60,8 +60,8 @@
         self.assertEqual(set(chosen), {"apps-1"})
         state = played.engines.get("apps-0")
         assert state is not None
-        self.assertGreater(state.faults(played.now), 0.1)
-        self.assertLess(state.faults(played.now + 20.0), 0.01)
+        self.assertGreater(state.failure_rate(played.now), 0.1)
+        self.assertLess(state.failure_rate(played.now + 20.0), 0.01)
 
 
 class GrowingParts(unittest.TestCase):
--- a/tests/unit/forwarding/test_dispatch.py
+++ b/tests/unit/forwarding/test_dispatch.py
@@ -17,7 +17,7 @@
         """Let another node report what every model engine has under way."""
         loads = tuple(EngineLoad(f"models-{number}", running) for number in range(2))
         report = LoadReport(node=NodeName("edge-9"), sequence=1, loads=loads, waiting={})
-        played.engines.take_report(report, played.now)
+        played.engines.apply_node_report(report, played.now)
 
     def turn(self, played: Played, name: str, *, begun: bool, finish_ms: str) -> None:
         played.turn(program_id=name, session_id=name, finish_ms=finish_ms)
@@ -51,7 +51,7 @@
         self.fill(played, 20)
         for name, finish in (("c", "3000"), ("a", "1000"), ("b", "2000")):
             self.turn(played, name, begun=True, finish_ms=finish)
-        played.engines.take_report(
+        played.engines.apply_node_report(
             LoadReport(node=NodeName("edge-9"), sequence=2, loads=(), waiting={}), played.now
         )
         played.take(played.forwarder.tick(played.now))
--- a/tests/unit/forwarding/test_edge_node.py
+++ b/tests/unit/forwarding/test_edge_node.py
@@ -427,7 +427,7 @@
     def test_a_single_lapsed_engine_is_a_last_resort(self) -> None:
         lapsed = self.played.engines.get("models-0")
         assert lapsed is not None
-        lapsed.lapsed_until = self.now + 100
+        lapsed.expires_at = self.now + 100
         for _ in range(4):
             self.played.turn("/turn/x")
             self.played.ledger_answers(Granted())
--- a/tests/unit/forwarding/test_engine_figures.py
+++ b/tests/unit/forwarding/test_engine_figures.py
@@ -4,7 +4,7 @@
 
 from yokeline.effects import Address
 from yokeline.forwarding.engine_figures import MAX_ENGINES_SHOWN, pace_gauges
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Engine
 from yokeline.ledger.messages import PACE_UNIT_SECONDS, EngineTurns
 
@@ -13,14 +13,14 @@
 NOW = 10.0
 
 
-def book(told: list[EngineTurns]) -> EngineBook:
-    engines = EngineBook("edge")
+def book(told: list[EngineTurns]) -> EngineTable:
+    engines = EngineTable("edge")
     for number in range(ENGINES):
         address = Address("10.0.0.1", number + 1)
         engines.put(
             Engine(engine_id=f"e{number}", pool="models", address=address, zone="a", slots=4)
         )
-    engines.take_told(tuple(told), NOW)
+    engines.apply_leader_report(tuple(told), NOW)
     return engines
 
 
--- a/tests/unit/forwarding/test_engine_starts.py
+++ b/tests/unit/forwarding/test_engine_starts.py
@@ -10,7 +10,7 @@
     NodeWithEntries,
 )
 from yokeline.effects import Address, CloseIdleConnections, DatagramArrived, Effect, HttpRequest
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import START_NEWS_SECONDS
 from yokeline.forwarding.model import Engine, PromptPart, start_name
 from yokeline.forwarding.start_names import EARLIER_HEARD_SECONDS
@@ -64,10 +64,14 @@
     def test_nothing_that_was_believed_of_the_earlier_start_counts_for_the_new_one(self) -> None:
         earlier = self.played.engines.get(FIRST)
         assert earlier is not None
-        earlier.note_failure(self.now)
-        earlier.note_pace(9.0)
+        earlier.record_failure(self.now)
+        earlier.record_call_seconds(9.0)
         earlier.full_until = self.now + 100
-        earlier.told_failed, earlier.slowness, earlier.others = 1.0, 5.0, 3
+        earlier.reported_failure_rate, earlier.reported_slowness, earlier.running_elsewhere = (
+            1.0,
+            5.0,
+            3,
+        )
         beliefs = self.played.forwarder._state.placement.beliefs
         beliefs.note_read(FIRST, (PART,), 10_000)
         self.start_again()
@@ -75,9 +79,9 @@
         state = self.played.engines.get(SECOND)
         assert state is not None
         self.assertEqual(
-            (state.failures, state.pace, state.full_until, state.load), (0, 0.0, 0.0, 0)
+            (state.failures, state.call_seconds, state.full_until, state.load), (0, 0.0, 0.0, 0)
         )
-        self.assertEqual((state.faults(self.now), state.slowness), (0.0, 1.0))
+        self.assertEqual((state.failure_rate(self.now), state.reported_slowness), (0.0, 1.0))
         self.assertEqual(beliefs.cached_tokens(FIRST, (PART,)), 0)
         self.assertEqual(beliefs.cached_tokens(SECOND, (PART,)), 0)
 
@@ -116,13 +120,13 @@
         self.start_again()
         state = self.played.engines.get(SECOND)
         assert state is not None
-        self.assertEqual(state.lapsed_until, 0.0)
+        self.assertEqual(state.expires_at, 0.0)
         self.wait(10.0)
         self.assertEqual(self.known(), {SECOND})
 
     def test_a_node_goes_on_preferring_the_engine_that_started_again(self) -> None:
         """Its connections and its share of the work do not move with each start."""
-        book = EngineBook("edge-1")
+        book = EngineTable("edge-1")
         known = self.played.engines.get(FIRST)
         assert known is not None
         book.put(known.engine)
@@ -160,7 +164,7 @@
         self.assertEqual(self.replied(), [200])
         state = self.played.engines.get(SECOND)
         assert state is not None
-        self.assertEqual((state.pace, state.running), (0.0, 0))
+        self.assertEqual((state.call_seconds, state.running), (0.0, 0))
 
     def test_a_late_failure_of_the_earlier_start_is_not_the_new_ones(self) -> None:
         self.start_first(service="apps")
@@ -170,7 +174,7 @@
         self.assertEqual(self.replied(), [502])
         state = self.played.engines.get(SECOND)
         assert state is not None
-        self.assertEqual((state.failures, state.faults(self.now)), (0, 0.0))
+        self.assertEqual((state.failures, state.failure_rate(self.now)), (0, 0.0))
 
     def test_both_starts_count_against_the_attempts_of_a_route(self) -> None:
         self.start_first(service="apps")
@@ -247,12 +251,15 @@
         """Both starts share the bare id, so what failed there may have been the earlier one's."""
         engines = self.played.engines
         told = (EngineTurns(INSTANCE, 3, 100, 300), EngineTurns(FIRST, 1, 10, 100))
-        engines.take_told(told, self.now)
+        engines.apply_leader_report(told, self.now)
         state = engines.get(FIRST)
         assert state is not None
-        self.assertEqual((state.others, state.told_failed, state.slowness), (3, 0.1, 1.0))
-        engines.take_told((EngineTurns(INSTANCE, 2, 100, 300),), self.now)
-        self.assertEqual((state.others, state.told_failed), (2, 0.0))
+        self.assertEqual(
+            (state.running_elsewhere, state.reported_failure_rate, state.reported_slowness),
+            (3, 0.1, 1.0),
+        )
+        engines.apply_leader_report((EngineTurns(INSTANCE, 2, 100, 300),), self.now)
+        self.assertEqual((state.running_elsewhere, state.reported_failure_rate), (2, 0.0))
 
     def test_an_earlier_release_that_is_heard_is_told_loads_under_its_name(self) -> None:
         self.played.turn()
@@ -273,7 +280,7 @@
         self.report("edge-2", EngineLoad(FIRST, 2), EngineLoad(INSTANCE, 2))
         self.assertEqual(self.others(FIRST), 2)
         told = (EngineTurns(INSTANCE, 3, 0, 100), EngineTurns(FIRST, 3, 0, 100))
-        self.played.engines.take_told(told, self.now)
+        self.played.engines.apply_leader_report(told, self.now)
         only_start = (EngineLoad(FIRST, 1),)
         self.assertEqual(self.own_loads(), (only_start, only_start))
 
@@ -286,7 +293,7 @@
         now = self.now if at is None else at
         report = turns.take_report(now)
         assert report is not None
-        return self.played.engines.own_loads(now), report.loads
+        return self.played.engines.local_loads(now), report.loads
 
     def report(self, node: str, *loads: EngineLoad) -> None:
         message = LoadReport(node=NodeName(node), sequence=1, loads=loads)
@@ -296,7 +303,7 @@
         self.played.engines.in_pool("models", self.now)
         state = self.played.engines.get(start)
         assert state is not None
-        return state.others
+        return state.running_elsewhere
 
 
 class StartNames(NodeWithEntries):
--- a/tests/unit/forwarding/test_failures_told.py
+++ b/tests/unit/forwarding/test_failures_told.py
@@ -38,7 +38,7 @@
         """Let another node report what the second app has under way."""
         loads = (EngineLoad("apps-1", running),)
         report = LoadReport(node=NodeName("edge-9"), sequence=1, loads=loads)
-        self.played.engines.take_report(report, self.played.now)
+        self.played.engines.apply_node_report(report, self.played.now)
 
     def test_a_call_that_may_not_be_repeated_avoids_an_app_that_fails_others(self) -> None:
         self.hear(failing(30))
--- a/tests/unit/forwarding/test_forwarder.py
+++ b/tests/unit/forwarding/test_forwarder.py
@@ -518,12 +518,12 @@
         played = Played(engines_per_pool=1, slots=10)
         loads = (EngineLoad("models-0", 14),)
         report = LoadReport(node=NodeName("other"), sequence=1, loads=loads)
-        played.engines.take_report(report, played.now)
+        played.engines.apply_node_report(report, played.now)
         played.turn()
         played.ledger_answers(Granted(spent=40))
         self.assertEqual(played.sent, [])
         idle = LoadReport(node=NodeName("other"), sequence=2, loads=())
-        played.engines.take_report(idle, played.now)
+        played.engines.apply_node_report(idle, played.now)
         played.wait(0.01)
         self.assertEqual(len(played.sent), 1)
 
@@ -531,7 +531,7 @@
         played = Played(engines_per_pool=1, slots=10)
         loads = (EngineLoad("models-0", 10),)
         report = LoadReport(node=NodeName("other"), sequence=1, loads=loads)
-        played.engines.take_report(report, played.now)
+        played.engines.apply_node_report(report, played.now)
         played.engines.drop_stale_reports(played.now + 0.9)
         state = played.engines.get("models-0")
         assert state is not None
--- a/tests/unit/forwarding/test_load_sharing.py
+++ b/tests/unit/forwarding/test_load_sharing.py
@@ -4,7 +4,7 @@
 from collections import Counter
 
 from yokeline.effects import Address, SendDatagram
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
 from yokeline.forwarding.model import Engine
 from yokeline.identifiers import NodeName, ReplicaId
@@ -34,7 +34,7 @@
             for zone in zones
             for number in range(per_zone)
         ]
-        self.books = {record.name: EngineBook() for record in records}
+        self.books = {record.name: EngineTable() for record in records}
         self.nodes: dict[str, LoadSharing] = {}
         self.by_address = {record.address: record.name for record in records}
         for record in records:
@@ -76,7 +76,7 @@
             state = book.get("e")
             assert state is not None
             if name not in self.down:
-                book.note_sent(state)
+                book.record_sent(state)
 
     def believed(self) -> set[int]:
         loads = set()
--- a/tests/unit/forwarding/test_patience.py
+++ b/tests/unit/forwarding/test_patience.py
@@ -81,7 +81,7 @@
     def test_a_call_at_a_full_engine_is_given_the_time_of_those_before_it(self) -> None:
         played = self.played()
         for state in played.engines.all():
-            state.others = 7
+            state.running_elsewhere = 7
         before = len(played.sent)
         played.request("/look-twice/x")
         played.wait(0.075)
@@ -117,7 +117,7 @@
         other = played.engine_of()
         state = played.engines.get(other)
         assert state is not None
-        state.others = 3
+        state.running_elsewhere = 3
         played.request("/fix/x")
         self.assertNotEqual(hanging, other)
         self.assertEqual(played.engine_of(), other)
--- a/tests/unit/forwarding/test_place_shares.py
+++ b/tests/unit/forwarding/test_place_shares.py
@@ -10,7 +10,7 @@
 
 from tests.unit.forwarding.support import TABLE, Played, route
 from yokeline.bearer_tokens import token_digest
-from yokeline.forwarding.engines import TOLD_FRESH_SECONDS
+from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
 from yokeline.forwarding.model import RouteKind
 from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
@@ -63,7 +63,7 @@
         """Let another node report what every model engine has under way."""
         loads = tuple(EngineLoad(f"models-{number}", running) for number in range(2))
         report = LoadReport(node=NodeName("edge-9"), sequence=sequence, loads=loads)
-        self.played.engines.take_report(report, self.played.now)
+        self.played.engines.apply_node_report(report, self.played.now)
 
     def sent_tenants(self) -> list[str]:
         return [dict(item.header_items)["x-yokeline-tenant"] for item in self.played.sent]
@@ -100,7 +100,7 @@
     def test_what_was_told_long_ago_holds_nobody_back(self) -> None:
         """The leader is gone, or the node is cut off from it."""
         self.turn("calm", HOT_IS_BEYOND)
-        self.played.wait(TOLD_FRESH_SECONDS - 0.1)
+        self.played.wait(LEADER_REPORT_TTL_SECONDS - 0.1)
         self.turn("hot")
         self.assertEqual(self.sent_tenants(), ["calm"])
         self.played.wait(0.15)
@@ -110,8 +110,8 @@
         self.turn("calm", HOT_IS_BEYOND)
         due = self.played.forwarder.next_deadline()
         assert due is not None
-        self.assertLessEqual(due, self.played.now + TOLD_FRESH_SECONDS)
-        self.played.now += TOLD_FRESH_SECONDS
+        self.assertLessEqual(due, self.played.now + LEADER_REPORT_TTL_SECONDS)
+        self.played.now += LEADER_REPORT_TTL_SECONDS
         self.turn("hot")
         self.assertEqual(self.sent_tenants(), ["calm", "hot"])
         self.assertNotEqual(self.played.forwarder.next_deadline(), due)
--- a/tests/unit/forwarding/test_preferences.py
+++ b/tests/unit/forwarding/test_preferences.py
@@ -5,7 +5,7 @@
 from tests.unit.forwarding.support import Played
 from yokeline.effects import Address
 from yokeline.forwarding.choice import ChoiceInputs, choose
-from yokeline.forwarding.engines import KEPT_SECONDS, EngineBook
+from yokeline.forwarding.engines import IDLE_CONNECTION_TTL_SECONDS, EngineTable
 from yokeline.forwarding.model import Call, Engine
 from yokeline.forwarding.prefixes import PrefixBeliefs
 from yokeline.scheduling.engine_subsets import LEAST_ENGINES, ZoneMember
@@ -14,8 +14,8 @@
 NODES = 30
 
 
-def book(node: str) -> EngineBook:
-    engines = EngineBook(node)
+def book(node: str) -> EngineTable:
+    engines = EngineTable(node)
     for number in range(ENGINES):
         address = Address(f"10.1.0.{number}", 80)
         engine = Engine(engine_id=f"e{number:02}", pool="apps", address=address, zone="a", slots=6)
@@ -23,14 +23,14 @@
     return engines
 
 
-def chosen(engines: EngineBook) -> str:
+def chosen(engines: EngineTable) -> str:
     inputs = ChoiceInputs(call=Call(request_id="r", deadline=1.0), traits=None, zone="a")
     choice = choose(engines.in_pool("apps", 0.0), PrefixBeliefs(), inputs, 0.0)
     assert choice is not None
     return choice.state.engine.engine_id
 
 
-def shared_book() -> EngineBook:
+def shared_book() -> EngineTable:
     """Return the engines as a node knows them that shares them with others."""
     engines = book("edge-0")
     engines.set_nodes("a", [ZoneMember(f"edge-{number}", "a") for number in range(NODES)])
@@ -56,11 +56,11 @@
     def test_an_engine_with_an_idle_connection_comes_first_while_the_engine_keeps_it(self) -> None:
         engines = shared_book()
         used = next(state for state in engines.all() if not state.is_preferred)
-        engines.note_sent(used)
-        engines.note_left(used, 0.0)
+        engines.record_sent(used)
+        engines.record_released(used, 0.0)
         self.assertEqual(chosen(engines), used.engine.engine_id)
-        self.assertTrue(used.has_idle_connection(KEPT_SECONDS))
-        self.assertFalse(used.has_idle_connection(KEPT_SECONDS + 0.1))
+        self.assertTrue(used.has_idle_connection(IDLE_CONNECTION_TTL_SECONDS))
+        self.assertFalse(used.has_idle_connection(IDLE_CONNECTION_TTL_SECONDS + 0.1))
 
     def test_a_connection_that_broke_is_not_counted_on(self) -> None:
         played = Played()
@@ -81,16 +81,16 @@
     def test_a_request_takes_the_idle_connection(self) -> None:
         engines = shared_book()
         used = next(iter(engines.all()))
-        engines.note_sent(used)
-        engines.note_left(used, 0.0)
-        engines.note_sent(used)
+        engines.record_sent(used)
+        engines.record_released(used, 0.0)
+        engines.record_sent(used)
         self.assertFalse(used.has_idle_connection(0.0))
 
     def test_a_node_goes_beyond_them_when_they_are_loaded(self) -> None:
         engines = shared_book()
         for state in engines.all():
-            state.note_pace(0.1)
-            state.others = 2 if state.is_preferred else 0
+            state.record_call_seconds(0.1)
+            state.running_elsewhere = 2 if state.is_preferred else 0
         state = engines.get(chosen(engines))
         assert state is not None
         self.assertFalse(state.is_preferred)
@@ -98,9 +98,9 @@
     def test_a_node_goes_beyond_them_when_they_fail(self) -> None:
         engines = shared_book()
         for state in engines.all():
-            state.note_pace(0.1)
+            state.record_call_seconds(0.1)
             if state.is_preferred:
-                state.note_failure(0.0)
+                state.record_failure(0.0)
         state = engines.get(chosen(engines))
         assert state is not None
         self.assertFalse(state.is_preferred)
@@ -117,7 +117,7 @@
     def test_one_call_more_decides_over_any_preference(self) -> None:
         engines = book("edge-1")
         for state in engines.all():
-            state.note_pace(0.1)
+            state.record_call_seconds(0.1)
         first = engines.get(chosen(engines))
         assert first is not None
         first.running = 1
--- a/tests/unit/forwarding/test_refusals.py
+++ b/tests/unit/forwarding/test_refusals.py
@@ -13,7 +13,7 @@
 from tests.unit.forwarding.refusal_replay import POISON_SHARE, replay
 from tests.unit.forwarding.support import Played
 from yokeline.effects import HttpResponse
-from yokeline.forwarding.engines import FULL_SECONDS, EngineState
+from yokeline.forwarding.engines import FULL_BACKOFF_SECONDS, EngineState
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.refusals import MAX_FREE_REFUSALS, RefusalCause, RefusalJudge
 from yokeline.identifiers import NodeName
@@ -26,7 +26,7 @@
     judge: RefusalJudge, exchange: Exchange, engine: EngineState, now: float, *, misdirected: bool
 ) -> RefusalCause:
     """Take each refusal for a full engine, whatever speaks against it."""
-    engine.full_until = now + FULL_SECONDS
+    engine.full_until = now + FULL_BACKOFF_SECONDS
     return RefusalCause.ENGINE_FULL
 
 
@@ -46,7 +46,7 @@
         """Let another node report what every app has under way."""
         loads = tuple(EngineLoad(f"apps-{number}", running) for number in range(6))
         report = LoadReport(node=NodeName("edge-9"), sequence=1, loads=loads, waiting={})
-        self.played.engines.take_report(report, self.played.now)
+        self.played.engines.apply_node_report(report, self.played.now)
 
     def causes(self) -> dict[str, int]:
         prefix = "yokeline_forwarding_engine_refusals_total"
@@ -71,7 +71,7 @@
         self.assertEqual(self.full(), [])
         self.assertEqual(self.played.replies[-1].status, 503)
         self.assertEqual(self.causes(), {"open": 1, "request": 2})
-        faults = [state.faults(self.played.now) for state in self.played.engines.all()]
+        faults = [state.failure_rate(self.played.now) for state in self.played.engines.all()]
         self.assertEqual(max(faults), 0.0)
 
     def test_a_refusal_by_an_engine_whose_places_are_taken_speaks_of_the_engine(self) -> None:
@@ -98,7 +98,7 @@
         self.played.engine_answers()
         shed = self.played.engines.get(shedding)
         assert shed is not None
-        self.assertGreater(shed.faults(self.played.now), 0.0)
+        self.assertGreater(shed.failure_rate(self.played.now), 0.0)
         self.assertEqual(self.full(), [])
 
     def test_a_caller_whose_requests_nobody_takes_asks_one_engine_each(self) -> None:
@@ -131,7 +131,7 @@
         self.played.now += 0.015
         response = HttpResponse(request=self.played.sent[-1].request, status=504, headers={})
         self.played.take(self.played.forwarder.engine_event(response, self.played.now))
-        faults = [state.faults(self.played.now) for state in self.played.engines.all()]
+        faults = [state.failure_rate(self.played.now) for state in self.played.engines.all()]
         self.assertEqual(max(faults), 0.0)
 
     def test_a_refusal_that_another_engine_may_undo_is_followed_at_once(self) -> None:
--- a/tests/unit/forwarding/test_room.py
+++ b/tests/unit/forwarding/test_room.py
@@ -90,7 +90,7 @@
             loads=loads,
             waiting={POOL: waiting} if waiting else {},
         )
-        self.played.engines.take_report(report, self.played.now)
+        self.played.engines.apply_node_report(report, self.played.now)
 
     def turn(self, name: str, *, begun: bool = False, finish_ms: str = "3000") -> str:
         request_id = self.played.turn(program_id=name, session_id=name, finish_ms=finish_ms)
--- a/tests/unit/forwarding/test_turns_told.py
+++ b/tests/unit/forwarding/test_turns_told.py
@@ -5,7 +5,7 @@
 import unittest
 
 from tests.unit.forwarding.support import Played
-from yokeline.forwarding.engines import TOLD_FRESH_SECONDS
+from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import (
     PACE_UNIT_SECONDS,
@@ -34,7 +34,7 @@
         played = Played()
         loads = (EngineLoad("models-1", 3),)
         report = LoadReport(node=NodeName("other"), sequence=1, loads=loads)
-        played.engines.take_report(report, played.now)
+        played.engines.apply_node_report(report, played.now)
         played.turn()
         played.ledger_answers(Granted(), told("models-0", 2), told("models-1", 0))
         self.assertEqual(played.engine_of(), "models-1")
@@ -43,10 +43,10 @@
         played = Played()
         played.turn()
         played.ledger_answers(Granted(), told("models-0", 3), told("models-1", 0))
-        played.wait(TOLD_FRESH_SECONDS + 0.1)
+        played.wait(LEADER_REPORT_TTL_SECONDS + 0.1)
         loads = (EngineLoad("models-1", 3),)
         report = LoadReport(node=NodeName("other"), sequence=1, loads=loads)
-        played.engines.take_report(report, played.now)
+        played.engines.apply_node_report(report, played.now)
         played.turn()
         played.ledger_answers(Granted())
         self.assertEqual(played.engine_of(), "models-0")
@@ -69,7 +69,7 @@
         played = Played()
         played.turn()
         played.ledger_answers(Granted(), paced("models-0", 0, 0.070), paced("models-1", 0, 0.028))
-        played.wait(TOLD_FRESH_SECONDS + 0.1)
+        played.wait(LEADER_REPORT_TTL_SECONDS + 0.1)
         played.turn()
         played.ledger_answers(Granted(), EngineTurns("other", 0, 0, 100))
         self.assertEqual(played.engine_of(), "models-1")
--- a/tests/unit/scheduling/test_share_replay.py
+++ b/tests/unit/scheduling/test_share_replay.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from tests.unit.scheduling.share_replay import HOT, Load, Replay, Result, Way
-from yokeline.forwarding.engines import TOLD_FRESH_SECONDS
+from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
 
 LOAD = Load(seconds=12.0)
 STARVED_PART = 0.25
@@ -71,7 +71,7 @@
 
     def test_old_word_of_the_leader_holds_nobody_back(self) -> None:
         """It falls silent while the tenant is hot and beyond its share; its word counts a while."""
-        lapses_at = 5.0 + TOLD_FRESH_SECONDS
+        lapses_at = 5.0 + LEADER_REPORT_TTL_SECONDS
         silent = msgspec.structs.replace(LOAD, leader_silent_from=5.0, turns_from=lapses_at)
         first_come = [replay(Way.FIRST_COME, silent, seed) for seed in SEEDS]
         shares = [replay(Way.SHARES, silent, seed) for seed in SEEDS]
