--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -110,7 +110,7 @@
         self._sharing = LoadSharing(record, process, engines, now)
         self._exchange = RegistryExchange(record, registry, self._sharing, now)
         ledger.engines_told = engines.apply_leader_report
-        ledger.turns.earlier_name = engines.names.earlier_name
+        ledger.turns.earlier_name = engines.incarnations.legacy_name
         ledger.helpful_peers = lambda: self._sharing.peers_that_reach_ledger(self._now)
         self._refused_records: set[str] = set()
         self._stop_asked_at: float | None = None
--- a/src/yokeline/forwarding/engine_entries.py
+++ b/src/yokeline/forwarding/engine_entries.py
@@ -74,9 +74,9 @@
         return effects
 
     def _take_engine(self, item: StoredItem, said: Engine, now: float) -> list[Effect]:
-        engine = self._engines.as_start(said)
+        engine = self._engines.with_known_incarnation(said)
         effects: list[Effect] = []
-        earlier = self._engines.start_of(engine.instance)
+        earlier = self._engines.current_incarnation(engine.instance)
         if earlier is not None and earlier.engine.engine_id != engine.engine_id:
             effects.extend(self._replace(earlier, item, now))
         if not self._engines.put(engine):
@@ -124,7 +124,7 @@
 
     def _known(self, item: StoredItem) -> EngineState | None:
         """Return the start of the engine under a key, if one is known."""
-        return self._engines.start_of(item.key.removeprefix(self._formats.engine_prefix))
+        return self._engines.current_incarnation(item.key.removeprefix(self._formats.engine_prefix))
 
     def _forget(self, engine_id: str) -> None:
         self._engines.remove(engine_id)
--- a/src/yokeline/forwarding/engines.py
+++ b/src/yokeline/forwarding/engines.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from yokeline.fading import FadingAverage
+from yokeline.forwarding.incarnations import IncarnationIndex
 from yokeline.forwarding.model import Engine
-from yokeline.forwarding.start_names import StartNames
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import (
     NOT_COUNTED,
@@ -157,7 +157,7 @@
         """Know no engine yet; ``node`` names this node, for its preferences; empty for none."""
         self._node = node
         self._engines: dict[str, EngineState] = {}
-        self.names = StartNames()
+        self.incarnations = IncarnationIndex()
         self._by_pool: dict[str, list[EngineState]] = {}
         self._slots_by_pool: dict[str, int] = {}
         self._reports: dict[NodeName, tuple[float, LoadReport]] = {}
@@ -204,17 +204,17 @@
         """Return an engine that is known."""
         return self._engines.get(engine_id)
 
-    def start_of(self, instance: str) -> EngineState | None:
+    def current_incarnation(self, instance: str) -> EngineState | None:
         """Return the start of an engine that is known; each has one at a time."""
-        return self._engines.get(self.names.start_of(instance))
+        return self._engines.get(self.incarnations.current_id(instance))
 
-    def as_start(self, engine: Engine) -> Engine:
+    def with_known_incarnation(self, engine: Engine) -> Engine:
         """Return an engine under the name of its start.
 
         One that does not say when it started is the start that is known, so an entry that loses
         and regains that field changes nothing.
         """
-        known = self.start_of(engine.instance)
+        known = self.current_incarnation(engine.instance)
         if known is None or engine.started_ms is not None:
             return engine
         return msgspec.structs.replace(
@@ -226,11 +226,11 @@
 
         Another start of the same engine is forgotten with all that is believed of it.
         """
-        engine = self.as_start(engine)
-        earlier = self.names.start_of(engine.instance)
-        if earlier != engine.engine_id:
-            self._engines.pop(earlier, None)
-            self.names.put(engine.instance, engine.engine_id)
+        engine = self.with_known_incarnation(engine)
+        previous_id = self.incarnations.current_id(engine.instance)
+        if previous_id != engine.engine_id:
+            self._engines.pop(previous_id, None)
+            self.incarnations.put(engine.instance, engine.engine_id)
         known = self._engines.get(engine.engine_id)
         if known is None:
             own_rank = rank(self._node, engine.instance) if self._node else 0.0
@@ -280,7 +280,7 @@
         state = self._engines.pop(engine_id, None)
         if state is None:
             return False
-        self.names.remove(state.engine.instance)
+        self.incarnations.remove(state.engine.instance)
         self._rebuild_pools()
         return True
 
@@ -289,7 +289,9 @@
         self._leader_report_at = now
         reported = {item.engine_id: item for item in engines}
         running = [(item.engine_id, item.running) for item in engines]
-        counted = self.names.by_start((row for row in running if row[1] != NOT_COUNTED), now)
+        counted = self.incarnations.counts_by_incarnation(
+            (row for row in running if row[1] != NOT_COUNTED), now
+        )
         self._counted_by_leader = frozenset(counted)
         for engine_id, state in self._engines.items():
             item = reported.get(engine_id)
@@ -351,9 +353,9 @@
         running = [state for state in self._engines.values() if state.running]
         loads = [EngineLoad(state.engine.engine_id, state.running) for state in running]
         for load in tuple(loads):
-            earlier_name = self.names.earlier_name(load.engine_id, now)
-            if earlier_name:
-                loads.append(EngineLoad(earlier_name, load.running))
+            legacy_name = self.incarnations.legacy_name(load.engine_id, now)
+            if legacy_name:
+                loads.append(EngineLoad(legacy_name, load.running))
         return tuple(loads)
 
     def apply_node_report(self, report: LoadReport, now: float) -> None:
@@ -396,7 +398,7 @@
                 state.running_elsewhere = 0
         for _, report in self._reports.values():
             loads = ((load.engine_id, load.running) for load in report.loads)
-            for engine_id, running in self.names.by_start(loads, now).items():
+            for engine_id, running in self.incarnations.counts_by_incarnation(loads, now).items():
                 known = self._engines.get(engine_id)
                 if known is not None and engine_id not in counted_by_leader:
                     known.running_elsewhere += running
--- a/src/yokeline/forwarding/model.py
+++ b/src/yokeline/forwarding/model.py
@@ -122,16 +122,16 @@
         return best
 
 
-_START_MARK = "@"
+_INCARNATION_SEPARATOR = "@"
 
 
-def start_name(instance: str, started_ms: int | None) -> str:
+def make_incarnation_id(instance: str, started_ms: int | None) -> str:
     """Return the name of one start of an engine; no two starts share one.
 
     A mark within ``instance`` is doubled, so that no instance is called like another one's start.
     """
-    escaped = instance.replace(_START_MARK, 2 * _START_MARK)
-    return escaped if started_ms is None else f"{escaped}{_START_MARK}{started_ms}"
+    escaped = instance.replace(_INCARNATION_SEPARATOR, 2 * _INCARNATION_SEPARATOR)
+    return escaped if started_ms is None else f"{escaped}{_INCARNATION_SEPARATOR}{started_ms}"
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/yokeline/platform/engine_entries.py
+++ b/src/yokeline/platform/engine_entries.py
@@ -16,7 +16,7 @@
 from yokeline.addresses import MAX_PORT
 from yokeline.effects import Address
 from yokeline.errors import ErrorKind, YokelineError
-from yokeline.forwarding.model import Engine, start_name
+from yokeline.forwarding.model import Engine, make_incarnation_id
 
 ENGINE_PREFIX = "servers/"
 """Each engine has its entry below it, under its id."""
@@ -77,7 +77,7 @@
         raise ValueError("the id is not visible ASCII text")
     started_ms = None if entry.born is msgspec.UNSET else entry.born
     return Engine(
-        engine_id=start_name(instance, started_ms),
+        engine_id=make_incarnation_id(instance, started_ms),
         instance=instance,
         started_ms=started_ms,
         pool=entry.service,
--- a/tests/unit/forwarding/test_engine_starts.py
+++ b/tests/unit/forwarding/test_engine_starts.py
@@ -12,15 +12,15 @@
 from yokeline.effects import Address, CloseIdleConnections, DatagramArrived, Effect, HttpRequest
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import START_NEWS_SECONDS
-from yokeline.forwarding.model import Engine, PromptPart, start_name
-from yokeline.forwarding.start_names import EARLIER_HEARD_SECONDS
+from yokeline.forwarding.incarnations import LEGACY_REPORTING_SECONDS
+from yokeline.forwarding.model import Engine, PromptPart, make_incarnation_id
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, EngineTurns, LoadReport
 from yokeline.ledger.operations import CachedContext, Granted
 
 INSTANCE = "i-0"
-FIRST = start_name(INSTANCE, FIRST_START_MS)
-SECOND = start_name(INSTANCE, SECOND_START_MS)
+FIRST = make_incarnation_id(INSTANCE, FIRST_START_MS)
+SECOND = make_incarnation_id(INSTANCE, SECOND_START_MS)
 PART = PromptPart("a", 900)
 
 
@@ -93,8 +93,8 @@
     def test_the_context_of_an_earlier_start_gains_nothing(self) -> None:
         self.write("i-1", self.entry(1, born=FIRST_START_MS))
         self.start_again()
-        other = self.played.engines.start_of("i-1")
-        again = self.played.engines.start_of(INSTANCE)
+        other = self.played.engines.current_incarnation("i-1")
+        again = self.played.engines.current_incarnation(INSTANCE)
         assert other is not None
         assert again is not None
         again.rank, other.rank = 1.0, 0.0
@@ -142,7 +142,7 @@
     def test_a_call_without_an_answer_of_the_earlier_start_may_have_run(self) -> None:
         self.write("i-1", self.entry(1, service="apps", born=FIRST_START_MS))
         self.start_first(service="apps", slots=64)
-        other = self.played.engines.start_of("i-1")
+        other = self.played.engines.current_incarnation("i-1")
         assert other is not None
         other.full_until = self.now + 100
         self.call("/fix/x")
@@ -270,7 +270,7 @@
         self.report("edge-2", EngineLoad(INSTANCE, 2))
         self.assertEqual(self.others(FIRST), 2)
         self.assertEqual(self.own_loads(), (both, both))
-        later = self.now + EARLIER_HEARD_SECONDS + 0.1
+        later = self.now + LEGACY_REPORTING_SECONDS + 0.1
         self.assertEqual(self.own_loads(later), (only_start, only_start))
 
     def test_loads_under_both_names_are_no_sign_of_an_earlier_release(self) -> None:
@@ -309,7 +309,7 @@
 class StartNames(NodeWithEntries):
     def test_no_two_starts_share_a_name(self) -> None:
         told = [("x", 5), ("x@5", None), ("x@", 5), ("x", None), ("x@@5", None)]
-        self.assertEqual(len({start_name(*item) for item in told}), len(told))
+        self.assertEqual(len({make_incarnation_id(*item) for item in told}), len(told))
 
     def test_an_engine_with_one_name_is_addressed_by_it(self) -> None:
         self.write("i-4", self.entry(4))
