--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -23,9 +23,9 @@
 
 from yokeline.effects import Address, HttpArrived
 from yokeline.forwarding.attempts import Attempts
-from yokeline.forwarding.choice import MODEL_HEADROOM
 from yokeline.forwarding.dispatch import Dispatch
 from yokeline.forwarding.ends import Ends
+from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
@@ -108,7 +108,7 @@
     def look_with_one_free(self) -> float:
         """Return the same after one place has come free; a new turn replaces the one sent."""
         state = next(iter(self.book.all()))
-        state.running_elsewhere = int(SLOTS * MODEL_HEADROOM) - 1
+        state.running_elsewhere = int(SLOTS * MODEL_OVERCOMMIT) - 1
         seconds = self.look()
         sent = list(self.state.by_request.values())
         assert len(sent) == 1, "one place serves one turn"
--- a/benchmarks/engine_choice.py
+++ b/benchmarks/engine_choice.py
@@ -24,7 +24,7 @@
 import msgspec
 
 from yokeline.effects import Address
-from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
+from yokeline.forwarding.engine_choice import ChoiceInputs, EngineChoice, choose_engine
 from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefixes import PrefixBeliefs
@@ -147,7 +147,7 @@
         self.row = Row()
         self.rate = rate * engines / statistics.fmean(TURNS_OF_PROGRAM)
         self.seconds = min(PLAY_SECONDS, LONGEST_TURNS / (rate * engines))
-        self._events: list[tuple[float, int, Program, Choice | None]] = []
+        self._events: list[tuple[float, int, Program, EngineChoice | None]] = []
         self._number = 0
 
     def run(self) -> Row:
@@ -165,7 +165,7 @@
                 self._end(program, choice, now)
         return self.row
 
-    def _push(self, at: float, program: Program, choice: Choice | None) -> None:
+    def _push(self, at: float, program: Program, choice: EngineChoice | None) -> None:
         self._number += 1
         heapq.heappush(self._events, (at, self._number, program, choice))
 
@@ -180,16 +180,16 @@
             call=call,
             traits=TRAITS,
             zone=node.zone,
-            context=program.context,
+            cached_context=program.context,
             model=node.model,
         )
-        choice = choose(node.book.in_pool(POOL, now), node.beliefs, inputs, now)
+        choice = choose_engine(node.book.in_pool(POOL, now), node.beliefs, inputs, now)
         if choice is None:
             self._push(now + 0.02, program, None)
             return
         self._send(program, node, choice, now)
 
-    def _send(self, program: Program, node: Node, choice: Choice, now: float) -> None:
+    def _send(self, program: Program, node: Node, choice: EngineChoice, now: float) -> None:
         engine = choice.state.engine
         self.row.turns += 1
         self.row.opened += node.opens(engine.engine_id, now)
@@ -201,12 +201,12 @@
         self.row.busy[engine.engine_id] += seconds
         self._push(now + seconds, program, choice)
 
-    def _turn_seconds(self, choice: Choice) -> float:
-        unread = PROMPT_TOKENS - choice.cached
+    def _turn_seconds(self, choice: EngineChoice) -> float:
+        unread = PROMPT_TOKENS - choice.cached_tokens
         alone = EVENTS * EVENT_SECONDS + unread * TOKEN_SECONDS
         return self.fleet.speed(choice.state.engine.engine_id) * alone
 
-    def _end(self, program: Program, choice: Choice, now: float) -> None:
+    def _end(self, program: Program, choice: EngineChoice, now: float) -> None:
         node, engine_id = self.nodes[program.node], choice.state.engine.engine_id
         node.book.record_released(choice.state, now)
         self.fleet.running[engine_id] -= 1
@@ -217,10 +217,10 @@
         if program.left:
             self._push(now + PAUSE_SECONDS, program, None)
 
-    def _served(self, choice: Choice) -> ServedTurn:
+    def _served(self, choice: EngineChoice) -> ServedTurn:
         state: EngineState = choice.state
         speed = self.fleet.speed(state.engine.engine_id)
-        unread = PROMPT_TOKENS - choice.cached
+        unread = PROMPT_TOKENS - choice.cached_tokens
         return ServedTurn(
             engine_id=state.engine.engine_id,
             unread=unread,
--- a/benchmarks/engine_profiles.py
+++ b/benchmarks/engine_profiles.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from yokeline.effects import Address
-from yokeline.forwarding.choice import ChoiceInputs, choose
+from yokeline.forwarding.engine_choice import ChoiceInputs, choose_engine
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefixes import PrefixBeliefs
@@ -111,7 +111,7 @@
         model=model,
     )
     choices = [
-        _seconds(lambda: choose(book.in_pool(POOL, NOW), beliefs, inputs, NOW))
+        _seconds(lambda: choose_engine(book.in_pool(POOL, NOW), beliefs, inputs, NOW))
         for _ in range(CHOICES)
     ]
     return statistics.median(choices) / engines * MICROSECONDS
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatch.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from yokeline.forwarding.admission import UNKNOWN_KEY
-from yokeline.forwarding.choice import Choice
 from yokeline.forwarding.ends import Ends
+from yokeline.forwarding.engine_choice import EngineChoice
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
@@ -118,7 +118,7 @@
             return RoomRefusal.NO_ENGINE_LEFT
         return None
 
-    def _choose(self, exchange: Exchange, full: _FullEngines) -> Choice | None:
+    def _choose(self, exchange: Exchange, full: _FullEngines) -> EngineChoice | None:
         """Return the engine for a request; None if none has room, or others go first."""
         if exchange.begins_for(full.held_back):
             exchange.was_held_back = True
@@ -132,7 +132,7 @@
             full.note(exchange, is_new_program=is_new_program)
         return choice
 
-    def _send(self, exchange: Exchange, choice: Choice) -> None:
+    def _send(self, exchange: Exchange, choice: EngineChoice) -> None:
         self._weighing.note_place(exchange)
         exchange.room_wait = None
         self._sends.send(exchange, choice)
--- a/src/yokeline/forwarding/choice.py
+++ b/src/yokeline/forwarding/engine_choice.py
@@ -10,40 +10,40 @@
 from yokeline.ledger.operations import CachedContext
 from yokeline.scheduling.engine_model import EngineModel
 
-OTHER_ZONE_SECONDS = 0.016
+CROSS_ZONE_PENALTY_SECONDS = 0.016
 """Cost of another zone: the way there and back, and the prompt's bytes between zones."""
-SUSPECT_TURNS = 2.0
+SUSPECT_PENALTY_TURNS = 2.0
 """Cost of an engine that failed a moment ago, as a multiple of a usual turn or call."""
-FAULT_TURNS = 4.0
+FAILURE_PENALTY_TURNS = 4.0
 """The same for an engine at which all requests fail; a lesser share costs that share of it: the
 work is lost, and the caller has few tries."""
-LOST_CALL_FAULT_CALLS = 40.0
+NON_RETRYABLE_FAILURE_PENALTY_CALLS = 40.0
 """The same, in usual calls, for a call that may not be repeated: a failure ends its program, which
 has taken some tens of such calls' time. Calls that may be repeated go on trying the engine."""
-LAPSED_TURNS = 8.0
+UNREGISTERED_PENALTY_TURNS = 8.0
 """The same for an engine whose entry went without a word of leaving, times the share of the
 pool's engines that are still listed: if all entries went, the key-value service was away."""
-RANK_SHARE = 0.04
+RANK_PENALTY_SHARE = 0.04
 """Cost of the engine that this node ranks last, as a share of a usual turn or call: it parts
 engines that cost the same, so that nodes choose different ones."""
-NEW_CONNECTION_SECONDS = 0.008
+NEW_CONNECTION_PENALTY_SECONDS = 0.008
 """Cost of an engine to which this node has no idle connection: twice the way there and back between
 zones, since a new connection sends the first part of a prompt only and then waits for word, and a
 millisecond at each end."""
-LONE_CONNECTION_SECONDS = 0.008
+NON_PREFERRED_CONNECTION_PENALTY_SECONDS = 0.008
 """Cost of such a connection to an engine that this node does not prefer: it is not used again, so
 the next request to an engine that is preferred opens another one."""
-MODEL_HEADROOM = 1.4
-APP_HEADROOM = 2.0
+MODEL_OVERCOMMIT = 1.4
+APP_OVERCOMMIT = 2.0
 """Most requests at an engine, as a multiple of its slots; the rest waits at the nodes."""
-NEW_PROGRAM_HEADROOM = 1.0
+NEW_PROGRAM_OVERCOMMIT = 1.0
 """The same for first turns: they take places, and what lies beyond the places is for programs
 that have begun. A program that begins where all are slow ends late and makes the others late."""
-AFFINITY_SECONDS = 0.02
+AFFINITY_BONUS_SECONDS = 0.02
 """Gain of the engine that saw a request's subject last."""
 
 
-class Choice(msgspec.Struct, frozen=True, kw_only=True):
+class EngineChoice(msgspec.Struct, frozen=True, kw_only=True):
     """The engine chosen, and what decided it.
 
     Attributes:
@@ -56,8 +56,8 @@
     state: EngineState
     cost: float
     load: int
-    cached: int
-    predicted: float = 0.0
+    cached_tokens: int
+    predicted_seconds: float = 0.0
 
 
 class ChoiceInputs(msgspec.Struct, frozen=True, kw_only=True):
@@ -78,14 +78,14 @@
     traits: ModelTraits | None
     zone: str
     excluded: frozenset[str] = frozenset()
-    affine: str = ""
-    context: CachedContext | None = None
+    affinity_engine_id: str = ""
+    cached_context: CachedContext | None = None
     is_new_program: bool = False
     model: EngineModel | None = None
-    may_fail: bool = True
+    is_retryable: bool = True
 
 
-class PoolView(msgspec.Struct, frozen=True):
+class PoolStatistics(msgspec.Struct, frozen=True):
     """What the engines of a pool have in common.
 
     Attributes:
@@ -93,22 +93,22 @@
         listed: Share of the engines whose entries stand in the key-value service.
     """
 
-    usual_pace: float
-    listed: float
+    median_call_seconds: float
+    registered_share: float
 
 
-def choose(
+def choose_engine(
     engines: list[EngineState], beliefs: PrefixBeliefs, inputs: ChoiceInputs, now: float
-) -> Choice | None:
+) -> EngineChoice | None:
     """Return the best engine with room; None if there is none."""
-    best: Choice | None = None
-    usual_pace = _usual_pace(engines) if inputs.model is None else 0.0
-    listed = sum(not state.expires_at for state in engines) / max(1, len(engines))
-    pool = PoolView(usual_pace, listed)
+    best: EngineChoice | None = None
+    median_call_seconds = _median_call_seconds(engines) if inputs.model is None else 0.0
+    registered_share = sum(not state.expires_at for state in engines) / max(1, len(engines))
+    pool = PoolStatistics(median_call_seconds, registered_share)
     for state in engines:
         if state.engine.engine_id in inputs.excluded or now < state.full_until:
             continue
-        if state.load >= room(state, inputs):
+        if state.load >= max_load(state, inputs):
             continue
         choice = _estimate(state, beliefs, inputs, pool, now)
         if best is None or choice.cost < best.cost:
@@ -116,40 +116,42 @@
     return best
 
 
-def room(state: EngineState, inputs: ChoiceInputs) -> int:
+def max_load(state: EngineState, inputs: ChoiceInputs) -> int:
     """Return how many requests an engine may have under way for this one to be added."""
-    headroom = APP_HEADROOM
+    overcommit = APP_OVERCOMMIT
     if inputs.traits is not None:
-        headroom = NEW_PROGRAM_HEADROOM if inputs.is_new_program else MODEL_HEADROOM
-    return max(1, int(state.engine.slots * headroom))
+        overcommit = NEW_PROGRAM_OVERCOMMIT if inputs.is_new_program else MODEL_OVERCOMMIT
+    return max(1, int(state.engine.slots * overcommit))
 
 
 def _estimate(
     state: EngineState,
     beliefs: PrefixBeliefs,
     inputs: ChoiceInputs,
-    pool: PoolView,
+    pool: PoolStatistics,
     now: float,
-) -> Choice:
+) -> EngineChoice:
     if inputs.model is not None:
         choice = _estimate_turn(state, beliefs, inputs, inputs.model, now)
-        usual = inputs.model.usual_seconds
+        typical_seconds = inputs.model.usual_seconds
     else:
-        choice = _estimate_call(state, pool.usual_pace)
-        usual = pool.usual_pace or AFFINITY_SECONDS
+        choice = _estimate_call(state, pool.median_call_seconds)
+        typical_seconds = pool.median_call_seconds or AFFINITY_BONUS_SECONDS
     cost = choice.cost
     if state.engine.zone != inputs.zone:
-        cost += OTHER_ZONE_SECONDS
-    if inputs.affine == state.engine.engine_id:
-        cost -= AFFINITY_SECONDS
-    fault_cost = FAULT_TURNS if inputs.may_fail else LOST_CALL_FAULT_CALLS
-    cost += state.failure_rate(now) * fault_cost * usual
+        cost += CROSS_ZONE_PENALTY_SECONDS
+    if inputs.affinity_engine_id == state.engine.engine_id:
+        cost -= AFFINITY_BONUS_SECONDS
+    failure_penalty = (
+        FAILURE_PENALTY_TURNS if inputs.is_retryable else NON_RETRYABLE_FAILURE_PENALTY_CALLS
+    )
+    cost += state.failure_rate(now) * failure_penalty * typical_seconds
     if now < state.suspect_until:
-        cost += SUSPECT_TURNS * usual
-    cost += state.rank * RANK_SHARE * usual
+        cost += SUSPECT_PENALTY_TURNS * typical_seconds
+    cost += state.rank * RANK_PENALTY_SHARE * typical_seconds
     cost += _connection_cost(state, now)
     if state.expires_at:
-        cost += pool.listed * LAPSED_TURNS * usual
+        cost += pool.registered_share * UNREGISTERED_PENALTY_TURNS * typical_seconds
     return msgspec.structs.replace(choice, cost=cost)
 
 
@@ -157,8 +159,8 @@
     if state.has_idle_connection(now):
         return 0.0
     if state.is_preferred:
-        return NEW_CONNECTION_SECONDS
-    return NEW_CONNECTION_SECONDS + LONE_CONNECTION_SECONDS
+        return NEW_CONNECTION_PENALTY_SECONDS
+    return NEW_CONNECTION_PENALTY_SECONDS + NON_PREFERRED_CONNECTION_PENALTY_SECONDS
 
 
 def _estimate_turn(
@@ -167,60 +169,60 @@
     inputs: ChoiceInputs,
     model: EngineModel,
     now: float,
-) -> Choice:
+) -> EngineChoice:
     """Return the turn's own time, what it costs the turns beside it, and the wait for a place."""
     load = state.load
     slots = max(1, state.engine.slots)
-    cached = _cached_tokens(state, beliefs, inputs)
+    cached_tokens = _cached_tokens(state, beliefs, inputs)
     prediction = model.predict(
         state.engine.engine_id,
-        unread=max(0, inputs.call.prompt_tokens - cached),
+        unread=max(0, inputs.call.prompt_tokens - cached_tokens),
         beside=load,
         now=now,
         told=state.reported_profile,
         told_slowness=state.reported_slowness,
         hinted_events=_hinted_events(inputs),
     )
-    waiting = max(0, load - slots + 1) * prediction.seconds / slots
-    return Choice(
+    queue_seconds = max(0, load - slots + 1) * prediction.seconds / slots
+    return EngineChoice(
         state=state,
-        cost=prediction.cost + waiting,
+        cost=prediction.cost + queue_seconds,
         load=load,
-        cached=cached,
-        predicted=prediction.seconds + waiting,
+        cached_tokens=cached_tokens,
+        predicted_seconds=prediction.seconds + queue_seconds,
     )
 
 
 def _hinted_events(inputs: ChoiceInputs) -> float | None:
-    hinted, traits = inputs.call.hinted_tokens, inputs.traits
-    if hinted is None or traits is None:
+    hinted_tokens, traits = inputs.call.hinted_tokens, inputs.traits
+    if hinted_tokens is None or traits is None:
         return None
-    return hinted / max(1, traits.tokens_per_event)
+    return hinted_tokens / max(1, traits.tokens_per_event)
 
 
-def _estimate_call(state: EngineState, usual_pace: float) -> Choice:
+def _estimate_call(state: EngineState, median_call_seconds: float) -> EngineChoice:
     """Return how long the calls under way keep an app, and how slow it is."""
     load = state.load
     slots = max(1, state.engine.slots)
-    pace = state.call_seconds or AFFINITY_SECONDS
-    cost = load / slots * pace
-    cost += max(0, load - slots + 1) * pace / slots
-    if usual_pace and state.call_seconds > usual_pace:
-        cost += state.call_seconds - usual_pace
-    return Choice(state=state, cost=cost, load=load, cached=0)
+    call_seconds = state.call_seconds or AFFINITY_BONUS_SECONDS
+    cost = load / slots * call_seconds
+    cost += max(0, load - slots + 1) * call_seconds / slots
+    if median_call_seconds and state.call_seconds > median_call_seconds:
+        cost += state.call_seconds - median_call_seconds
+    return EngineChoice(state=state, cost=cost, load=load, cached_tokens=0)
 
 
 def _cached_tokens(state: EngineState, beliefs: PrefixBeliefs, inputs: ChoiceInputs) -> int:
     """Return how many leading tokens of the prompt an engine probably has."""
     engine_id = state.engine.engine_id
-    cached = beliefs.cached_tokens(engine_id, inputs.call.parts)
-    context = inputs.context
+    tokens = beliefs.cached_tokens(engine_id, inputs.call.parts)
+    context = inputs.cached_context
     if context is not None and context.engine_id == engine_id:
-        cached = max(cached, min(context.tokens, inputs.call.prompt_tokens))
-    return cached
+        tokens = max(tokens, min(context.tokens, inputs.call.prompt_tokens))
+    return tokens
 
 
-def _usual_pace(engines: list[EngineState]) -> float:
+def _median_call_seconds(engines: list[EngineState]) -> float:
     """Return the median pace of a pool; 0 if it is not known."""
     paces = sorted(state.call_seconds for state in engines if state.call_seconds)
     return paces[len(paces) // 2] if paces else 0.0
--- a/src/yokeline/forwarding/engine_sends.py
+++ b/src/yokeline/forwarding/engine_sends.py
@@ -5,8 +5,8 @@
 import itertools
 
 from yokeline.effects import HttpCancel
-from yokeline.forwarding.choice import Choice
 from yokeline.forwarding.dialect import Dialect
+from yokeline.forwarding.engine_choice import EngineChoice
 from yokeline.forwarding.engine_request import engine_request
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.node_state import NodeState
@@ -25,7 +25,7 @@
         self._dialect = dialect
         self._numbers = itertools.count(1)
 
-    def send(self, exchange: Exchange, choice: Choice) -> None:
+    def send(self, exchange: Exchange, choice: EngineChoice) -> None:
         """Send a request to the engine chosen."""
         state, engine = self._state, choice.state
         exchange.phase = Phase.SENT
@@ -37,8 +37,8 @@
         exchange.sent_at = state.now
         exchange.item_at = state.now
         exchange.beside = choice.load
-        exchange.predicted = choice.predicted
-        exchange.uncached = max(0, exchange.call.prompt_tokens - choice.cached)
+        exchange.predicted = choice.predicted_seconds
+        exchange.uncached = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
         exchange.request = RequestId(f"call/{next(self._numbers)}")
         state.by_request[exchange.request] = exchange
         state.engines.record_sent(engine)
@@ -77,7 +77,7 @@
             self._state.outcomes.effects.append(HttpCancel(exchange.request))
         self.leave(exchange, failed=failed, cancelled=True)
 
-    def _log_choice(self, exchange: Exchange, choice: Choice) -> None:
+    def _log_choice(self, exchange: Exchange, choice: EngineChoice) -> None:
         self._state.outcomes.log(
             "engine_chosen",
             exchange,
@@ -85,8 +85,8 @@
             cost=round(choice.cost, 4),
             load=choice.load,
             prompt=exchange.call.prompt_tokens,
-            cached=choice.cached,
-            predicted=round(choice.predicted, 4),
+            cached=choice.cached_tokens,
+            predicted=round(choice.predicted_seconds, 4),
             history=exchange.history.value,
             reserving=_seconds_to_grant(exchange),
             waited=round(self._state.now - exchange.waiting_since, 4),
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
+from yokeline.forwarding.engine_choice import ChoiceInputs, EngineChoice, choose_engine
 from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RouteKind
@@ -50,14 +50,14 @@
         self._begin_shares: dict[str, float] = {}
         self._models: dict[str, EngineModel] = {}
 
-    def choose(self, exchange: Exchange, pool: Pool, now: float) -> Choice | None:
+    def choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         """Return the engine for a request; those that had it come last, if at all.
 
         One that has used up the attempts of its route goes back to the latest that is listed.
         """
         if exchange.attempts.are_used_up:
             own = self._own_engines(exchange)[:1]
-            return choose(own, self.beliefs, self._inputs(exchange, pool, tried=()), now)
+            return choose_engine(own, self.beliefs, self._inputs(exchange, pool, tried=()), now)
         choice = self._choose(exchange, pool, now)
         if choice is None and exchange.tried:
             exchange.tried.clear()
@@ -88,7 +88,7 @@
         """Return which share of a pool's places that come free goes to programs that begin."""
         return max(LEAST_BEGIN_SHARE, self._begin_shares.get(pool, START_BEGIN_SHARE))
 
-    def note_sent(self, exchange: Exchange, choice: Choice, pool: Pool, now: float) -> None:
+    def note_sent(self, exchange: Exchange, choice: EngineChoice, pool: Pool, now: float) -> None:
         """Note what the chosen engine will have read, which subject it saw, and who begins."""
         engine_id = choice.state.engine.engine_id
         call = exchange.call
@@ -158,10 +158,10 @@
         average = self._turn_seconds.setdefault(exchange.pool, seconds)
         self._turn_seconds[exchange.pool] = average + TURN_WEIGHT * (seconds - average)
 
-    def _choose(self, exchange: Exchange, pool: Pool, now: float) -> Choice | None:
+    def _choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         engines = self._engines.in_pool(exchange.pool, now)
         inputs = self._inputs(exchange, pool, exchange.tried)
-        return choose(engines, self.beliefs, inputs, now)
+        return choose_engine(engines, self.beliefs, inputs, now)
 
     def _inputs(self, exchange: Exchange, pool: Pool, tried: Iterable[str]) -> ChoiceInputs:
         call = exchange.call
@@ -173,11 +173,11 @@
             traits=pool.model,
             zone=self._zone,
             excluded=frozenset(tried),
-            affine=affine,
-            context=exchange.context,
+            affinity_engine_id=affine,
+            cached_context=exchange.context,
             is_new_program=exchange.begins_program,
             model=self._model(exchange.pool) if pool.model is not None else None,
-            may_fail=exchange.route.kind is RouteKind.STREAMING or exchange.route.may_repeat,
+            is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.may_repeat,
         )
 
     def _note_affinity(self, subject: tuple[str, str], engine_id: str) -> None:
--- a/tests/unit/forwarding/test_preferences.py
+++ b/tests/unit/forwarding/test_preferences.py
@@ -4,7 +4,7 @@
 
 from tests.unit.forwarding.support import Played
 from yokeline.effects import Address
-from yokeline.forwarding.choice import ChoiceInputs, choose
+from yokeline.forwarding.engine_choice import ChoiceInputs, choose_engine
 from yokeline.forwarding.engines import IDLE_CONNECTION_TTL_SECONDS, EngineTable
 from yokeline.forwarding.model import Call, Engine
 from yokeline.forwarding.prefixes import PrefixBeliefs
@@ -25,7 +25,7 @@
 
 def chosen(engines: EngineTable) -> str:
     inputs = ChoiceInputs(call=Call(request_id="r", deadline=1.0), traits=None, zone="a")
-    choice = choose(engines.in_pool("apps", 0.0), PrefixBeliefs(), inputs, 0.0)
+    choice = choose_engine(engines.in_pool("apps", 0.0), PrefixBeliefs(), inputs, 0.0)
     assert choice is not None
     return choice.state.engine.engine_id
 
