--- a/benchmarks/engine_choice.py
+++ b/benchmarks/engine_choice.py
@@ -27,7 +27,7 @@
 from yokeline.forwarding.engine_choice import ChoiceInputs, EngineChoice, choose_engine
 from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext
 from yokeline.scheduling.engine_model import EngineModel, ServedTurn
 from yokeline.scheduling.engine_profiles import ToldProfile
@@ -84,7 +84,7 @@
         self.book = EngineTable(own.name)
         self.model = EngineModel()
         self.model.take_usual(EVENT_SECONDS)
-        self.beliefs = PrefixBeliefs()
+        self.beliefs = PrefixCacheIndex()
         self.idle: dict[str, deque[float]] = defaultdict(deque)
         for engine in fleet.engines:
             self.book.put(engine)
--- a/benchmarks/engine_profiles.py
+++ b/benchmarks/engine_profiles.py
@@ -19,7 +19,7 @@
 from yokeline.forwarding.engine_choice import ChoiceInputs, choose_engine
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.messages import EngineTurns, TurnServed
 from yokeline.scheduling.engine_model import EngineModel
 from yokeline.scheduling.engine_profiles import MAX_SAMPLES, EngineProfile, ToldProfile
@@ -102,7 +102,7 @@
 
 def _choice_microseconds(engines: int, *, told: bool) -> float:
     """Return the time of a choice for one engine."""
-    book, model, beliefs = _book(engines, told=told), EngineModel(), PrefixBeliefs()
+    book, model, beliefs = _book(engines, told=told), EngineModel(), PrefixCacheIndex()
     model.take_usual(PACE if told else 0.0)
     inputs = ChoiceInputs(
         call=Call(request_id="r", deadline=NOW, prompt_tokens=1000),
--- a/src/yokeline/forwarding/engine_choice.py
+++ b/src/yokeline/forwarding/engine_choice.py
@@ -6,7 +6,7 @@
 
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.model import Call, ModelTraits
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext
 from yokeline.scheduling.engine_model import EngineModel
 
@@ -98,7 +98,7 @@
 
 
 def choose_engine(
-    engines: list[EngineState], beliefs: PrefixBeliefs, inputs: ChoiceInputs, now: float
+    engines: list[EngineState], prefix_cache: PrefixCacheIndex, inputs: ChoiceInputs, now: float
 ) -> EngineChoice | None:
     """Return the best engine with room; None if there is none."""
     best: EngineChoice | None = None
@@ -110,7 +110,7 @@
             continue
         if state.load >= max_load(state, inputs):
             continue
-        choice = _estimate(state, beliefs, inputs, pool, now)
+        choice = _estimate(state, prefix_cache, inputs, pool, now)
         if best is None or choice.cost < best.cost:
             best = choice
     return best
@@ -126,13 +126,13 @@
 
 def _estimate(
     state: EngineState,
-    beliefs: PrefixBeliefs,
+    prefix_cache: PrefixCacheIndex,
     inputs: ChoiceInputs,
     pool: PoolStatistics,
     now: float,
 ) -> EngineChoice:
     if inputs.model is not None:
-        choice = _estimate_turn(state, beliefs, inputs, inputs.model, now)
+        choice = _estimate_turn(state, prefix_cache, inputs, inputs.model, now)
         typical_seconds = inputs.model.usual_seconds
     else:
         choice = _estimate_call(state, pool.median_call_seconds)
@@ -165,7 +165,7 @@
 
 def _estimate_turn(
     state: EngineState,
-    beliefs: PrefixBeliefs,
+    prefix_cache: PrefixCacheIndex,
     inputs: ChoiceInputs,
     model: EngineModel,
     now: float,
@@ -173,7 +173,7 @@
     """Return the turn's own time, what it costs the turns beside it, and the wait for a place."""
     load = state.load
     slots = max(1, state.engine.slots)
-    cached_tokens = _cached_tokens(state, beliefs, inputs)
+    cached_tokens = _cached_tokens(state, prefix_cache, inputs)
     prediction = model.predict(
         state.engine.engine_id,
         unread=max(0, inputs.call.prompt_tokens - cached_tokens),
@@ -212,10 +212,10 @@
     return EngineChoice(state=state, cost=cost, load=load, cached_tokens=0)
 
 
-def _cached_tokens(state: EngineState, beliefs: PrefixBeliefs, inputs: ChoiceInputs) -> int:
+def _cached_tokens(state: EngineState, prefix_cache: PrefixCacheIndex, inputs: ChoiceInputs) -> int:
     """Return how many leading tokens of the prompt an engine probably has."""
     engine_id = state.engine.engine_id
-    tokens = beliefs.cached_tokens(engine_id, inputs.call.parts)
+    tokens = prefix_cache.cached_tokens(engine_id, inputs.call.parts)
     context = inputs.cached_context
     if context is not None and context.engine_id == engine_id:
         tokens = max(tokens, min(context.tokens, inputs.call.prompt_tokens))
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -9,7 +9,7 @@
 from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RouteKind
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.scheduling.engine_model import NO_PACE, EngineModel, ObservedPace, ServedTurn
 from yokeline.scheduling.program_times import ProgramTimes
 
@@ -40,7 +40,7 @@
 
     def __init__(self, zone: str, engines: EngineTable) -> None:
         """Choose among ``engines`` for a node in ``zone``."""
-        self.beliefs = PrefixBeliefs()
+        self.prefix_cache = PrefixCacheIndex()
         self.programs = ProgramTimes()
         self._zone = zone
         self._engines = engines
@@ -57,7 +57,9 @@
         """
         if exchange.attempts.are_used_up:
             own = self._own_engines(exchange)[:1]
-            return choose_engine(own, self.beliefs, self._inputs(exchange, pool, tried=()), now)
+            return choose_engine(
+                own, self.prefix_cache, self._inputs(exchange, pool, tried=()), now
+            )
         choice = self._choose(exchange, pool, now)
         if choice is None and exchange.tried:
             exchange.tried.clear()
@@ -94,13 +96,13 @@
         call = exchange.call
         self._note_begin(exchange, now)
         if pool.model is not None:
-            self.beliefs.note_read(engine_id, call.parts, pool.model.memory_tokens)
+            self.prefix_cache.record_prompt(engine_id, call.parts, pool.model.memory_tokens)
         if call.affinity_key:
             self._note_affinity((exchange.pool, call.affinity_key), engine_id)
 
     def forget_engine(self, engine_id: str) -> None:
         """Forget an engine that is gone."""
-        self.beliefs.forget(engine_id)
+        self.prefix_cache.remove_engine(engine_id)
         for model in self._models.values():
             model.forget(engine_id)
 
@@ -161,7 +163,7 @@
     def _choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         engines = self._engines.in_pool(exchange.pool, now)
         inputs = self._inputs(exchange, pool, exchange.tried)
-        return choose_engine(engines, self.beliefs, inputs, now)
+        return choose_engine(engines, self.prefix_cache, inputs, now)
 
     def _inputs(self, exchange: Exchange, pool: Pool, tried: Iterable[str]) -> ChoiceInputs:
         call = exchange.call
--- a/src/yokeline/forwarding/prefixes.py
+++ b/src/yokeline/forwarding/prefix_cache.py
@@ -18,7 +18,7 @@
         self.prefixes: OrderedDict[PrefixKey, int] = OrderedDict()
 
 
-class PrefixBeliefs:
+class PrefixCacheIndex:
     """What each engine has read, bounded by its memory."""
 
     def __init__(self) -> None:
@@ -36,29 +36,31 @@
         tokens = 0
         key = ""
         for part in parts:
-            key = _extended(key, part)
-            known = cache.prefixes.get(key, 0)
-            tokens += min(known, part.tokens)
-            if known < part.tokens:
+            key = _extend_key(key, part)
+            cached = cache.prefixes.get(key, 0)
+            tokens += min(cached, part.tokens)
+            if cached < part.tokens:
                 break
         return tokens
 
-    def note_read(self, engine_id: str, parts: tuple[PromptPart, ...], memory_tokens: int) -> None:
+    def record_prompt(
+        self, engine_id: str, parts: tuple[PromptPart, ...], memory_tokens: int
+    ) -> None:
         """Note that an engine reads a prompt; what does not fit its memory gives way."""
         cache = self._caches.setdefault(engine_id, _EngineCache())
         key = ""
         for part in parts:
-            key = _extended(key, part)
+            key = _extend_key(key, part)
             cache.tokens += part.tokens - cache.prefixes.pop(key, 0)
             cache.prefixes[key] = part.tokens
         while cache.tokens > memory_tokens and cache.prefixes:
             _, tokens = cache.prefixes.popitem(last=False)
             cache.tokens -= tokens
 
-    def forget(self, engine_id: str) -> None:
+    def remove_engine(self, engine_id: str) -> None:
         """Forget an engine that is gone."""
         self._caches.pop(engine_id, None)
 
 
-def _extended(key: PrefixKey, part: PromptPart) -> PrefixKey:
+def _extend_key(key: PrefixKey, part: PromptPart) -> PrefixKey:
     return f"{key}/{part.part_id}"
--- a/tests/unit/forwarding/test_affinity.py
+++ b/tests/unit/forwarding/test_affinity.py
@@ -4,7 +4,7 @@
 
 from tests.unit.forwarding.support import Played
 from yokeline.forwarding.model import PromptPart
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext, Granted, Reserve
 
 
@@ -66,7 +66,7 @@
 
 class GrowingParts(unittest.TestCase):
     def test_only_what_was_read_of_a_part_that_grew_is_believed_to_be_cached(self) -> None:
-        beliefs = PrefixBeliefs()
-        beliefs.note_read("e", (PromptPart("shared", 100), PromptPart("line", 10)), 1000)
+        beliefs = PrefixCacheIndex()
+        beliefs.record_prompt("e", (PromptPart("shared", 100), PromptPart("line", 10)), 1000)
         longer = (PromptPart("shared", 100), PromptPart("line", 50), PromptPart("child", 5))
         self.assertEqual(beliefs.cached_tokens("e", longer), 110)
--- a/tests/unit/forwarding/test_engine_starts.py
+++ b/tests/unit/forwarding/test_engine_starts.py
@@ -72,8 +72,8 @@
             5.0,
             3,
         )
-        beliefs = self.played.forwarder._state.placement.beliefs
-        beliefs.note_read(FIRST, (PART,), 10_000)
+        beliefs = self.played.forwarder._state.placement.prefix_cache
+        beliefs.record_prompt(FIRST, (PART,), 10_000)
         self.start_again()
         self.assertEqual(self.known(), {SECOND})
         state = self.played.engines.get(SECOND)
--- a/tests/unit/forwarding/test_preferences.py
+++ b/tests/unit/forwarding/test_preferences.py
@@ -7,7 +7,7 @@
 from yokeline.forwarding.engine_choice import ChoiceInputs, choose_engine
 from yokeline.forwarding.engines import IDLE_CONNECTION_TTL_SECONDS, EngineTable
 from yokeline.forwarding.model import Call, Engine
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.scheduling.engine_subsets import LEAST_ENGINES, ZoneMember
 
 ENGINES = 12
@@ -25,7 +25,7 @@
 
 def chosen(engines: EngineTable) -> str:
     inputs = ChoiceInputs(call=Call(request_id="r", deadline=1.0), traits=None, zone="a")
-    choice = choose_engine(engines.in_pool("apps", 0.0), PrefixBeliefs(), inputs, 0.0)
+    choice = choose_engine(engines.in_pool("apps", 0.0), PrefixCacheIndex(), inputs, 0.0)
     assert choice is not None
     return choice.state.engine.engine_id
 
