--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -154,9 +154,9 @@
         deadline=PATIENT_SECONDS,
         program=f"p{number}",
         session=f"s{number}",
-        finish=PATIENT_SECONDS,
+        program_time_left=PATIENT_SECONDS,
         prompt_tokens=14_280,
-        parts=(PromptPart("shared", 12_600), PromptPart(f"own{number}", 1_680)),
+        prompt_parts=(PromptPart("shared", 12_600), PromptPart(f"own{number}", 1_680)),
     )
     return Exchange(
         exchange=ExchangeId(f"x{number}"),
--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
-from yokeline.forwarding.model import Call, Route, RoutingTable, is_later_request
+from yokeline.forwarding.model import Call, Route, RoutingTable, continues_program
 from yokeline.forwarding.tenants import StateNames, Tenant, scoped
 from yokeline.scheduling.return_times import Returning, return_after_outage
 
@@ -67,7 +67,7 @@
     if not is_current:
         caller = Returning(
             request_id=call.request_id,
-            has_begun=is_later_request(route, call),
+            has_begun=continues_program(route, call),
             time_left=min(call.deadline, route.timeout),
         )
         return Denied(
--- a/src/yokeline/forwarding/ends.py
+++ b/src/yokeline/forwarding/ends.py
@@ -109,8 +109,8 @@
         self._outcomes.count(outcome, fields.get("status"))
         self._outcomes.count_tenant(outcome, exchange.tenant)
         engine = exchange.engine.engine.engine_id if exchange.engine else ""
-        if exchange.call.finish is not None:
-            left = exchange.call.finish - (self._state.now - exchange.started)
+        if exchange.call.program_time_left is not None:
+            left = exchange.call.program_time_left - (self._state.now - exchange.started)
             fields["program_left"] = round(left, 3)
         self._outcomes.log(
             "request_ended",
--- a/src/yokeline/forwarding/engine_choice.py
+++ b/src/yokeline/forwarding/engine_choice.py
@@ -215,7 +215,7 @@
 def _cached_tokens(state: EngineState, prefix_cache: PrefixCacheIndex, inputs: ChoiceInputs) -> int:
     """Return how many leading tokens of the prompt an engine probably has."""
     engine_id = state.engine.engine_id
-    tokens = prefix_cache.cached_tokens(engine_id, inputs.call.parts)
+    tokens = prefix_cache.cached_tokens(engine_id, inputs.call.prompt_parts)
     context = inputs.cached_context
     if context is not None and context.engine_id == engine_id:
         tokens = max(tokens, min(context.tokens, inputs.call.prompt_tokens))
--- a/src/yokeline/forwarding/engine_request.py
+++ b/src/yokeline/forwarding/engine_request.py
@@ -35,7 +35,7 @@
     streaming = exchange.route.kind is RouteKind.STREAMING
     has_returned = exchange.attempts.returns > 0
     # One that has returned on a fresh connection gains nothing by leaving it for a silence.
-    leaves_silence = streaming and exchange.route.may_repeat and not has_returned
+    leaves_silence = streaming and exchange.route.is_retryable and not has_returned
     return HttpRequest(
         request=request,
         address=state.engine.address,
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -501,7 +501,7 @@
     def _caller_gone(self, exchange: Exchange) -> None:
         """Stop what may be stopped; a correction that is under way runs to its end."""
         if exchange.request is not None:
-            if not exchange.route.may_repeat and exchange.route.kind is not RouteKind.STREAMING:
+            if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
                 return
             self._sends.cancel(exchange)
         if exchange.phase is Phase.KEEPING:
--- a/src/yokeline/forwarding/model.py
+++ b/src/yokeline/forwarding/model.py
@@ -60,7 +60,7 @@
     public: bool = False
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
@@ -192,19 +192,19 @@
     deadline: float
     program: str = ""
     session: str = ""
-    finish: float | None = None
+    program_time_left: float | None = None
     budget: int | None = None
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     hinted_tokens: int | None = None
-    parts: tuple[PromptPart, ...] = ()
+    prompt_parts: tuple[PromptPart, ...] = ()
     last_event_id: str = ""
     previous_turn: str = ""
     affinity_key: str = ""
     credential: Credential | None = None
 
 
-def is_later_request(route: Route, call: Call) -> bool:
+def continues_program(route: Route, call: Call) -> bool:
     """Return whether a request shows by itself that its program has had a turn before.
 
     It names that turn, or it is a call, which comes from within a program.
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -96,7 +96,7 @@
         call = exchange.call
         self._note_begin(exchange, now)
         if pool.model is not None:
-            self.prefix_cache.record_prompt(engine_id, call.parts, pool.model.memory_tokens)
+            self.prefix_cache.record_prompt(engine_id, call.prompt_parts, pool.model.memory_tokens)
         if call.affinity_key:
             self._note_affinity((exchange.pool, call.affinity_key), engine_id)
 
@@ -151,7 +151,7 @@
         begins = exchange.begins_program
         share = self._begin_shares.get(exchange.pool, START_BEGIN_SHARE)
         self._begin_shares[exchange.pool] = share + BEGIN_WEIGHT * (float(begins) - share)
-        given = exchange.call.finish
+        given = exchange.call.program_time_left
         if begins and given is not None:
             self.programs.begin(exchange.names.program, exchange.route.name, given, now)
 
@@ -179,7 +179,7 @@
             cached_context=exchange.context,
             is_new_program=exchange.begins_program,
             model=self._model(exchange.pool) if pool.model is not None else None,
-            is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.may_repeat,
+            is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.is_retryable,
         )
 
     def _note_affinity(self, subject: tuple[str, str], engine_id: str) -> None:
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -197,7 +197,7 @@
 
     def _may_repeat(self, exchange: Exchange) -> bool:
         """Return whether another send is allowed, wanted and within the retry budget."""
-        if not exchange.route.may_repeat:
+        if not exchange.route.is_retryable:
             return False
         return exchange.due - self._state.now > LEAST_REPEAT_SECONDS and (
             self._retries.allows_repeat() or exchange.events > 0
--- a/src/yokeline/forwarding/room_weighing.py
+++ b/src/yokeline/forwarding/room_weighing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from yokeline.forwarding.exchange import Exchange
-from yokeline.forwarding.model import is_later_request
+from yokeline.forwarding.model import continues_program
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcomes import LogField
 from yokeline.forwarding.room_view import RoomView, RoomViews
@@ -129,8 +129,10 @@
         return msgspec.structs.replace(room, error_ratio=self._errors.ratio(exchange.pool))
 
     def _need_of(self, exchange: Exchange) -> RoomNeed:
-        now, finish = self._state.now, exchange.call.finish
-        program_left = finish - (now - exchange.started) if finish is not None else None
+        now, program_time_left = self._state.now, exchange.call.program_time_left
+        program_left = (
+            program_time_left - (now - exchange.started) if program_time_left is not None else None
+        )
         return RoomNeed(
             time_left=exchange.due - now,
             own_seconds=self._state.placement.place_seconds(exchange.pool) or 0.0,
@@ -154,7 +156,7 @@
 
 def would_lose_work(exchange: Exchange) -> bool:
     """Return whether the program of a request has done work that would be lost with it."""
-    return exchange.begun or is_later_request(exchange.route, exchange.call)
+    return exchange.begun or continues_program(exchange.route, exchange.call)
 
 
 def _rounded(seconds: float | None) -> float | None:
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -84,7 +84,7 @@
             return
         exchange.first_event_at = self._state.now
         self._state.first_event_seconds.observe(self._state.now - exchange.started)
-        if exchange.route.may_repeat:
+        if exchange.route.is_retryable:
             self._watch_silence(exchange)
         self._state.outcomes.effects.append(
             HttpStreamStart(
--- a/src/yokeline/forwarding/turn_operations.py
+++ b/src/yokeline/forwarding/turn_operations.py
@@ -23,13 +23,13 @@
         program=_charged_program(exchange),
         session=names.session,
         budget=call.budget or 0,
-        tokens=call.most_tokens,
+        tokens=call.max_tokens,
         retention=exchange.route.retention,
         previous=names.previous_turn,
         missing_from=missing_from,
         limit=exchange.limit,
         kind=exchange.route.name if exchange.limit is not None else "",
-        left=call.finish if exchange.limit is not None and not exchange.begun else None,
+        left=call.program_time_left if exchange.limit is not None and not exchange.begun else None,
     )
 
 
--- a/src/yokeline/forwarding/waiting.py
+++ b/src/yokeline/forwarding/waiting.py
@@ -20,14 +20,14 @@
 
     ``held_back`` are the tenants whose new programs leave places to others.
     """
-    finish = exchange.call.finish
+    program_time_left = exchange.call.program_time_left
     return Standing(
         is_interrupted=exchange.events > 0,
-        is_late=finish is not None and finish <= 0,
+        is_late=program_time_left is not None and program_time_left <= 0,
         has_begun=exchange.begun,
         is_held_back=exchange.begins_for(held_back),
         priority=exchange.priority,
-        over_at=exchange.started + (finish or 0.0),
+        over_at=exchange.started + (program_time_left or 0.0),
     )
 
 
--- a/src/yokeline/platform/headers.py
+++ b/src/yokeline/platform/headers.py
@@ -107,7 +107,7 @@
 
 
 def _parse(headers: dict[str, str], request_id: str) -> Call:
-    prompt_tokens, most_tokens = _usage(headers.get(TOKEN_USAGE, ""))
+    prompt_tokens, max_tokens = _usage(headers.get(TOKEN_USAGE, ""))
     deadline_ms = headers.get(DEADLINE_MS)
     finish_ms = headers.get(FINISH_MS)
     budget = headers.get(TOKEN_BUDGET)
@@ -117,12 +117,12 @@
         deadline=_seconds(deadline_ms) if deadline_ms else DEFAULT_DEADLINE_SECONDS,
         program=headers.get(PROGRAM_ID, ""),
         session=headers.get(SESSION_ID, ""),
-        finish=_seconds(finish_ms) if finish_ms else None,
+        program_time_left=_seconds(finish_ms) if finish_ms else None,
         budget=_count(budget) if budget else None,
         prompt_tokens=prompt_tokens,
-        most_tokens=most_tokens,
+        max_tokens=max_tokens,
         hinted_tokens=_hint(headers.get(LENGTH_HINT, "")),
-        parts=_parts(headers.get(PROMPT_PREFIX, "")),
+        prompt_parts=_parts(headers.get(PROMPT_PREFIX, "")),
         last_event_id=headers.get(LAST_EVENT_ID, ""),
         previous_turn=headers.get(PREVIOUS_TURN, ""),
         affinity_key=affinity.group(1) if affinity else "",
