--- a/benchmarks/engine_choice.py
+++ b/benchmarks/engine_choice.py
@@ -24,10 +24,10 @@
 import msgspec
 
 from yokeline.effects import Address
-from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engine_choice import ChoiceInputs, EngineChoice, choose_engine
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext
 from yokeline.scheduling.engine_model import EngineModel, ServedTurn
 from yokeline.scheduling.engine_profiles import ToldProfile
@@ -81,10 +81,10 @@
         """Know all engines; only with ``subset`` some of them are preferred."""
         self.zone = own.zone
         self.subset = subset
-        self.book = EngineBook(own.name)
+        self.book = EngineTable(own.name)
         self.model = EngineModel()
         self.model.take_usual(EVENT_SECONDS)
-        self.beliefs = PrefixBeliefs()
+        self.beliefs = PrefixCacheIndex()
         self.idle: dict[str, deque[float]] = defaultdict(deque)
         for engine in fleet.engines:
             self.book.put(engine)
@@ -92,7 +92,7 @@
             self.book.set_nodes(own.zone, nodes)
         for state in self.book.all():
             pace = fleet.speed(state.engine.engine_id) * EVENT_SECONDS
-            state.profile = ToldProfile(
+            state.reported_profile = ToldProfile(
                 pace_seconds=pace, samples=SAMPLES, spell=1.0, told_at=PLAY_SECONDS
             )
 
@@ -147,7 +147,7 @@
         self.row = Row()
         self.rate = rate * engines / statistics.fmean(TURNS_OF_PROGRAM)
         self.seconds = min(PLAY_SECONDS, LONGEST_TURNS / (rate * engines))
-        self._events: list[tuple[float, int, Program, Choice | None]] = []
+        self._events: list[tuple[float, int, Program, EngineChoice | None]] = []
         self._number = 0
 
     def run(self) -> Row:
@@ -165,62 +165,62 @@
                 self._end(program, choice, now)
         return self.row
 
-    def _push(self, at: float, program: Program, choice: Choice | None) -> None:
+    def _push(self, at: float, program: Program, choice: EngineChoice | None) -> None:
         self._number += 1
         heapq.heappush(self._events, (at, self._number, program, choice))
 
     def _begin(self, program: Program, now: float) -> None:
         node = self.nodes[program.node]
         for state in node.book.all():
-            state.others = self.fleet.running[state.engine.engine_id] - state.running
+            state.running_elsewhere = self.fleet.running[state.engine.engine_id] - state.running
             if not node.subset:
-                state.idle_connections, state.left_at = 1, now
+                state.idle_connections, state.idle_since = 1, now
         call = Call(request_id="r", deadline=now + 9.0, prompt_tokens=PROMPT_TOKENS)
         inputs = ChoiceInputs(
             call=call,
             traits=TRAITS,
             zone=node.zone,
-            context=program.context,
+            cached_context=program.context,
             model=node.model,
         )
-        choice = choose(node.book.in_pool(POOL, now), node.beliefs, inputs, now)
+        choice = choose_engine(node.book.in_pool(POOL, now), node.beliefs, inputs, now)
         if choice is None:
             self._push(now + 0.02, program, None)
             return
         self._send(program, node, choice, now)
 
-    def _send(self, program: Program, node: Node, choice: Choice, now: float) -> None:
+    def _send(self, program: Program, node: Node, choice: EngineChoice, now: float) -> None:
         engine = choice.state.engine
         self.row.turns += 1
         self.row.opened += node.opens(engine.engine_id, now)
         self.row.crossed += engine.zone != node.zone
-        node.book.note_sent(choice.state)
+        node.book.record_sent(choice.state)
         self.fleet.running[engine.engine_id] += 1
         seconds = self._turn_seconds(choice)
         self.row.seconds.append(seconds)
         self.row.busy[engine.engine_id] += seconds
         self._push(now + seconds, program, choice)
 
-    def _turn_seconds(self, choice: Choice) -> float:
-        unread = PROMPT_TOKENS - choice.cached
+    def _turn_seconds(self, choice: EngineChoice) -> float:
+        unread = PROMPT_TOKENS - choice.cached_tokens
         alone = EVENTS * EVENT_SECONDS + unread * TOKEN_SECONDS
         return self.fleet.speed(choice.state.engine.engine_id) * alone
 
-    def _end(self, program: Program, choice: Choice, now: float) -> None:
+    def _end(self, program: Program, choice: EngineChoice, now: float) -> None:
         node, engine_id = self.nodes[program.node], choice.state.engine.engine_id
-        node.book.note_left(choice.state, now)
+        node.book.record_released(choice.state, now)
         self.fleet.running[engine_id] -= 1
         node.idle[engine_id].append(now)
-        node.model.observe(self._served(choice), now, choice.state.profile)
+        node.model.observe(self._served(choice), now, choice.state.reported_profile)
         program.left -= 1
         program.context = CachedContext(engine_id=engine_id, tokens=PROMPT_TOKENS - NEW_TOKENS)
         if program.left:
             self._push(now + PAUSE_SECONDS, program, None)
 
-    def _served(self, choice: Choice) -> ServedTurn:
+    def _served(self, choice: EngineChoice) -> ServedTurn:
         state: EngineState = choice.state
         speed = self.fleet.speed(state.engine.engine_id)
-        unread = PROMPT_TOKENS - choice.cached
+        unread = PROMPT_TOKENS - choice.cached_tokens
         return ServedTurn(
             engine_id=state.engine.engine_id,
             unread=unread,
--- a/benchmarks/engine_profiles.py
+++ b/benchmarks/engine_profiles.py
@@ -16,10 +16,10 @@
 import msgspec
 
 from yokeline.effects import Address
-from yokeline.forwarding.choice import ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook
+from yokeline.forwarding.engine_choice import ChoiceInputs, choose_engine
+from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Call, Engine, ModelTraits
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.messages import EngineTurns, TurnServed
 from yokeline.scheduling.engine_model import EngineModel
 from yokeline.scheduling.engine_profiles import MAX_SAMPLES, EngineProfile, ToldProfile
@@ -90,19 +90,19 @@
     print(f"profile read: {_seconds(read) / TURNS * MICROSECONDS:.1f} us")
 
 
-def _book(engines: int, *, told: bool) -> EngineBook:
-    book = EngineBook("edge-1")
+def _book(engines: int, *, told: bool) -> EngineTable:
+    book = EngineTable("edge-1")
     for number in range(engines):
         address = Address("10.0.0.1", number + 1)
         book.put(Engine(engine_id=f"e{number:05}", pool=POOL, address=address, zone="a", slots=6))
     for state in book.all() if told else ():
-        state.profile = ToldProfile(pace_seconds=PACE, samples=15, spell=1.0, told_at=NOW)
+        state.reported_profile = ToldProfile(pace_seconds=PACE, samples=15, spell=1.0, told_at=NOW)
     return book
 
 
 def _choice_microseconds(engines: int, *, told: bool) -> float:
     """Return the time of a choice for one engine."""
-    book, model, beliefs = _book(engines, told=told), EngineModel(), PrefixBeliefs()
+    book, model, beliefs = _book(engines, told=told), EngineModel(), PrefixCacheIndex()
     model.take_usual(PACE if told else 0.0)
     inputs = ChoiceInputs(
         call=Call(request_id="r", deadline=NOW, prompt_tokens=1000),
@@ -111,7 +111,7 @@
         model=model,
     )
     choices = [
-        _seconds(lambda: choose(book.in_pool(POOL, NOW), beliefs, inputs, NOW))
+        _seconds(lambda: choose_engine(book.in_pool(POOL, NOW), beliefs, inputs, NOW))
         for _ in range(CHOICES)
     ]
     return statistics.median(choices) / engines * MICROSECONDS
--- a/src/yokeline/forwarding/engine_entries.py
+++ b/src/yokeline/forwarding/engine_entries.py
@@ -9,7 +9,7 @@
 from returns.result import Success
 
 from yokeline.effects import CloseIdleConnections, Effect, LogRecord
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.model import Engine
 from yokeline.forwarding.outcomes import LogField
@@ -32,7 +32,7 @@
     def __init__(
         self,
         formats: DeploymentFormats,
-        engines: EngineBook,
+        engines: EngineTable,
         forwarder: Forwarder,
         drain_seconds: float,
         now: float,
@@ -68,15 +68,15 @@
     def forget_lapsed(self, now: float) -> list[Effect]:
         """Take engines whose entries did not come back as gone."""
         effects: list[Effect] = []
-        for engine_id in self._engines.take_lapsed(now):
+        for engine_id in self._engines.remove_expired(now):
             self._forwarder.forget_engine(engine_id)
             effects.append(LogRecord(event="engine_gone", fields={"engine": engine_id}))
         return effects
 
     def _take_engine(self, item: StoredItem, said: Engine, now: float) -> list[Effect]:
-        engine = self._engines.as_start(said)
+        engine = self._engines.with_known_incarnation(said)
         effects: list[Effect] = []
-        earlier = self._engines.start_of(engine.instance)
+        earlier = self._engines.current_incarnation(engine.instance)
         if earlier is not None and earlier.engine.engine_id != engine.engine_id:
             effects.extend(self._replace(earlier, item, now))
         if not self._engines.put(engine):
@@ -104,7 +104,7 @@
             return []
         engine_id = known.engine.engine_id
         fields = _fields(engine_id, item)
-        if self._engines.lapse(engine_id, self._lapse_until):
+        if self._engines.mark_unregistered(engine_id, self._lapse_until):
             fields["until_seconds"] = round(self._lapse_until - now, 2)
             return [LogRecord(event="engine_lapsed", fields=fields)]
         self._forget(engine_id)
@@ -124,7 +124,7 @@
 
     def _known(self, item: StoredItem) -> EngineState | None:
         """Return the start of the engine under a key, if one is known."""
-        return self._engines.start_of(item.key.removeprefix(self._formats.engine_prefix))
+        return self._engines.current_incarnation(item.key.removeprefix(self._formats.engine_prefix))
 
     def _forget(self, engine_id: str) -> None:
         self._engines.remove(engine_id)
--- a/src/yokeline/forwarding/model.py
+++ b/src/yokeline/forwarding/model.py
@@ -60,7 +60,7 @@
     public: bool = False
 
     @property
-    def may_repeat(self) -> bool:
+    def is_retryable(self) -> bool:
         """Whether a request may run more than once."""
         if self.kind is RouteKind.STREAMING:
             return self.resumable
@@ -122,16 +122,16 @@
         return best
 
 
-_START_MARK = "@"
+_INCARNATION_SEPARATOR = "@"
 
 
-def start_name(instance: str, started_ms: int | None) -> str:
+def make_incarnation_id(instance: str, started_ms: int | None) -> str:
     """Return the name of one start of an engine; no two starts share one.
 
     A mark within ``instance`` is doubled, so that no instance is called like another one's start.
     """
-    escaped = instance.replace(_START_MARK, 2 * _START_MARK)
-    return escaped if started_ms is None else f"{escaped}{_START_MARK}{started_ms}"
+    escaped = instance.replace(_INCARNATION_SEPARATOR, 2 * _INCARNATION_SEPARATOR)
+    return escaped if started_ms is None else f"{escaped}{_INCARNATION_SEPARATOR}{started_ms}"
 
 
 class Engine(msgspec.Struct, frozen=True, kw_only=True):
@@ -192,19 +192,19 @@
     deadline: float
     program: str = ""
     session: str = ""
-    finish: float | None = None
+    program_time_left: float | None = None
     budget: int | None = None
     prompt_tokens: int = 0
-    most_tokens: int = 0
+    max_tokens: int = 0
     hinted_tokens: int | None = None
-    parts: tuple[PromptPart, ...] = ()
+    prompt_parts: tuple[PromptPart, ...] = ()
     last_event_id: str = ""
     previous_turn: str = ""
     affinity_key: str = ""
     credential: Credential | None = None
 
 
-def is_later_request(route: Route, call: Call) -> bool:
+def continues_program(route: Route, call: Call) -> bool:
     """Return whether a request shows by itself that its program has had a turn before.
 
     It names that turn, or it is a call, which comes from within a program.
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -5,11 +5,11 @@
 from collections import OrderedDict
 from collections.abc import Iterable
 
-from yokeline.forwarding.choice import Choice, ChoiceInputs, choose
-from yokeline.forwarding.engines import EngineBook, EngineState
+from yokeline.forwarding.engine_choice import ChoiceInputs, EngineChoice, choose_engine
+from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RouteKind
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.scheduling.engine_model import NO_PACE, EngineModel, ObservedPace, ServedTurn
 from yokeline.scheduling.program_times import ProgramTimes
 
@@ -38,9 +38,9 @@
         programs: Which share of their time programs take.
     """
 
-    def __init__(self, zone: str, engines: EngineBook) -> None:
+    def __init__(self, zone: str, engines: EngineTable) -> None:
         """Choose among ``engines`` for a node in ``zone``."""
-        self.beliefs = PrefixBeliefs()
+        self.prefix_cache = PrefixCacheIndex()
         self.programs = ProgramTimes()
         self._zone = zone
         self._engines = engines
@@ -50,14 +50,16 @@
         self._begin_shares: dict[str, float] = {}
         self._models: dict[str, EngineModel] = {}
 
-    def choose(self, exchange: Exchange, pool: Pool, now: float) -> Choice | None:
+    def choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         """Return the engine for a request; those that had it come last, if at all.
 
         One that has used up the attempts of its route goes back to the latest that is listed.
         """
         if exchange.attempts.are_used_up:
             own = self._own_engines(exchange)[:1]
-            return choose(own, self.beliefs, self._inputs(exchange, pool, tried=()), now)
+            return choose_engine(
+                own, self.prefix_cache, self._inputs(exchange, pool, tried=()), now
+            )
         choice = self._choose(exchange, pool, now)
         if choice is None and exchange.tried:
             exchange.tried.clear()
@@ -88,19 +90,19 @@
         """Return which share of a pool's places that come free goes to programs that begin."""
         return max(LEAST_BEGIN_SHARE, self._begin_shares.get(pool, START_BEGIN_SHARE))
 
-    def note_sent(self, exchange: Exchange, choice: Choice, pool: Pool, now: float) -> None:
+    def note_sent(self, exchange: Exchange, choice: EngineChoice, pool: Pool, now: float) -> None:
         """Note what the chosen engine will have read, which subject it saw, and who begins."""
         engine_id = choice.state.engine.engine_id
         call = exchange.call
         self._note_begin(exchange, now)
         if pool.model is not None:
-            self.beliefs.note_read(engine_id, call.parts, pool.model.memory_tokens)
+            self.prefix_cache.record_prompt(engine_id, call.prompt_parts, pool.model.memory_tokens)
         if call.affinity_key:
             self._note_affinity((exchange.pool, call.affinity_key), engine_id)
 
     def forget_engine(self, engine_id: str) -> None:
         """Forget an engine that is gone."""
-        self.beliefs.forget(engine_id)
+        self.prefix_cache.remove_engine(engine_id)
         for model in self._models.values():
             model.forget(engine_id)
 
@@ -125,7 +127,7 @@
             event_seconds=event_seconds if gaps >= LEAST_GAPS else None,
             events=exchange.events,
         )
-        return self._model(exchange.pool).observe(turn, now, exchange.engine.profile)
+        return self._model(exchange.pool).observe(turn, now, exchange.engine.reported_profile)
 
     def _own_engines(self, exchange: Exchange) -> list[EngineState]:
         """Return the engines that were left with a request and take work, the latest first."""
@@ -149,7 +151,7 @@
         begins = exchange.begins_program
         share = self._begin_shares.get(exchange.pool, START_BEGIN_SHARE)
         self._begin_shares[exchange.pool] = share + BEGIN_WEIGHT * (float(begins) - share)
-        given = exchange.call.finish
+        given = exchange.call.program_time_left
         if begins and given is not None:
             self.programs.begin(exchange.names.program, exchange.route.name, given, now)
 
@@ -158,10 +160,10 @@
         average = self._turn_seconds.setdefault(exchange.pool, seconds)
         self._turn_seconds[exchange.pool] = average + TURN_WEIGHT * (seconds - average)
 
-    def _choose(self, exchange: Exchange, pool: Pool, now: float) -> Choice | None:
+    def _choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         engines = self._engines.in_pool(exchange.pool, now)
         inputs = self._inputs(exchange, pool, exchange.tried)
-        return choose(engines, self.beliefs, inputs, now)
+        return choose_engine(engines, self.prefix_cache, inputs, now)
 
     def _inputs(self, exchange: Exchange, pool: Pool, tried: Iterable[str]) -> ChoiceInputs:
         call = exchange.call
@@ -173,11 +175,11 @@
             traits=pool.model,
             zone=self._zone,
             excluded=frozenset(tried),
-            affine=affine,
-            context=exchange.context,
+            affinity_engine_id=affine,
+            cached_context=exchange.context,
             is_new_program=exchange.begins_program,
             model=self._model(exchange.pool) if pool.model is not None else None,
-            may_fail=exchange.route.kind is RouteKind.STREAMING or exchange.route.may_repeat,
+            is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.is_retryable,
         )
 
     def _note_affinity(self, subject: tuple[str, str], engine_id: str) -> None:
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -65,7 +65,7 @@
         pace = self._state.placement.note_turn(exchange, self._state.now)
         self._sends.leave(exchange, pace=pace)
         if engine is not None:
-            engine.note_success(self._state.now)
+            engine.record_success(self._state.now)
         if exchange.phase is Phase.SENT:
             self._start(exchange)
         exchange.is_whole = True
@@ -84,7 +84,7 @@
             return
         exchange.first_event_at = self._state.now
         self._state.first_event_seconds.observe(self._state.now - exchange.started)
-        if exchange.route.may_repeat:
+        if exchange.route.is_retryable:
             self._watch_silence(exchange)
         self._state.outcomes.effects.append(
             HttpStreamStart(
--- a/tests/unit/forwarding/test_affinity.py
+++ b/tests/unit/forwarding/test_affinity.py
@@ -4,7 +4,7 @@
 
 from tests.unit.forwarding.support import Played
 from yokeline.forwarding.model import PromptPart
-from yokeline.forwarding.prefixes import PrefixBeliefs
+from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext, Granted, Reserve
 
 
@@ -38,7 +38,7 @@
         played = Played(slots=4)
         state = played.engines.get("models-0")
         assert state is not None
-        state.others = 20
+        state.running_elsewhere = 20
         played.turn(token_usage="20000,50", session_id="s")
         context = CachedContext(engine_id="models-0", tokens=19_000)
         played.ledger_answers(Granted(spent=40, context=context))
@@ -60,13 +60,13 @@
         self.assertEqual(set(chosen), {"apps-1"})
         state = played.engines.get("apps-0")
         assert state is not None
-        self.assertGreater(state.faults(played.now), 0.1)
-        self.assertLess(state.faults(played.now + 20.0), 0.01)
+        self.assertGreater(state.failure_rate(played.now), 0.1)
+        self.assertLess(state.failure_rate(played.now + 20.0), 0.01)
 
 
 class GrowingParts(unittest.TestCase):
     def test_only_what_was_read_of_a_part_that_grew_is_believed_to_be_cached(self) -> None:
-        beliefs = PrefixBeliefs()
-        beliefs.note_read("e", (PromptPart("shared", 100), PromptPart("line", 10)), 1000)
+        beliefs = PrefixCacheIndex()
+        beliefs.record_prompt("e", (PromptPart("shared", 100), PromptPart("line", 10)), 1000)
         longer = (PromptPart("shared", 100), PromptPart("line", 50), PromptPart("child", 5))
         self.assertEqual(beliefs.cached_tokens("e", longer), 110)
