--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -1,4 +1,4 @@
-"""Keeps the groups of a node in shape: repair, balance of leadership, planned stop."""
+"""Maintenance of the groups that a node leads: repair, leadership balance, planned stop."""
 
 from __future__ import annotations
 
@@ -21,24 +21,23 @@
 from yokeline.shards.replica import ShardReplica
 
 MAINTENANCE_PERIOD_SECONDS = 0.5
-"""Time between two rounds."""
 CHANGES_PER_ROUND = 8
-"""Membership changes that a node starts in one round; bounds the snapshots under way."""
+"""Membership changes started per round; bounds the snapshot transfers in progress."""
 BALANCE_PERIOD_SECONDS = 2.0
-"""Time between two balancing rounds; a random share of up to the same again is added."""
+"""Minimum time between two balancing rounds; up to as much again is added at random."""
 TRANSFERS_PER_BALANCE_ROUND = 4
 MIN_LEADERSHIP_SECONDS = 3.0
-"""A leadership is not moved for balance before it has lasted so long."""
+"""Age that a leadership must have before it is transferred for balance."""
 
 _HEALTHY_STATES = (MemberState.ALIVE, MemberState.JOINING)
 
 
 class GroupMaintenance:
-    """Decides on the groups that this node leads.
+    """Decides on changes to the groups that this node leads.
 
     Attributes:
-        handing_over: This node is in a planned stop: it leads nothing where it can be helped.
-        hand_over_blocked: Tells the shards that are better kept for a moment.
+        draining: The node is in a planned stop and transfers every leadership that it can.
+        transfer_blocked: Returns whether a shard's leadership must not be transferred now.
     """
 
     def __init__(
@@ -50,7 +49,7 @@
         replicas: Mapping[ShardId, ShardReplica],
         reschedule_tick: Callable[[ShardReplica], None],
     ) -> None:
-        """Look after ``replicas``; ``finish`` is called with each that was acted on."""
+        """Maintain ``replicas``; ``reschedule_tick`` is called with each replica acted on."""
         self.draining = False
         self.transfer_blocked: Callable[[ShardId], bool] = _never_blocked
         self._context = context
@@ -70,11 +69,11 @@
         return self._next_round
 
     def schedule_now(self) -> None:
-        """Make the next round due at once."""
+        """Make the next round due immediately."""
         self._next_round = self._context.now
 
     def run_round(self) -> None:
-        """Look at all groups now."""
+        """Maintain all groups now."""
         self._next_round = self._context.now + MAINTENANCE_PERIOD_SECONDS
         self._members = {member.replica: member for member in self._peers.alive()}
         self._update_dead_members()
@@ -85,10 +84,10 @@
         if self._context.now >= self._next_balance and not self.draining:
             self._balance()
 
-    # ------------------------------------------------------------ what is known
+    # ------------------------------------------------------------ state of nodes and groups
 
     def _update_dead_members(self) -> None:
-        """Keep since when each member of our groups is dead; tell groups whose leader died."""
+        """Record when members died, and notify the groups that a new dead member led."""
         now = self._context.now
         involved = {
             member for replica in self._replicas.values() for member in replica.group.members
@@ -147,7 +146,7 @@
 
     def _can_change_members(self, replica: ShardReplica) -> bool:
         """Return whether a membership change could commit now."""
-        # Not its lease: an idle group lets that lapse; the group itself asks for a live quorum.
+        # The lease lapses in idle groups, so it is not checked; the group checks for a quorum.
         ready = replica.leads and replica.group.may_change_members()
         return ready and replica.membership_applied
 
@@ -192,7 +191,7 @@
     # ------------------------------------------------------------ leadership
 
     def transfer_all(self) -> None:
-        """Hand every led shard to a healthy member of another node."""
+        """Transfer every led shard to a healthy member on another node."""
         for shard in sorted(self._replicas):
             replica = self._replicas[shard]
             if not replica.leads or self.transfer_blocked(shard):
@@ -204,7 +203,7 @@
                 self._transfer(replica, chosen)
 
     def _balance(self) -> None:
-        """Hand some shards to nodes that lead fewer."""
+        """Transfer some led shards to nodes that lead fewer."""
         pause = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
         self._next_balance = self._context.now + pause
         own_count = len(self._led_since)
