--- a/src/yokeline/shards/repair.py
+++ b/src/yokeline/shards/repair.py
@@ -1,24 +1,25 @@
-"""Which membership change a group needs next: a pure decision of the group's leader.
-
-The order keeps the number of crashes that the group can bear from falling, also where a member
-that counts as dead was only cut off and comes back with its log:
-
-* With one dead member and an odd number of members, its replacement is added first. Of 5 with
-  1 dead, 6 members then have quorum 4 of which 5 live: they bear 1 crash, and 2 once the dead
-  one turns out to be alive. Removing first leaves 4 members (quorum 3): they bear 1 crash too,
-  but the one that comes back no longer counts, and two crashes cost the majority for good.
-* Where the number of members is even, removing a dead one lowers the quorum: it goes.
-* With several dead members, one is removed first: an added member would have to catch up before
-  anything at all commits again, and its crash would cost the majority for good.
-* One dead member of an odd number stays while there is no spare node: its removal would not
+"""Choice of the next membership change of a group: a pure function, run by the leader.
+
+The order of changes never lowers the number of crashes that the group tolerates, even if a
+member that counts as dead was only partitioned and returns with its log:
+
+* One dead member, odd number of members: its replacement is added first. With 5 members of
+  which 1 is dead, this makes 6 members with quorum 4, of which 5 are alive: the group
+  tolerates 1 crash, and 2 if the dead member returns. Removing first makes 4 members with
+  quorum 3: the group tolerates 1 crash too, but a member that returns no longer counts, and
+  two crashes lose the majority permanently.
+* One dead member, even number of members: it is removed first, which lowers the quorum.
+* Several dead members: one is removed first. An added member would have to catch up before
+  anything commits again, and its crash would lose the majority permanently.
+* One dead member, odd number of members, no spare node: it stays, since its removal would not
   lower the quorum.
-* A leaving member still lives and holds the log, so its replacement is added first: the
-  group never has fewer live copies than before.
-* Where there is no spare node, a leaving member is removed without replacement: its process
-  ends soon in any case, and a group that counts it no longer bears at least as many crashes
-  as one that counts it as dead. The last member stays.
+* A leaving member is alive and holds the log, so its replacement is added first: the group
+  never has fewer live copies than before.
+* A leaving member without a spare node is removed. Its process ends soon in any case, and the
+  group without it tolerates at least as many crashes as the group with one dead member. The
+  last member stays.
 
-Changes are by one member at a time (Ongaro, "Consensus", 2014, 4.1).
+Changes add or remove one member at a time (Ongaro, "Consensus", 2014, 4.1).
 """
 
 from __future__ import annotations
@@ -35,25 +36,25 @@
 
 
 class MemberCondition(enum.Enum):
-    """What the leader's node believes of a member."""
+    """Condition of a member, as the leader's node sees it."""
 
     HEALTHY = "healthy"
     DOUBTFUL = "doubtful"
-    """Silent, but not dead for long enough to be replaced."""
+    """Not known to be healthy, but not dead for long enough to be replaced."""
     LEAVING = "leaving"
     DEAD = "dead"
 
 
 class GroupCondition(msgspec.Struct, frozen=True, kw_only=True):
-    """What the decision depends on.
+    """Input of :func:`next_step`.
 
     Attributes:
-        leader: The deciding node's own replica.
-        members: Condition of each member, the leader too.
-        zones: Zone of each member and spare node.
-        spares: Nodes that are alive, stay, and are not members.
-        loads: Replicas that each node is believed to hold.
-        replicas: Wanted number of members.
+        leader: Replica of the node that decides.
+        members: Condition of each member, including the leader.
+        zones: Zone of each member.
+        spares: Nodes that are alive, not leaving, and not members.
+        loads: Number of replicas by node, as far as it is known.
+        replicas: Target number of members.
     """
 
     shard: ShardId
@@ -81,7 +82,7 @@
 
 
 def next_step(group: GroupCondition) -> RepairStep | None:
-    """Return the next membership change, None if the group is as it should be."""
+    """Return the next membership change, None if none is needed."""
     dead = _members_in(group, MemberCondition.DEAD)
     if len(dead) > 1 or (dead and _removal_lowers_quorum(group)):
         return RemoveMember(dead[0])
@@ -108,7 +109,7 @@
 
 
 def _staying(group: GroupCondition) -> list[ReplicaId]:
-    """Return the members that count towards the wanted number."""
+    """Return the members that count towards the target number."""
     kept = (MemberCondition.HEALTHY, MemberCondition.DOUBTFUL)
     return sorted(member for member, found in group.members.items() if found in kept)
 
@@ -138,7 +139,7 @@
 
 
 def _rebalance_zones(group: GroupCondition, staying: Sequence[ReplicaId]) -> RepairStep | None:
-    """Add a member in a zone that has too few; the surplus one is removed after it."""
+    """Add a member in a zone that has too few; the surplus member is removed afterwards."""
     if any(found is not MemberCondition.HEALTHY for found in group.members.values()):
         return None
     zones = _zone_counts(group, staying)
