--- a/src/yokeline/shards/recovery.py
+++ b/src/yokeline/shards/recovery.py
@@ -1,4 +1,4 @@
-"""The log that a recovered group starts with: a copy, and two entries of a new lineage."""
+"""The initial log of a recovered group: a copy, and two entries of a new lineage."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class RecoveryLog(msgspec.Struct, frozen=True, kw_only=True):
-    """What a group is started anew from.
+    """The log that a recovered group starts from.
 
     Attributes:
         term: First term of the new lineage.
         snapshot: State to start from; None if the entries begin at index 1.
-        entries: All entries after it.
+        entries: All entries after the snapshot.
     """
 
     term: int
@@ -29,10 +29,10 @@
 def recovery_log(
     copy: StoredShard, own: ReplicaId, term: int, command: RecoverShard
 ) -> RecoveryLog:
-    """Return the copy's log, extended so that ``own`` is the only member.
+    """Return the log of ``copy``, extended so that ``own`` is the only member.
 
-    The command comes before the new leader's own first entry, so that no run goes on before
-    it was applied.
+    The recovery command precedes the first entry of the new leader, so that it is applied
+    before any run continues.
     """
     last = copy.last_index
     recovery_entry = LogEntry(last + 1, term, EntryKind.COMMAND, command=encode_command(command))
