--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -1,7 +1,7 @@
-"""Copies of shards that earlier process starts of this node have left in its data folder.
+"""Copies of shards that earlier process starts of this node left in its data folder.
 
-They are kept apart from the groups this process takes part in: a copy is used only by an
-operator's recovery, and is dropped once the shard is live again at this node.
+Copies are separate from the groups of the current process: a copy is used only by an
+operator's recovery, and dropped once this node holds a live replica of the shard again.
 """
 
 from __future__ import annotations
@@ -30,16 +30,16 @@
 )
 
 SET_ASIDE_FOLDER = "set-aside"
-"""Below the data folder; never read by a node. The operator may delete what is in it."""
+"""Subfolder of the data folder that nodes never read; operators may delete its files."""
 _FILE_NAME = re.compile(r"shards/([0-9]{1,9})\.(snapshot|log)")
 
 
 class ShardCopy(msgspec.Struct, frozen=True, kw_only=True):
-    """A copy that can be started from.
+    """A copy that a group can be recovered from.
 
     Attributes:
-        runs: Runs in it; ``active`` of them are under way.
-        latest_wall: Wall seconds of the latest change in it; 0 if there is none.
+        runs: Number of runs in the copy; ``active`` of them are in progress.
+        latest_wall: Wall seconds of the latest change in the copy; 0 if there is none.
     """
 
     stored: StoredShard
@@ -49,12 +49,12 @@
 
     @property
     def position(self) -> tuple[int, int]:
-        """Return term and index of its last entry; the highest is the most advanced copy."""
+        """Term and index of the last entry; the greatest position is the most advanced copy."""
         return (self.stored.last_term, self.stored.last_index)
 
 
 class DamagedCopy(msgspec.Struct, frozen=True, kw_only=True):
-    """Files that cannot be read; they are never used, and kept as they are."""
+    """Files of a copy that cannot be read; never used, and kept unchanged."""
 
     shard: ShardId
     error: YokelineError
@@ -63,15 +63,14 @@
 
 
 class CopySet:
-    """What the data folder held at the start.
+    """Copies found in the data folder at the start of the process.
 
     Attributes:
-        usable: Copies by shard.
-        damaged: Unreadable ones by shard.
+        usable: Readable copies by shard.
+        damaged: Unreadable copies by shard.
     """
 
     def __init__(self) -> None:
-        """Start without copies."""
         self.usable: dict[ShardId, ShardCopy] = {}
         self.damaged: dict[ShardId, DamagedCopy] = {}
 
@@ -94,7 +93,7 @@
 
 
 def examine(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
-    """Apply a copy to a state machine, to see that it can be and what is in it."""
+    """Replay a copy on a state machine, to check that it applies and to summarize it."""
     try:
         machine = RunStateMachine.restore(stored.snapshot.data)
     except (msgspec.ValidationError, ormsgpack.MsgpackDecodeError) as error:
@@ -130,7 +129,7 @@
 
 
 def set_aside_writes(copy: StoredShard) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that keep a copy under names which nothing else ever has."""
+    """Return the effects that save a copy under names that are never used again."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{copy.replica}-{copy.last_term}"
     snapshot = encode_snapshot(copy.shard, copy.replica, copy.snapshot)
     return (
@@ -140,7 +139,7 @@
 
 
 def set_aside_damaged_writes(copy: DamagedCopy, by: ReplicaId) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that keep unreadable files, byte for byte, when others replace them."""
+    """Return the effects that save unreadable files unchanged before they are replaced."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{by}-damaged"
     return (
         WriteFile(name=f"{name}.snapshot", data=copy.snapshot),
