--- a/src/yokeline/shards/copy_format.py
+++ b/src/yokeline/shards/copy_format.py
@@ -1,11 +1,11 @@
 """File formats of a shard's copy in the data folder: pure encoding and decoding.
 
-A shard has two files. ``shards/<number>.snapshot`` holds its state after some log entry, and
+A copy has two files. ``shards/<number>.snapshot`` holds the state after some log entry, and
 ``shards/<number>.log`` the entries committed since, appended in order. Both are sequences of
-records: length of the payload and checksum of that length, checksum of the payload, payload.
+records: length of the payload, checksum of the length, checksum of the payload, payload.
 
-A write that a crash cut short leaves an incomplete record at the end: it is cut off. Bytes
-that are all there but do not match their checksum are damage: the file is refused.
+An incomplete record at the end, left by a crash during a write, is truncated. A complete
+record that does not match its checksum is damage: the file is rejected.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The one record of a snapshot file.
+    """The only record of a snapshot file.
 
     Attributes:
-        version: Version of the format.
-        replica: The process start that wrote it.
+        version: Version of the file format.
+        replica: Process start that wrote the file.
     """
 
     version: int
@@ -42,12 +42,12 @@
 
 
 class StoredShard(msgspec.Struct, frozen=True, kw_only=True):
-    """A shard as the data folder holds it.
+    """The state and log of a shard, as the data folder holds them.
 
     Attributes:
-        replica: The process start that wrote it; its id is never used again.
-        entries: Committed entries after the snapshot, without gaps.
-        cut_bytes: Size of the incomplete record that was cut off the log; 0 for none.
+        replica: Process start that wrote them; its id is never used again.
+        entries: Entries after the snapshot, without gaps; those on disk are committed.
+        cut_bytes: Size of the incomplete record that was truncated from the log; 0 for none.
     """
 
     shard: ShardId
@@ -58,12 +58,12 @@
 
     @property
     def last_index(self) -> int:
-        """Return the index of the last entry that is stored."""
+        """Index of the last stored entry."""
         return self.entries[-1].index if self.entries else self.snapshot.last_index
 
     @property
     def last_term(self) -> int:
-        """Return the term of the last entry that is stored."""
+        """Term of the last stored entry."""
         return self.entries[-1].term if self.entries else self.snapshot.last_term
 
 
@@ -73,12 +73,12 @@
 
 
 def snapshot_file(shard: ShardId) -> str:
-    """Return the name of a shard's snapshot file below the data folder."""
+    """Return the path of a shard's snapshot file below the data folder."""
     return f"shards/{shard}.snapshot"
 
 
 def log_file(shard: ShardId) -> str:
-    """Return the name of a shard's log file below the data folder."""
+    """Return the path of a shard's log file below the data folder."""
     return f"shards/{shard}.log"
 
 
@@ -88,19 +88,19 @@
 
 
 def encode_entries(entries: tuple[LogEntry, ...]) -> bytes:
-    """Return what is appended to a log file for these entries."""
+    """Return the bytes that append these entries to a log file."""
     return b"".join(_encode_record(encode_struct(entry)) for entry in entries)
 
 
 def decode_shard(
     shard: ShardId, snapshot_data: bytes, log_data: bytes
 ) -> Result[StoredShard, YokelineError]:
-    """Return the shard that the two files hold.
+    """Return the shard that a snapshot file and a log file hold.
 
     Args:
-        shard: The shard.
-        snapshot_data: Content of its snapshot file.
-        log_data: Content of its log file; empty if there is none.
+        shard: Shard that the files are named after.
+        snapshot_data: Content of the snapshot file.
+        log_data: Content of the log file; empty if there is none.
     """
     snapshot = _decode_snapshot(shard, snapshot_data)
     if isinstance(snapshot, Failure):
@@ -146,7 +146,8 @@
 ) -> Result[tuple[LogEntry, ...], YokelineError]:
     """Return the entries after the snapshot.
 
-    A crash between the two files' replacement leaves entries that the snapshot covers.
+    Entries that the snapshot covers are skipped: a crash after the snapshot was replaced and
+    before the log was emptied leaves them.
     """
     entries: list[LogEntry] = []
     for payload in payloads:
@@ -177,7 +178,7 @@
         length, length_checksum, checksum = _HEADER.unpack_from(data, position)
         if xxhash.xxh32_intdigest(_LENGTH.pack(length)) != length_checksum:
             if not any(data[position:]):
-                break  # Space that the file system had added but not filled.
+                break  # Zero bytes that the file system allocated but never filled.
             return Failure(_damage_error(name, position, "its length does not match its checksum"))
         start = position + _HEADER.size
         payload = data[start : start + length]
@@ -201,6 +202,6 @@
 def _version_error(name: str, version: int) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.INTERNAL,
-        message=f"{name} has format version {version}, this release knows {FORMAT_VERSION}",
+        message=f"{name} has format version {version}; this release supports {FORMAT_VERSION}",
         remedy="run the release of yokeline that wrote it",
     )
