--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -1,10 +1,9 @@
-"""Keeps copies of this node's replicas in the data folder, for the loss of a majority.
+"""Writes copies of this node's replicas to the data folder, for recovery from a lost majority.
 
-The copies are written behind: nothing waits for them, so they may lack the last moments
-before a crash. A replica is written from the moment on at which it has applied its own
-membership, so that the copy of an earlier process start is not replaced by an emptier one.
-Files that cannot be read, and a copy that a recovery elsewhere has made obsolete, are set
-aside before they are replaced.
+Copies are written asynchronously: no request waits for them, so they may lack the last
+moments before a crash. A replica is written only once it has applied its own membership, so
+that a less complete state never replaces the copy of an earlier process start. Unreadable
+files, and copies made obsolete by a recovery, are set aside before they are replaced.
 """
 
 from __future__ import annotations
@@ -28,15 +27,16 @@
 from yokeline.shards.replica import ShardReplica
 
 WRITE_PERIOD_SECONDS = 0.5
-"""Time between two rounds of writing; bounds what a copy may lack, and the writes."""
+"""Time between two writes; bounds the entries that a copy may lack, and the write rate."""
 
 
 class _CopyState(msgspec.Struct):
-    """What is known of one shard's files.
+    """Write state of one shard's files.
 
     Attributes:
-        snapshot_index: Index of the snapshot on disk; None if this process wrote none.
-        entries: Committed entries not yet written.
+        snapshot_index: Index of the snapshot on disk; None if this process has written none.
+        last_term: Term of the last applied entry.
+        entries: Committed entries that are not yet written.
     """
 
     snapshot_index: int | None = None
@@ -45,10 +45,10 @@
 
 
 class CopyWriter:
-    """Writes snapshots and log entries of replicas that have changed."""
+    """Writes snapshots and log entries of the replicas that have changed."""
 
     def __init__(self, context: NodeContext, earlier_copies: CopySet) -> None:
-        """Write through ``context``; ``earlier`` starts' copies go once they are replaced."""
+        """Write through ``context``; ``earlier_copies`` are dropped once they are replaced."""
         self._context = context
         self._earlier_copies = earlier_copies
         self._states: dict[ShardId, _CopyState] = {}
@@ -56,7 +56,7 @@
         self._next_write: float | None = None
 
     def note_committed(self, replica: ShardReplica, entries: tuple[LogEntry, ...]) -> None:
-        """Remember entries that a replica has applied."""
+        """Record entries that a replica has applied."""
         state = self._states.setdefault(replica.shard, _CopyState())
         state.last_term = entries[-1].term
         if state.snapshot_index is not None:
@@ -64,7 +64,7 @@
         self._mark_dirty(replica)
 
     def note_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Remember that a replica's state was replaced by a snapshot of its leader."""
+        """Record that a leader's snapshot replaced the state of a replica."""
         state = self._states.setdefault(replica.shard, _CopyState())
         state.last_term = snapshot.last_term
         state.snapshot_index = None
@@ -72,7 +72,7 @@
         self._mark_dirty(replica)
 
     def forget(self, shard: ShardId) -> None:
-        """Delete the copy of a shard that this node no longer holds, if this start wrote it."""
+        """Delete the copy of a shard that this node no longer holds, if this process wrote it."""
         self._states.pop(shard, None)
         self._dirty.pop(shard, None)
         if shard in self._earlier_copies.usable or shard in self._earlier_copies.damaged:
@@ -81,7 +81,7 @@
         self._context.emit(DeleteFile(snapshot_file(shard)))
 
     def set_aside(self, copy: StoredShard) -> None:
-        """Keep a copy that a recovery has made obsolete; the shard's files begin anew."""
+        """Set a copy aside that a recovery has made obsolete, and reset the shard's write state."""
         self._states.pop(copy.shard, None)
         self._dirty.pop(copy.shard, None)
         self._write_set_aside(copy)
@@ -91,7 +91,7 @@
             self._context.emit(effect)
 
     def tick(self) -> None:
-        """Write what has changed, if it is time."""
+        """Write the changed replicas if a write is due."""
         if self._next_write is None or self._context.now < self._next_write:
             return
         self._next_write = None
@@ -130,7 +130,7 @@
         )
 
     def _write_snapshot(self, replica: ShardReplica, state: _CopyState, snapshot: Snapshot) -> None:
-        """Replace the snapshot first, then empty the log: entries it covers do no harm."""
+        """Replace the snapshot, then empty the log; a reader skips entries that it covers."""
         shard = replica.shard
         self._release_earlier_copy(replica)
         data = encode_snapshot(shard, self._context.replica, snapshot)
@@ -140,7 +140,7 @@
         state.entries = [entry for entry in state.entries if entry.index > snapshot.last_index]
 
     def _release_earlier_copy(self, replica: ShardReplica) -> None:
-        """Let go of an earlier start's copy: the shard is live again here."""
+        """Drop the copy of an earlier process start; a damaged or obsolete one is set aside."""
         damaged = self._earlier_copies.damaged.pop(replica.shard, None)
         if damaged is not None:
             for effect in set_aside_damaged_writes(damaged, self._context.replica):
