--- a/src/yokeline/shards/operation_server.py
+++ b/src/yokeline/shards/operation_server.py
@@ -1,4 +1,4 @@
-"""What router and server need of the component that serves operations at a leader."""
+"""Interface of the component that serves operations at a shard's leader."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OperationServer(Protocol):
-    """Serves operations of the shards that this node leads (``runs.executor.Executor``)."""
+    """Serves operations on shards that this node leads (``runs.executor.Executor``)."""
 
     def serve(
         self,
@@ -38,20 +38,19 @@
         ...
 
     def abandon(self, ticket: str) -> None:
-        """Stop serving: neither ``done`` nor ``on_events`` is called any more."""
+        """Stop serving an operation; ``done`` and ``on_events`` are not called again."""
         ...
 
 
 def is_write(operation: Operation) -> bool:
-    """Return whether an operation may have an effect."""
+    """Return whether an operation may change state."""
     return isinstance(operation, StartRun | ContinueRun | StopRun)
 
 
 def is_leadership_error(error: YokelineError) -> bool:
-    """Return whether an error only says that the shard's leader has changed or changes.
+    """Return whether an error only reports that the shard's leader has changed or is changing.
 
-    Operations are idempotent by the ids in them, so that the new leader can be asked, and
-    says what became of them. An outcome that is unknown for good is a run's status, not an
-    error.
+    Operations are idempotent by their ids, so the request can be sent to the new leader, which
+    reports the outcome. A permanently unknown outcome is a status of the run, not an error.
     """
     return error.kind in (ErrorKind.UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN)
