--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -1,4 +1,4 @@
-"""Serves the shard requests of other nodes' routers."""
+"""Serves shard requests from the routers of other nodes."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from yokeline.shards.operations import OperationResult
 
 MAX_RESULT_BYTES = DEFAULT_FRAME_LIMIT - 65_536
-"""Largest result; leaves room for the rest of the frame."""
+"""Largest encoded result; leaves room for the rest of the frame."""
 MAX_CACHED_REPLIES = 1024
-"""Final replies kept, to be sent again to a router that repeats its request."""
+"""Final replies kept for routers that send a request again."""
 MAX_CACHED_REPLY_BYTES = 8 * 1024 * 1024
-"""Bound on the results in them."""
+"""Total size of the results in the cached replies."""
 
 
 class _ActiveRequest:
-    """A request under way."""
+    """A request that is being served."""
 
     __slots__ = ("request", "sender", "ticket")
 
@@ -36,10 +36,10 @@
 
 
 class ShardServer:
-    """Serves each request id once, however often the request arrives."""
+    """Serves each request id once, even if the request arrives several times."""
 
     def __init__(self, context: NodeContext, host: ShardHost, server: OperationServer) -> None:
-        """Serve with ``server`` what ``host`` leads."""
+        """Serve requests for the shards that ``host`` leads with ``server``."""
         self._context = context
         self._host = host
         self._server = server
@@ -49,7 +49,7 @@
         host.observe_deaths(self._abandon_requests_from)
 
     def receive_request(self, sender: ReplicaId, request: ShardRequest) -> None:
-        """Serve a request, unless it is served already."""
+        """Serve a request, unless it is being served or its reply is cached."""
         if request.request in self._active:
             return
         reply = self._cached_replies.get(request.request)
@@ -61,7 +61,7 @@
             self._refuse(sender, request)
 
     def receive_cancel(self, sender: ReplicaId, cancel: ShardCancel) -> None:
-        """Stop serving a request that nobody waits for."""
+        """Stop serving a request that its sender has cancelled."""
         active = self._active.get(cancel.request)
         if active is not None and active.sender == sender:
             self._abandon(active)
@@ -118,7 +118,7 @@
         self._reply(active.sender, reply)
 
     def _refuse(self, sender: ReplicaId, request: ShardRequest) -> None:
-        """Say that nothing was done because this node does not lead."""
+        """Reply that this node does not lead the shard and did nothing."""
         leader = self._host.leader_of(request.shard)
         reply = ShardReply(request=request.request, not_leader=True, leader=leader)
         self._reply(sender, reply)
@@ -133,7 +133,7 @@
         self._context.send_peer(active.sender, message)
 
     def _cache_reply(self, reply: ShardReply) -> None:
-        """Keep a final reply; the oldest ones make room."""
+        """Cache a final reply, and evict the oldest ones over the limits."""
         self._cached_replies[reply.request] = reply
         self._cached_bytes += len(reply.result)
         while (
@@ -149,6 +149,6 @@
             self._server.abandon(active.ticket)
 
     def _abandon_requests_from(self, sender: ReplicaId) -> None:
-        """Stop serving a node that is dead."""
+        """Stop serving the requests of a dead node."""
         for active in [item for item in self._active.values() if item.sender == sender]:
             self._abandon(active)
