--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -1,8 +1,8 @@
-"""Brings operations to the leaders of their shards and tells the truth about the outcome.
+"""Routes operations to the leaders of their shards and reports the outcomes.
 
-A request that got no answer is sent again under the same id, to the same leader (which
-serves an id once) or to the next one (operations are idempotent by the ids in them). At the
-deadline it is "not run" only if every copy that left this node was refused unserved.
+A request without a reply is sent again under the same id, either to the same leader, which
+serves each id once, or to the next leader, since operations are idempotent by their ids. At
+the deadline, a write is reported as not run only if every node that received it rejected it.
 """
 
 from __future__ import annotations
@@ -30,22 +30,22 @@
 RETRY_BASE_SECONDS = 0.05
 RETRY_MAX_SECONDS = 1.0
 RESEND_BASE_SECONDS = 1.0
-"""Silence of a leader after which the request is sent to it again; doubles."""
+"""Silence after which a request is sent to its target again; doubles each time."""
 RESEND_MAX_SECONDS = 8.0
 MAX_REDIRECTS = 3
-"""Hints that are followed at once before a pause; two nodes may point at each other."""
+"""Leader hints followed without a pause, since two nodes may name each other as leader."""
 MAX_EVENT_GAPS = 3
-"""Gaps in a request's events after which its watch is not started anew any more."""
+"""Gaps in a request's events after which its watch is no longer restarted."""
 DEADLINE_MARGIN_SECONDS = 0.2
-"""A leader answers so much before the asker's deadline, to let the answer arrive."""
+"""Time before the requester's deadline at which a leader replies, for the transfer."""
 LATE_REPLIES_METRIC = "yokeline_late_replies_total"
 
 
 class ShardRouter:
-    """Sends requests, follows hints, retries, and drops answers that nobody waits for."""
+    """Sends requests, follows redirects, retries, and drops late replies."""
 
     def __init__(self, context: NodeContext, host: ShardHost, server: OperationServer) -> None:
-        """Route by what ``host`` knows; ``server`` serves what this node leads itself."""
+        """Route by the leaders that ``host`` knows; ``server`` serves the shards led here."""
         self._context = context
         self._host = host
         self._server = server
@@ -57,7 +57,7 @@
         host.observe_leaders(self._leader_changed)
         host.observe_deaths(self._node_died)
 
-    # ------------------------------------------------------------ the caller's side
+    # ------------------------------------------------------------ requests
 
     def request(
         self,
@@ -68,14 +68,14 @@
         done: OperationDone,
         on_events: EventsReceived | None = None,
     ) -> RequestId:
-        """Send an operation; ``done`` is called once, perhaps before this returns.
+        """Send an operation; ``done`` is called once, possibly before this returns.
 
         Args:
-            shard: The shard that the operation is about.
-            operation: What is asked.
-            deadline_seconds: Seconds until ``done`` is called at the latest.
-            done: Gets the result, or an error whose ``execution`` is true.
-            on_events: Gets the events of a watched run.
+            shard: Shard of the operation.
+            operation: The operation.
+            deadline_seconds: Seconds after which ``done`` is called at the latest.
+            done: Receives the result, or an error whose ``execution`` holds for all attempts.
+            on_events: Receives the events of a watched run.
         """
         request = self._context.new_request_id()
         deadline = self._context.now + deadline_seconds
@@ -87,7 +87,7 @@
         return request
 
     def cancel(self, request: RequestId) -> None:
-        """Give a request up; nothing of it is called any more. What it did stays done."""
+        """Cancel a request: its callbacks are not called again. Effects that it had remain."""
         pending = self._pending.get(request)
         if pending is None:
             return
@@ -95,13 +95,13 @@
         self._cancel_at_target(pending)
 
     def pending_requests(self) -> int:
-        """Return how many requests wait for an answer."""
+        """Return how many requests wait for a reply."""
         return len(self._pending)
 
     # ------------------------------------------------------------ sending
 
     def _dispatch(self, pending: PendingRequest) -> None:
-        """Send a request to the leader, as far as one is known."""
+        """Send a request to its target, or back off if there is none."""
         target = self._targets.choose(pending)
         pending.target = target
         if target is None:
@@ -153,7 +153,7 @@
         return left - min(DEADLINE_MARGIN_SECONDS, left / 2.0)
 
     def _back_off(self, pending: PendingRequest) -> None:
-        """Wait before the next attempt: doubling, with jitter."""
+        """Wait before the next attempt: exponential backoff with jitter."""
         pending.target = None
         pending.redirects = 0
         longest = min(RETRY_BASE_SECONDS * 2.0**pending.attempts, RETRY_MAX_SECONDS)
@@ -163,10 +163,10 @@
     def _set_due(self, pending: PendingRequest, seconds: float) -> None:
         self._deadlines.set(pending.request, min(pending.deadline, self._context.now + seconds))
 
-    # ------------------------------------------------------------ time
+    # ------------------------------------------------------------ timers
 
     def tick(self) -> None:
-        """Do what is due by now."""
+        """Retry or expire the requests that are due."""
         for request in self._deadlines.take_due(self._context.now):
             pending = self._pending[request]
             if self._context.now >= pending.deadline:
@@ -184,7 +184,7 @@
         self._finish(pending, Failure(pending.timeout_error()))
 
     def _retry(self, pending: PendingRequest) -> None:
-        """After a pause, or after a silence of the node that was asked."""
+        """Send a request again, after a backoff or after silence of its target."""
         pending.rejected_by = None
         if pending.target is not None:
             pending.resends += 1
@@ -192,7 +192,7 @@
         self._dispatch(pending)
 
     def _leader_changed(self, shard: ShardId) -> None:
-        """Bring the requests of a shard to its new leader without waiting."""
+        """Send the pending requests of a shard to its new leader immediately."""
         leader = self._host.leader_of(shard)
         if leader is None:
             return
@@ -204,7 +204,7 @@
                 self._reroute(pending)
 
     def _node_died(self, replica: ReplicaId) -> None:
-        """Ask elsewhere what was asked of a node that is dead."""
+        """Send the requests that are pending at a dead node to another one."""
         for pending in list(self._pending.values()):
             if pending.target == replica:
                 self._reroute(pending)
@@ -224,16 +224,16 @@
             pending.ticket = None
 
     def _cancel_at_target(self, pending: PendingRequest) -> None:
-        """Tell the node that serves a request that no answer is wanted any more."""
+        """Tell the node that serves a request that no reply is wanted."""
         if pending.ticket is not None:
             self._abandon_local_operation(pending)
         elif pending.target not in (None, self._context.replica):
             self._context.send_peer(pending.target, ShardCancel(request=pending.wire_id))
 
-    # ------------------------------------------------------------ answers
+    # ------------------------------------------------------------ replies
 
     def receive_reply(self, sender: ReplicaId, reply: ShardReply) -> None:
-        """Take in the answer of another node."""
+        """Process the reply of another node."""
         pending = self._by_wire_id.get(reply.request)
         if pending is None:
             self._context.counters[LATE_REPLIES_METRIC] += 1
@@ -250,7 +250,7 @@
             self._handle_result(pending, sender, decode_result(reply.result))
 
     def _handle_not_leader(self, pending: PendingRequest, sender: ReplicaId) -> None:
-        """A node does not lead the shard and did nothing."""
+        """Handle a rejection: the node does not lead the shard and did nothing."""
         pending.note_rejected(sender)
         if pending.target != sender:
             return
@@ -303,7 +303,7 @@
     # ------------------------------------------------------------ events
 
     def receive_events(self, sender: ReplicaId, message: RunEvents) -> None:
-        """Take in events of a watched run."""
+        """Process events of a watched run."""
         pending = self._by_wire_id.get(message.request)
         if pending is None or pending.target != sender:
             self._context.counters["yokeline_late_events_total"] += 1
@@ -322,7 +322,7 @@
             self._restart_watch(pending)
 
     def _restart_watch(self, pending: PendingRequest) -> None:
-        """Text is missing: start the watch again, where the last event seen ends."""
+        """Restart a watch after the last event received, because text is missing."""
         self._context.counters["yokeline_event_gaps_total"] += 1
         pending.gaps += 1
         if pending.gaps > MAX_EVENT_GAPS:
