--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -1,4 +1,4 @@
-"""A small cluster of shard hosts in memory: virtual time, fixed latency, crashes, partitions."""
+"""Shard hosts in memory: virtual time, fixed latency, crashes and partitions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class FakePeerView:
-    """What one node believes of the others; the cluster changes it after a delay."""
+    """The membership view of one node; the cluster changes it after a delay."""
 
     def __init__(self, members: dict[ReplicaId, Member], dead: set[ReplicaId]) -> None:
         self.members = members
@@ -60,7 +60,7 @@
 
 
 class RecordingListener:
-    """Records what the host reports."""
+    """Records the events of a host."""
 
     def __init__(self) -> None:
         self.events: list[tuple[str, ShardId]] = []
@@ -77,7 +77,7 @@
 
 
 class HostNode:
-    """One process start: context, host and the messages it takes."""
+    """One process start: its context, its host and the messages it receives."""
 
     def __init__(self, own: Member, settings: Settings, view: FakePeerView, seed: int) -> None:
         source = random.Random(seed)
@@ -150,7 +150,7 @@
         return node
 
     def crash_node(self, replica: ReplicaId) -> None:
-        """Crash a node; the others' membership notices after a while."""
+        """Crash a node; the membership view of the others changes after a delay."""
         del self.nodes[replica]
         self.schedule(DETECTION_SECONDS, lambda: self.declare_dead(replica))
 
@@ -161,7 +161,7 @@
             self.run_at(node, node.host.peers_changed)
 
     def begin_drain(self, node: HostNode) -> None:
-        """Let a node begin its planned stop."""
+        """Begin the planned stop of a node."""
         replica = node.context.replica
         leaving = msgspec.structs.replace(self.members[replica], state=MemberState.LEAVING)
         self.members[replica] = leaving
@@ -172,7 +172,7 @@
         heapq.heappush(self._queue, (self.now + seconds, self._sequence, action))
 
     def run_at(self, node: HostNode, action: Callable[[], None]) -> None:
-        """Do something at a node and carry its effects out."""
+        """Run an action at a node and carry out its effects."""
         node.context.now = self.now
         action()
         node.host.flush()
@@ -194,7 +194,7 @@
             self.run_at(node, lambda: node.receive(frame.sender, frame.message))
 
     def run(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance the virtual time."""
         end = self.now + seconds
         while True:
             due = min((node.deadline(), replica) for replica, node in self.nodes.items())
@@ -210,7 +210,7 @@
                 self.run_at(node, node.tick)
         self.now = end
 
-    # ------------------------------------------------------------ questions
+    # ------------------------------------------------------------ queries
 
     def leaders(self, shard: int) -> list[ReplicaId]:
         return [replica for replica, node in self.nodes.items() if node.host.leads(ShardId(shard))]
@@ -220,7 +220,7 @@
         return self.nodes[replica]
 
     def propose(self, shard: int, run: str) -> list[Outcome]:
-        """Propose at the leader; the list gets the outcome."""
+        """Propose a command at the leader; the returned list receives the outcome."""
         outcomes: list[Outcome] = []
         node = self.leader(shard)
         self.run_at(
