--- a/tests/unit/shards/routed.py
+++ b/tests/unit/shards/routed.py
@@ -1,4 +1,4 @@
-"""Cluster nodes that also have a router, a server and a simple executor."""
+"""Cluster nodes with a router, a shard server and a simple executor."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class SimpleExecutor:
-    """Commits starts, reads runs, and lets a test push events to watchers."""
+    """Commits starts, and lets a test push events to watchers."""
 
     def __init__(self, node: RoutedNode) -> None:
         self._node = node
