--- a/tests/unit/shards/test_deadlines.py
+++ b/tests/unit/shards/test_deadlines.py
@@ -1,4 +1,4 @@
-"""The queue of deadlines by key."""
+"""The priority queue with one deadline per key."""
 
 from __future__ import annotations
 
