--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -76,7 +76,7 @@
 
 
 class DiskNode(HostNode):
-    """Carries file effects out in memory."""
+    """Stores written files in memory."""
 
     def tick(self) -> None:
         super().tick()
