--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -1,4 +1,4 @@
-"""Copies at the start, and groups that an operator starts anew from one."""
+"""Copies found at the start, and the recovery of groups from a copy."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class FileCluster(DiskCluster):
-    """Carries out what nodes write while they take a message in, too."""
+    """Keeps the files that nodes write outside of ticks, too."""
 
     def _carry_out(self, sender: ReplicaId, effect: Effect) -> None:
         if isinstance(effect, WriteFile):
@@ -96,7 +96,7 @@
         cluster.run_at(node, lambda: node.host.recover(SHARD_0, log))
 
     def lost_cluster(self, cluster: Cluster) -> list[HostNode]:
-        """Commit a run, kill the leader and two others, and return the two that are left."""
+        """Commit a run, crash the leader and two members, and return the two survivors."""
         cluster.run(5.0)
         cluster.propose(0, "run-1")
         cluster.run(1.0)
@@ -127,7 +127,7 @@
             self.assertEqual(cluster.runs_at(node, 0), {"run-1", "run-2"})
 
     def test_partitioned_majority_yields_to_the_recovered_group(self) -> None:
-        """The old group serves on its side of the cut, and never after it."""
+        """The old group serves during the partition, and never after it has healed."""
         cluster = Cluster(shards=1)
         cluster.run(5.0)
         cluster.propose(0, "run-1")
@@ -158,7 +158,7 @@
         self.assertEqual(len(cluster.group_members(0)), 5)
 
     def test_update_of_a_higher_lineage_ends_the_old_group_at_each_node(self) -> None:
-        """Whether it leads, follows, or would be drawn in by an old leader's message."""
+        """Covers a leader, a follower, and a node that an old leader would add."""
         cluster = Cluster(nodes=6, shards=1)
         cluster.run(5.0)
         cluster.propose(0, "run-1")
