--- a/tests/unit/shards/test_host.py
+++ b/tests/unit/shards/test_host.py
@@ -10,10 +10,10 @@
 from yokeline.shards.status import ShardState
 
 FAILOVER_SECONDS = 12.0
-"""Virtual seconds for detection, election, replacement and balance."""
+"""Virtual time for failure detection, election, replacement and balance."""
 
 REPAIR_SECONDS = 7.5
-"""Virtual seconds for detection, the patience before replacement, and the replacement."""
+"""Virtual time for failure detection, the wait before a replacement, and the replacement."""
 
 
 class HostTest(unittest.TestCase):
