--- a/tests/property/test_shard_cluster.py
+++ b/tests/property/test_shard_cluster.py
@@ -1,4 +1,4 @@
-"""Random crashes, restarts, partitions, losses and planned stops of a cluster of shard hosts."""
+"""Random crashes, restarts, partitions, message loss and planned stops of shard hosts."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 STEPS = 40
 REPAIR_SECONDS = 15.0
-"""Two nodes at most are in trouble within this time: a majority stays."""
+"""At most two faults occur within this time, so that a majority remains."""
 RECOVERY_SECONDS = 40.0
 STOP_SECONDS = 8.0
 
 
 class Faults:
-    """Draws what happens next."""
+    """Injects random faults and requests."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
