--- a/tests/unit/shards/test_repair.py
+++ b/tests/unit/shards/test_repair.py
@@ -50,45 +50,45 @@
         spare = {"s": "zone"}
         cases = {
             "healthy": (group(), {}, None),
-            "replacement comes before the one dead of five goes": (
+            "one dead of five: a replacement is added first": (
                 group(c=DEAD),
                 spare,
                 AddMember("s"),
             ),
-            "the one dead of six goes after it": (
+            "one dead of six: the dead member is removed": (
                 {**group(c=DEAD), "s": HEALTHY},
                 {},
                 RemoveMember("c"),
             ),
-            "one dead of five stays without a spare": (group(c=DEAD), {}, None),
-            "one dead of four goes, spare or not": (
+            "one dead of five without a spare: no change": (group(c=DEAD), {}, None),
+            "one dead of four: the dead member is removed first": (
                 {"a": HEALTHY, "b": HEALTHY, "c": DEAD, "d": HEALTHY},
                 spare,
                 RemoveMember("c"),
             ),
-            "of two dead one goes before a replacement comes": (
+            "two dead: one is removed before a replacement is added": (
                 group(c=DEAD, d=DEAD),
                 spare,
                 RemoveMember("c"),
             ),
-            "of two dead one goes without a spare as well": (
+            "two dead without a spare: one is removed": (
                 group(c=DEAD, d=DEAD),
                 {},
                 RemoveMember("c"),
             ),
-            "doubt changes nothing": (group(c=DOUBTFUL), spare, None),
-            "replacement comes before a leaving one goes": (
+            "one doubtful: no change": (group(c=DOUBTFUL), spare, None),
+            "one leaving: a replacement is added first": (
                 group(c=LEAVING),
                 spare,
                 AddMember("s"),
             ),
-            "leaving one goes after it": (
+            "one leaving and its replacement added: it is removed": (
                 {**group(c=LEAVING), "s": HEALTHY},
                 {},
                 RemoveMember("c"),
             ),
-            "leaving one goes if nobody can replace it": (group(c=LEAVING), {}, RemoveMember("c")),
-            "leader does not remove itself": (group(a=LEAVING), {}, None),
+            "one leaving without a spare: it is removed": (group(c=LEAVING), {}, RemoveMember("c")),
+            "leader leaving: it does not remove itself": (group(a=LEAVING), {}, None),
         }
         for name, (members, spares, expected) in cases.items():
             with self.subTest(name):
