--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -39,7 +39,7 @@
 
 
 class FileCluster(DiskCluster):
-    """Keeps the files that nodes write outside of ticks, too."""
+    """Stores files that nodes write outside of ticks, too."""
 
     def _carry_out(self, sender: ReplicaId, effect: Effect) -> None:
         if isinstance(effect, WriteFile):
@@ -127,7 +127,7 @@
             self.assertEqual(cluster.runs_at(node, 0), {"run-1", "run-2"})
 
     def test_partitioned_majority_yields_to_the_recovered_group(self) -> None:
-        """The old group serves during the partition, and never after it has healed."""
+        """The old group commits during the partition; its entries are dropped when it heals."""
         cluster = Cluster(shards=1)
         cluster.run(5.0)
         cluster.propose(0, "run-1")
