--- a/src/yokeline/shards/local_replicas.py
+++ b/src/yokeline/shards/local_replicas.py
@@ -42,7 +42,7 @@
     def bootstrap(self, shard: ShardId, members: tuple[ReplicaId, ...]) -> None:
         """Start a group of the initial placement.
 
-        Does nothing if this node is in the group, has left it, or knows of its recovery.
+        Does nothing if this node is in the group or has left it, or if the shard was recovered.
         """
         was_recovered = lineage_of(self._highest_terms.get(shard, 0)) > 0
         if shard not in self.replicas and shard not in self._removed and not was_recovered:
@@ -74,7 +74,7 @@
         self._highest_terms[shard] = max(term, self._highest_terms.get(shard, 0))
 
     def leave(self, replica: ShardReplica) -> None:
-        """Leave a group that has removed this node."""
+        """Leave a group that has removed this node or that a recovery has replaced."""
         del self.replicas[replica.shard]
         self._deadlines.remove(replica.shard)
         replica.close()
--- a/src/yokeline/shards/removed_replicas.py
+++ b/src/yokeline/shards/removed_replicas.py
@@ -15,7 +15,7 @@
 
 
 class RemovedReplicas:
-    """What a node must keep of groups that have removed it."""
+    """Replicas of groups that have removed this node, and the votes of dropped replicas."""
 
     def __init__(self) -> None:
         self._replicas: dict[ShardId, tuple[ShardReplica, float]] = {}
