--- a/src/yokeline/scheduling/__init__.py
+++ b/src/yokeline/scheduling/__init__.py
@@ -1,5 +1,5 @@
-"""Scheduling: which engine serves a call, when, and what becomes of its cached context.
+"""Choice of engines, queue order and cache decisions.
 
-Pure: no I/O, no clock read. ``interface`` has the types, ``policies`` the choice of engine,
-``directory`` the bookkeeping of engines that the policies read.
+Pure: no I/O, no clock read. ``interface`` defines the types, ``policies`` the policies by name, and
+``directory`` tracks the engines that the policies choose from.
 """
