--- a/src/yokeline/scheduling/account.py
+++ b/src/yokeline/scheduling/account.py
@@ -1,4 +1,7 @@
-"""What this node knows of one engine from what it sent there and from the load reports."""
+"""Load, speed and active programs of one engine, as this node knows them.
+
+Combines the calls that this node sent with the engine's load reports.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 from yokeline.scheduling.interface import CallDemand
 
 LOAD_HISTORY_SECONDS = 30.0
-"""How far back a load report's state may lie."""
+"""Longest delay between the state that a load report shows and its arrival."""
 
 
 class LoadState(msgspec.Struct, frozen=True, kw_only=True):
-    """An engine's load by its last report."""
+    """The load in an engine's last report."""
 
     running: int = 0
     waiting: int = 0
@@ -29,8 +32,9 @@
     """A call that this node sent and that has not ended.
 
     Attributes:
-        missing_tokens: Tokens that the engine was believed to have to prefill.
-        alone: No other prefill was under way there, so that its time tells the rate.
+        uncached_tokens: Prompt tokens that the engine was expected to prefill.
+        is_sole_prefill: No other prefill of this node was pending at the engine, so the time to
+            first text measures its prefill rate.
     """
 
     engine: str
@@ -42,12 +46,12 @@
 
 
 class ActiveProgram(msgspec.Struct, kw_only=True):
-    """A program with calls at an engine, or paused with context there.
+    """A program with calls at an engine, or paused while its context is cached there.
 
     Attributes:
-        contexts: Tokens of context that each of its runs needs there.
-        calls: Its calls under way there.
-        counted_until: Until when it counts as active while it has no call there.
+        contexts: Context tokens of each of its runs at the engine.
+        calls: Its calls in progress there.
+        active_until: End of the pause during which it stays active without a call.
     """
 
     contexts: dict[RunId, int] = {}
@@ -56,23 +60,23 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens of context that the program needs there."""
+        """Return the context tokens of all its runs."""
         return sum(self.contexts.values())
 
 
 class EngineAccount:
-    """Bookkeeping for one engine.
+    """State of one engine.
 
     Attributes:
-        pace: Its observed pace.
-        report: Its last load report; None before the first.
-        calls: Number of this node's calls under way there.
-        pending_prefill: Prompt tokens sent and not yet prefilled, as far as known.
+        speed: Observed prefill and decode speed.
+        report: Last load report; None before the first.
+        calls: Calls of this node in progress there.
+        pending_prefill: Prompt tokens sent and not yet prefilled, estimated from this node's calls.
         active_tokens: Context tokens of the active programs.
     """
 
     def __init__(self) -> None:
-        """Create an account of an engine that nothing was sent to."""
+        """Create the state of an idle engine."""
         self.speed = EngineSpeed()
         self.report: LoadState | None = None
         self.calls = 0
@@ -87,7 +91,7 @@
     # ------------------------------------------------------------ load
 
     def report_received(self, report: LoadState, taken_at: float) -> None:
-        """Take a load report over; what it shows beyond this node's own calls is others'."""
+        """Store a load report; calls beyond this node's own at ``taken_at`` are other nodes'."""
         self.report = report
         while len(self._call_counts) > 1 and self._call_counts[1][0] <= taken_at:
             self._call_counts.popleft()
@@ -96,7 +100,7 @@
 
     @property
     def load(self) -> int:
-        """Return the calls running or waiting there: this node's now, others' as reported."""
+        """Return the calls running or waiting there; other nodes' calls are as last reported."""
         return self.calls + self._other_nodes_load
 
     def _count(self, change: int, now: float) -> None:
@@ -108,7 +112,7 @@
     # ------------------------------------------------------------ calls
 
     def call_sent(self, call: SentCall, now: float) -> None:
-        """Note a call that was sent there."""
+        """Record a call that was sent to the engine."""
         self._count(1, now)
         self.pending_prefill += call.uncached_tokens
         expected_tokens = call.demand.prompt_tokens + int(expected_completion_tokens(call.demand))
@@ -117,12 +121,12 @@
         self._resize(program, call.demand.run, expected_tokens)
 
     def prefill_ended(self, call: SentCall, now: float) -> None:
-        """Note the first text of a call."""
+        """Record the first text of a call."""
         call.first_text_at = now
         self.pending_prefill -= call.uncached_tokens
 
     def call_ended(self, call: SentCall, context_tokens: int, now: float) -> None:
-        """Note that a call ended; ``context_tokens`` of its program stay cached."""
+        """Record the end of a call; ``context_tokens`` of its run stay cached."""
         self._count(-1, now)
         if call.first_text_at is None:
             self.pending_prefill -= call.uncached_tokens
@@ -136,20 +140,20 @@
     # ------------------------------------------------------------ active programs
 
     def run_paused(self, cache_key: RunId, run: RunId, tokens: int, until: float) -> None:
-        """Count a run's program as active until a time, though it has no call there."""
+        """Keep a run's program active until ``until`` although it has no call here."""
         program = self._programs.setdefault(cache_key, ActiveProgram())
         program.active_until = max(program.active_until, until)
         self._resize(program, run, tokens)
         heapq.heappush(self._pause_deadlines, (until, cache_key))
 
     def remove_run_context(self, cache_key: RunId, run: RunId) -> None:
-        """Note that one run of a program needs no context here any more."""
+        """Remove the context of one run; its program stays active."""
         program = self._programs.get(cache_key)
         if program is not None:
             self._resize(program, run, 0)
 
     def deactivate_program(self, cache_key: RunId) -> None:
-        """Note that a program needs nothing here any more; its calls here still count."""
+        """End a program's pause; it stays active while it has calls here."""
         program = self._programs.get(cache_key)
         if program is None:
             return
@@ -159,7 +163,7 @@
             del self._programs[cache_key]
 
     def expire_pauses(self, now: float) -> None:
-        """Drop the programs whose pause has outlasted what was counted for it."""
+        """Deactivate the programs whose pause has exceeded its expected length."""
         while self._pause_deadlines and self._pause_deadlines[0][0] <= now:
             cache_key = heapq.heappop(self._pause_deadlines)[1]
             program = self._programs.get(cache_key)
@@ -167,7 +171,7 @@
                 self.deactivate_program(cache_key)
 
     def is_active(self, cache_key: RunId) -> bool:
-        """Return whether a program is active there."""
+        """Return whether a program is active here."""
         return cache_key in self._programs
 
     @property
@@ -185,14 +189,14 @@
     # ------------------------------------------------------------ holds
 
     def hold_made(self, cache_key: RunId, tokens: int, until: float) -> None:
-        """Note a hold."""
+        """Record that a program's context is held until ``until``."""
         self._holds[cache_key] = (until, tokens)
 
     def hold_ended(self, cache_key: RunId) -> bool:
-        """Forget a hold; return whether there was one."""
+        """Remove a hold; return whether there was one."""
         return self._holds.pop(cache_key, None) is not None
 
     def held_tokens(self, now: float) -> int:
-        """Return the tokens under holds that have not ended."""
+        """Return the tokens under holds that have not expired."""
         self._holds = {key: hold for key, hold in self._holds.items() if hold[0] > now}
         return sum(tokens for _until, tokens in self._holds.values())
