--- a/src/yokeline/scheduling/affinity.py
+++ b/src/yokeline/scheduling/affinity.py
@@ -1,4 +1,4 @@
-"""The product's policy."""
+"""The default policy: cache affinity, least attained service, admission limits and holds."""
 
 from __future__ import annotations
 
@@ -23,26 +23,27 @@
 from yokeline.scheduling.ordering import OrderRules, aged_priority, order_key
 
 MAX_ACTIVE_CACHE_RATIO = 1.2
-"""Share of an engine's cache that the contexts of its active programs may take. Above one,
-since paused programs count until their pause is over with high probability."""
+"""Bound on the active programs' context tokens, relative to the size of an engine's cache. It
+exceeds 1 because a paused program stays active for a high quantile of its pause."""
 
 ADMISSION_TIMEOUT_SECONDS = 120.0
-"""Waiting time after which the caps on memory and on leaving a context do not apply."""
+"""Wait after which a call is no longer kept back by the memory limit or for the engine that holds
+its context."""
 
 
 class Mechanisms(msgspec.Struct, frozen=True, kw_only=True):
-    """What the policy does; each part can be switched off to measure what it is worth.
+    """Parts of the policy that can be disabled, to measure the effect of each.
 
     Attributes:
         affinity: Cached context counts in the choice of engine.
-        queue: Calls beyond an engine's slots wait here, where their order can still change.
+        queue: Calls beyond an engine's slots wait at the node, where they can be reordered.
         admission: New programs wait while their context does not fit beside the active ones.
         wait_for_context: A call may wait for the engine that holds its context.
         service: Least attained service first.
-        deadlines: Programs that are late anyway go behind.
-        ageing: Waiting lifts the priority.
+        deadlines: Programs past their deadline are served last within their priority.
+        ageing: Priority rises with waiting time.
         drop: The context of ended programs is dropped.
-        holds: Contexts are held at pauses.
+        holds: Contexts are held during pauses.
     """
 
     affinity: bool = True
@@ -57,14 +58,14 @@
 
 
 class AffinityPolicy:
-    """Least estimated finish, least attained service of programs, caps, holds and drops."""
+    """Chooses the earliest estimated finish; orders calls by least attained service."""
 
     name = "affinity"
 
     def __init__(
         self, mechanisms: Mechanisms | None = None, *, aging_seconds: float = 10.0
     ) -> None:
-        """Create it; without ``mechanisms`` all of them are on."""
+        """Create the policy; without ``mechanisms`` all of them are enabled."""
         self._mechanisms = mechanisms or Mechanisms()
         self._rules = OrderRules(
             aging_seconds=aging_seconds,
@@ -73,8 +74,6 @@
             by_ageing=self._mechanisms.ageing,
         )
 
-    # ------------------------------------------------------------ which
-
     def choose(
         self, demand: CallDemand, engines: Sequence[EngineView], now: float
     ) -> EngineChoice | WaitForEngine:
@@ -105,7 +104,7 @@
         return not self._mechanisms.queue or engine.running < engine.slots
 
     def _admits(self, demand: CallDemand, engine: EngineView) -> bool:
-        """Return whether a program may become active there; one that is goes on."""
+        """Return whether the call's program may become active at an engine, or already is."""
         if not self._mechanisms.admission or engine.program_is_active or not engine.active_programs:
             return True
         needed = engine.active_tokens + memory_tokens(demand)
@@ -114,7 +113,7 @@
     def _earlier_full_holder(
         self, demand: CallDemand, engines: list[EngineView], best: EngineView
     ) -> EngineView | None:
-        """Return an engine that holds context and would finish earlier, though it is full."""
+        """Return a full engine that holds context and would finish earlier than ``best``."""
         if not self._mechanisms.wait_for_context:
             return None
         holders = [engine for engine in engines if engine.cached_tokens]
@@ -124,8 +123,6 @@
         sooner = finish_seconds(demand, holder) < finish_seconds(demand, best)
         return holder if sooner and not self._has_slot(holder) else None
 
-    # ------------------------------------------------------------ when
-
     def order(self, waiting: Sequence[CallDemand], now: float) -> tuple[int, ...]:
         """Return the calls by priority, lateness, service of their program, and arrival."""
         keys = [order_key(demand, index, now, self._rules) for index, demand in enumerate(waiting)]
@@ -135,10 +132,8 @@
         """Return the aged priority."""
         return aged_priority(demand, now, self._rules)
 
-    # ------------------------------------------------------------ cache
-
     def cache_decision(self, pause: PauseContext) -> CacheDecision:
-        """Return what becomes of a context; see :mod:`yokeline.scheduling.caching`."""
+        """Return what to do with a context; see :mod:`yokeline.scheduling.caching`."""
         enabled = self._mechanisms.drop if pause.kind is PauseKind.END else self._mechanisms.holds
         return caching.cache_decision(pause) if enabled else LEAVE_TO_ENGINE
 
