--- a/src/yokeline/scheduling/baselines.py
+++ b/src/yokeline/scheduling/baselines.py
@@ -1,7 +1,7 @@
-"""Baselines to measure against: policies without knowledge of programs.
+"""Baseline policies that ignore which program a call belongs to.
 
-All serve calls in the order of their arrival, cap nothing and leave the cache to the
-engine's own eviction (least recently used first).
+They serve calls in the order of arrival, limit nothing and leave the cache to the engine's own LRU
+eviction.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 
 
 class FcfsBaseline:
-    """What the baselines have in common; they differ in the choice of engine."""
+    """Common behaviour of the baselines; they differ in the choice of engine."""
 
     name = ""
 
     def choose(
         self, demand: CallDemand, engines: Sequence[EngineView], now: float
     ) -> EngineChoice | WaitForEngine:
-        """Return an engine, whatever its load; wait only if there is none."""
+        """Return an engine regardless of its load; wait only if none is usable."""
         usable = [engine for engine in engines if engine.usable]
         if not usable:
             return NO_ENGINE
@@ -50,16 +50,16 @@
         return tuple(index for _since, _run, index in sorted(keys))
 
     def engine_priority(self, demand: CallDemand, now: float) -> int:
-        """Return the operator's priority."""
+        """Return the priority that the operator set."""
         return demand.priority
 
     def cache_decision(self, pause: PauseContext) -> CacheDecision:
-        """Leave the cache to the engine."""
+        """Leave the context to the engine's own eviction."""
         return LEAVE_TO_ENGINE
 
 
 class RoundRobinPolicy(FcfsBaseline):
-    """Baseline: engines in turn."""
+    """Baseline: engines in rotation."""
 
     name = "round_robin"
 
@@ -86,9 +86,9 @@
 
 
 class PrefixFcfsPolicy(FcfsBaseline):
-    """Baseline: the engine with the longest cached prefix, whatever its load.
+    """Baseline: the engine with the longest cached prefix, regardless of its load.
 
-    Without a cached prefix: the engine with the fewest calls.
+    Without a cached prefix, the engine with the fewest calls.
     """
 
     name = "prefix_fcfs"
