--- a/src/yokeline/scheduling/cache_types.py
+++ b/src/yokeline/scheduling/cache_types.py
@@ -1,4 +1,4 @@
-"""Pauses of programs, and decisions on their cached context."""
+"""Pauses of programs and the decisions on their cached context."""
 
 from __future__ import annotations
 
@@ -15,31 +15,30 @@
     """What a program does between two model calls."""
 
     TOOL = "tool"
-    """A tool call is under way."""
+    """A tool call is in progress."""
     CHILD = "child"
-    """A child run is under way; the parent's context is not used."""
+    """A child run is in progress; the parent's context is not used."""
     TURN = "turn"
-    """The answer is given; a further turn of the caller may follow."""
+    """The turn is answered; the caller may send another one."""
     END = "end"
-    """The program (or the child run) is over; its context is not used again."""
+    """The program (or the child run) has ended; its context is not used again."""
 
 
 class PauseContext(msgspec.Struct, frozen=True, kw_only=True):
-    """What a cache decision may depend on.
+    """Inputs of a cache decision.
 
     Attributes:
         run: The run that pauses.
-        cache_key: Its program (root run); holds and releases are by this key.
+        cache_key: Root run of its program; holds and releases use this key.
         name: Name of the tool or child program; of the program itself for other kinds.
-        engine: Where the context is.
+        engine: Engine that holds the context.
         context_tokens: Tokens of context there.
-        forecast: Distribution of the pause's length; None if nothing is known.
-        prefill_rate: Observed prefill there, tokens a second: the price of a rebuild.
+        forecast: Distribution of the pause's length; None if unknown.
+        prefill_rate: Observed prefill rate there, tokens per second.
         cache_tokens: Size of the engine's cache.
-        cache_used: Tokens in it, as reported.
-        active_tokens: Tokens of context that the active programs need there, this one
-            included.
-        held_tokens: Tokens there under holds that this node made and that have not ended.
+        cache_used: Tokens in the cache, as last reported.
+        active_tokens: Context tokens of the active programs there, including this one.
+        held_tokens: Tokens there under unexpired holds of this node.
         hold_max_seconds: Longest hold that the settings allow.
     """
 
@@ -62,15 +61,15 @@
 
 
 class CacheAction(enum.Enum):
-    """What becomes of a program's cached context at an engine."""
+    """What to do with a program's cached context at an engine."""
 
     LEAVE = "leave"
     """Leave it to the engine's own eviction."""
     HOLD = "hold"
-    """Pin it for ``hold_seconds`` (a lease: it ends by itself). It is released as soon as the
-    next call of the program at that engine has produced its first text."""
+    """Pin it for ``hold_seconds``. The hold is a lease; it is released early when the program's
+    next call at that engine has produced its first text."""
     DROP = "drop"
-    """Free it at once."""
+    """Free it now."""
 
 
 class CacheCause(enum.Enum):
@@ -78,21 +77,21 @@
 
     BASELINE = "baseline"
     ENDED = "ended"
-    """Nobody will use the context again."""
+    """No later call uses the context."""
     ROOM = "room"
-    """The cache is not crowded: eviction does not threaten the context."""
+    """The cache is not crowded, so the context is unlikely to be evicted."""
     CHEAP_REBUILD = "cheap_rebuild"
     """Holding for the predicted pause costs more than a rebuild."""
     COSTLY_REBUILD = "costly_rebuild"
     """A rebuild costs more than holding for the predicted pause."""
     LONG_PAUSE = "long_pause"
-    """The pause is predicted to outlast any hold, and others need the memory."""
+    """The predicted pause exceeds any worthwhile hold, and other programs need the memory."""
     UNKNOWN_PAUSE = "unknown_pause"
-    """No forecast."""
+    """The pause has no forecast."""
 
 
 class CacheDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """What to do with a program's context, with the reason for people.
+    """What to do with a program's context, and the reason in words.
 
     Attributes:
         hold_seconds: Length of the hold; 0 unless the action is ``HOLD``.
@@ -105,7 +104,7 @@
 
 
 class ProgramPause(msgspec.Struct, frozen=True, kw_only=True):
-    """A pause of a run, as the executor knows it from the log.
+    """A pause of a run, read from the run's log.
 
     Attributes:
         engine: Engine of the run's last finished model call.
@@ -124,7 +123,7 @@
 
 
 class PlannedCacheAction(msgspec.Struct, frozen=True, kw_only=True):
-    """A cache decision with where it is to be carried out."""
+    """A cache decision and the engine to apply it at."""
 
     engine: str
     address: Address
--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -1,10 +1,9 @@
-"""What becomes of the cached context of a program that pauses or ends.
+"""Cost-based decision on the cached context of a program that pauses or ends.
 
-A hold pays if the seconds it is expected to occupy the memory cost less than the rebuild it
-is expected to save. Both grow with the size of the context, which therefore cancels out: per
-token a rebuild costs ``1 / prefill_rate`` seconds, and a token-second of a crowded cache is
-priced at one rebuild per :data:`TURNOVER_SECONDS`, the time for which the engine's own
-eviction would keep an unused token (the characteristic time of an LRU cache, Che, Tung and
+A hold pays off if the memory it is expected to occupy costs less than the rebuild it is expected to
+save. Both costs are proportional to the context's size, which therefore cancels out: a token-second
+of a crowded cache is priced at one rebuild per :data:`EVICTION_AGE_SECONDS`, the time for which the
+engine's LRU eviction keeps an unused token (the characteristic time of an LRU cache, Che, Tung and
 Wang 2002).
 """
 
@@ -19,23 +18,23 @@
 )
 
 CROWDED_CACHE_FRACTION = 0.8
-"""Share of the cache from which the need of the active programs threatens paused ones. What
-is merely used tells nothing: an engine keeps idle context until it needs the room."""
+"""The cache is crowded once the active programs need this fraction of it. Used tokens are no
+measure, since an engine keeps idle context until it needs the memory."""
 EVICTION_AGE_SECONDS = 30.0
 REUSE_HORIZON_SECONDS = 300.0
-"""Time after which a crowded cache has evicted an unused context by itself."""
+"""Time within which a crowded cache evicts an unused context."""
 MIN_REUSE_PROBABILITY = 0.02
-"""Chance of being used within that time below which a context only takes others' room."""
+"""Below this probability of reuse within the horizon, a context is dropped."""
 HOLD_QUANTILE = 0.9
-"""A hold covers the pause with this probability."""
+"""Quantile of the pause that a hold covers."""
 HOLD_MARGIN = 1.25
 MIN_HOLD_SECONDS = 0.5
 MAX_HELD_CACHE_FRACTION = 0.5
-"""Share of the cache that holds may take."""
+"""Fraction of the cache that holds may occupy."""
 
 
 def cache_decision(pause: PauseContext) -> CacheDecision:
-    """Return what becomes of the context; see the module's docstring."""
+    """Return what to do with the context of a paused or ended program."""
     if pause.kind is PauseKind.END:
         return _decide_ended(pause)
     if not pause.context_tokens:
@@ -58,9 +57,9 @@
 
 
 def _is_unlikely_reused(pause: PauseContext) -> bool:
-    """Return whether the engine would evict the context before it is used, at a full cache."""
+    """Return whether the context would be evicted before it is used again."""
     if pause.run != pause.cache_key:
-        # A drop is by the cache key and would take the parents' context as well.
+        # A drop is by cache key and would remove the parents' context as well.
         return False
     if pause.forecast is None or pause.cache_used < CROWDED_CACHE_FRACTION * pause.cache_tokens:
         return False
