--- a/src/yokeline/scheduling/clairvoyant.py
+++ b/src/yokeline/scheduling/clairvoyant.py
@@ -1,10 +1,10 @@
-"""A reference that knows lengths and pauses: the bound for the experiments.
+"""A policy that knows the future, as an upper bound for experiments.
 
-It is the product's policy with knowledge: the least remaining service of the whole program
-goes first (``CallDemand.remaining_service``), answers have their true length
-(``expected_completion_tokens``) and forecasts of pauses are exact
-(:meth:`~yokeline.scheduling.forecast.PauseForecast.exactly`). Where that knowledge is not
-given, it decides as the product does.
+It is the affinity policy with exact inputs: the least remaining service of the whole program is
+served first (``CallDemand.remaining_service``), completions have their true length
+(``expected_completion_tokens``) and pause forecasts are exact
+(:meth:`~yokeline.scheduling.forecast.PauseForecast.exactly`). Without these inputs it decides like
+the affinity policy.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class ClairvoyantPolicy(AffinityPolicy):
-    """The product's policy with knowledge of what will come."""
+    """The affinity policy with exact knowledge of remaining work."""
 
     name = "clairvoyant"
 
     def order(self, waiting: Sequence[CallDemand], now: float) -> tuple[int, ...]:
-        """Return the calls by priority, started programs, least remaining service by worth."""
+        """Return the calls by priority, started programs, and least remaining service by worth."""
         keys = [
             (
                 -aged_priority(demand, now, self._rules),
