--- a/src/yokeline/scheduling/affinity.py
+++ b/src/yokeline/scheduling/affinity.py
@@ -91,7 +91,7 @@
         if holder is not None:
             return WaitForEngine(
                 cause=WaitCause.CONTEXT_ELSEWHERE,
-                reason=f"{holder.name} holds {holder.cached_tokens} tokens and is sooner free",
+                reason=f"{holder.name} holds {holder.cached_tokens} tokens and would finish sooner",
             )
         return _choice(demand, best, len(usable))
 
--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -38,7 +38,7 @@
     if pause.kind is PauseKind.END:
         return _decide_ended(pause)
     if not pause.context_tokens:
-        return _leave(CacheCause.CHEAP_REBUILD, "no context there")
+        return _leave(CacheCause.CHEAP_REBUILD, "no cached context at the engine")
     needed = pause.active_tokens
     if needed < CROWDED_CACHE_FRACTION * pause.cache_tokens and not _is_unlikely_reused(pause):
         reason = f"active programs need {needed} of {pause.cache_tokens} tokens of cache"
@@ -50,7 +50,7 @@
 
 def _decide_ended(pause: PauseContext) -> CacheDecision:
     if pause.run != pause.cache_key:
-        return _leave(CacheCause.ENDED, "the program that it is a child of goes on")
+        return _leave(CacheCause.ENDED, "the parent program is still active")
     return CacheDecision(
         action=CacheAction.DROP, cause=CacheCause.ENDED, reason="the program has ended"
     )
@@ -72,13 +72,13 @@
     seconds = min(wanted, pause.hold_max_seconds)
     occupied = pause.forecast.expected_seconds_within(seconds)
     saved = pause.forecast.probability_within(seconds) * EVICTION_AGE_SECONDS
-    reason = f"{occupied:.1f} s of memory for {saved:.1f} s worth of rebuild"
+    reason = f"a hold costs {occupied:.1f} s and saves {saved:.1f} s of rebuild"
     if _is_unlikely_reused(pause):
         return CacheDecision(action=CacheAction.DROP, cause=CacheCause.LONG_PAUSE, reason=reason)
     if saved <= occupied:
         return _leave(CacheCause.LONG_PAUSE, reason)
     if pause.held_tokens + pause.context_tokens > MAX_HELD_CACHE_FRACTION * pause.cache_tokens:
-        return _leave(CacheCause.CHEAP_REBUILD, "holds take their share of the cache already")
+        return _leave(CacheCause.CHEAP_REBUILD, "holds already occupy their share of the cache")
     return CacheDecision(
         action=CacheAction.HOLD,
         cause=CacheCause.COSTLY_REBUILD,
