--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -1,4 +1,4 @@
-"""The engine directory: engines, ledger, policy and load readings behind one object."""
+"""Chooses engines and plans cache actions from this node's view of all engines."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class EngineDirectory:
-    """Chooses engines and plans cache actions from what this node knows of the engines."""
+    """Combines the catalog of engines, their load, the scheduling policy and the cache steward."""
 
     def __init__(
         self,
@@ -72,10 +72,10 @@
         Args:
             context: The node's context.
             settings: The node's settings.
-            policy: Decides.
+            policy: The scheduling policy.
             pools: Returns the configured engine pools; read by :meth:`refresh`.
             machines: Returns the machine list; read by :meth:`refresh`.
-            stewards: Tells whether this node is the steward of an engine, by its name.
+            stewards: Returns whether this node is the steward of an engine, by its name.
             run_exists: Asks the leader of a run's shard whether a root run is still needed.
         """
         self._context = context
@@ -85,15 +85,13 @@
         self._catalog = EngineCatalog(pools, machines)
         self._steward = CacheSteward(context, self._catalog, self._ledger, stewards, run_exists)
 
-    # ------------------------------------------------------------ which engines exist
-
     def refresh(self) -> None:
-        """Take over the engines of the configuration and the machine list."""
+        """Apply the configured engine pools and the machine list."""
         for removed in self._catalog.refresh():
             self._ledger.forget_engine(removed)
 
     def address_of(self, engine: str) -> Address | None:
-        """Return where an engine listens, None if it is not known (any more)."""
+        """Return the address of an engine; None if it is not in the catalog."""
         record = self._catalog.records.get(engine)
         return record.address if record is not None else None
 
@@ -103,11 +101,9 @@
         return tuple(records[name] for name in sorted(records))
 
     def sent_to(self, engine: str) -> int:
-        """Return how many calls of this node are under way at an engine."""
+        """Return the number of this node's calls in progress at an engine."""
         return self._ledger.account(engine).calls
 
-    # ------------------------------------------------------------ decisions
-
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
         allowed = self._catalog.allowed(demand.model, demand.engine_selector)
@@ -125,15 +121,15 @@
         return Success(choice)
 
     def order(self, waiting: Sequence[CallDemand]) -> tuple[int, ...]:
-        """Return the indices of the waiting calls, the one to serve first in front."""
+        """Return the indices of the waiting calls in the order to serve them."""
         return self._policy.order(waiting, self._context.now)
 
     def engine_priority(self, demand: CallDemand) -> int:
-        """Return the priority to give a call at its engine."""
+        """Return the priority to send with a call."""
         return self._policy.engine_priority(demand, self._context.now)
 
     def pause_started(self, pause: ProgramPause) -> PlannedCacheAction | None:
-        """Decide what becomes of a pausing program's context; None: nothing is to be done."""
+        """Decide on the context of a pausing program; None if there is nothing to do."""
         record = self._catalog.records.get(pause.engine)
         if record is None:
             return None
@@ -149,7 +145,7 @@
         return PlannedCacheAction(engine=record.name, address=record.address, decision=decision)
 
     def hold_ended(self, engine: str, cache_key: RunId) -> Address | None:
-        """Forget a hold whose context is in use again; return where it is to be released."""
+        """Remove a hold whose context is in use again; return the address to release it at."""
         had_hold = self._ledger.account(engine).hold_ended(cache_key)
         return self.address_of(engine) if had_hold else None
 
@@ -161,14 +157,12 @@
         name = f'yokeline_scheduling_{what}_total{{cause="{cause}"}}'
         self._context.counters[name] += 1
 
-    # ------------------------------------------------------------ calls
-
     def call_sent(self, engine: str, demand: CallDemand, call_id: str) -> None:
-        """Note that a call was sent."""
+        """Record a call that was sent."""
         self._ledger.call_sent(engine, demand, call_id, self._context.now)
 
     def text_received(self, call_id: str) -> None:
-        """Note that text of a call's answer arrived: its prefill is over."""
+        """Record text of a call's answer; the first text ends its prefill."""
         self._ledger.text_received(call_id, self._context.now)
 
     def call_ended(
@@ -180,7 +174,7 @@
         ok: bool,
         completion_tokens: int = 0,
     ) -> None:
-        """Note that a call ended; on success its context is in the engine's cache."""
+        """Record the end of a call; on success its context is in the engine's cache."""
         end = CallEnd(
             ok=ok,
             prompt_tokens=prompt_tokens,
@@ -190,19 +184,17 @@
         self._ledger.call_ended(call_id, end, self._context.now)
 
     def run_ended(self, cache_key: RunId) -> tuple[str, ...]:
-        """Forget a run's cached context; return the engines that may still hold it."""
+        """Forget the contexts of an ended program; return the engines that may still cache them."""
         return self._ledger.program_ended(cache_key)
 
-    # ------------------------------------------------------------ readings
-
     def next_deadline(self) -> float | None:
-        """Return when the next reading is due."""
+        """Return when the next load poll or inventory is due."""
         records = self._catalog.records.values()
         due = [record.next_poll for record in records if not record.is_polling]
         return min([*due, self._steward.next_deadline()])
 
     def tick(self) -> None:
-        """Read the loads and inventories that are due."""
+        """Poll the loads and inventories that are due."""
         for record in self._catalog.records.values():
             if not record.is_polling and record.next_poll <= self._context.now:
                 self._poll_load(record)
@@ -252,7 +244,7 @@
 def _no_engine_error(demand: CallDemand) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.UNAVAILABLE,
-        message=f"no live engine serves model {demand.model!r} under the selectors that apply",
+        message=f"no live engine serves model {demand.model!r} and matches the engine selectors",
         remedy="check the policies' engine selectors and the engine pools, or wait for engines",
         retry_after=NO_ENGINE_RETRY_SECONDS,
     )
