--- a/src/yokeline/scheduling/engine_catalog.py
+++ b/src/yokeline/scheduling/engine_catalog.py
@@ -1,4 +1,4 @@
-"""Which engines exist: from the pools of the configuration and the machine list."""
+"""The known engines, from the configured pools and the machine list."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from yokeline.scheduling.ledger import EngineFacts
 
 UNREACHABLE_AFTER_FAILURES = 2
-"""Load readings in a row that must fail before an engine is passed over."""
+"""Consecutive failed load polls after which an engine gets no calls."""
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine says of its load (``GET /v1/load``)."""
+    """An engine's load, as ``GET /v1/load`` returns it."""
 
     running: int = 0
     waiting: int = 0
@@ -29,7 +29,7 @@
 
 
 class MachineEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """A machine of the machine list."""
+    """An entry of the machine list."""
 
     address: Address
     labels: dict[str, str]
@@ -37,7 +37,7 @@
 
 
 class EngineRecord(msgspec.Struct, kw_only=True):
-    """What the configuration and the load readings say of one engine."""
+    """The configuration and the load polls of one engine."""
 
     name: str
     address: Address
@@ -51,7 +51,7 @@
     is_polling: bool = False
 
     def state(self) -> str:
-        """Return the state for people: leaving, unreachable, draining or live."""
+        """Return leaving, unreachable, draining or live, as shown in the admin API."""
         if self.leaving:
             return "leaving"
         if self.failures >= UNREACHABLE_AFTER_FAILURES:
@@ -61,12 +61,12 @@
         return "live"
 
     def usable(self, model: str) -> bool:
-        """Return whether new calls for ``model`` may go there."""
+        """Return whether new calls for ``model`` may go there; an empty ``model`` matches all."""
         serves = not model or not self.pool.models or model in self.pool.models
         return serves and self.state() == "live"
 
     def facts(self) -> EngineFacts:
-        """Return what the ledger needs to make a view."""
+        """Return the configured values that the ledger needs to make a view."""
         return EngineFacts(
             name=self.name,
             address=self.address,
@@ -78,21 +78,21 @@
 
 
 class EngineCatalog:
-    """The engines that the configuration and the machine list name."""
+    """The engines named by the configured pools and the machine list."""
 
     def __init__(
         self,
         pools: Callable[[], tuple[EnginePool, ...]],
         machines: Callable[[], tuple[MachineEntry, ...]],
     ) -> None:
-        """Create an empty roster; ``pools`` and ``machines`` are read by :meth:`refresh`."""
+        """Create an empty catalog; ``pools`` and ``machines`` are read by :meth:`refresh`."""
         self._pools = pools
         self._machines = machines
         self._selectors: dict[str, Selector] = {}
         self.records: dict[str, EngineRecord] = {}
 
     def refresh(self) -> tuple[str, ...]:
-        """Take over configuration and machine list; return the engines that went away."""
+        """Apply the configured pools and the machine list; return the engines that were removed."""
         machines = self._machines()
         configured: dict[str, EngineRecord] = {}
         for pool in self._pools():
@@ -103,7 +103,7 @@
         return removed
 
     def allowed(self, model: str, selector: str) -> list[EngineRecord]:
-        """Return the usable engines for a model under a selector."""
+        """Return the usable engines for a model that match a label selector."""
         matcher = self._selector(selector)
         return [
             record
