--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -1,43 +1,42 @@
-"""Estimates of what a call costs at an engine, in seconds and in tokens of memory."""
+"""Estimates of what a call costs at an engine: seconds, and tokens of cache."""
 
 from __future__ import annotations
 
 from yokeline.scheduling.interface import CallDemand, EngineView
 
 DEFAULT_COMPLETION_FRACTION = 0.25
-"""Share of ``completion_tokens`` that an answer is taken to use while nothing is known."""
+"""Assumed completion length, as a fraction of the limit, for programs without observations."""
 
 FULL_BATCH_SLOWDOWN = 1.0
-"""How much a full batch slows decoding, relative to a call that runs alone."""
+"""Slowdown of decoding in a full batch, relative to a call that runs alone."""
 
 EVICTION_WEIGHT = 0.5
-"""Share of the prefill cost of evicted tokens that counts against an engine: some of what is
-evicted would never have been used again."""
+"""Weight of the prefill cost of evicted tokens; not all of them would have been used again."""
 
 
 STALL_WEIGHT = 1.0
-"""A prefill stalls every call that decodes beside it: how much their delay counts."""
+"""Weight of the delay that a prefill causes each call that decodes at the same engine."""
 
 
 def expected_completion_tokens(demand: CallDemand) -> float:
-    """Return the expected tokens of the call's answer."""
+    """Return the expected completion tokens of a call."""
     if demand.expected_completion_tokens:
         return float(demand.expected_completion_tokens)
     return demand.completion_tokens * DEFAULT_COMPLETION_FRACTION
 
 
 def memory_tokens(demand: CallDemand) -> float:
-    """Return the tokens of cache that the call is expected to need."""
+    """Return the tokens of cache that a call is expected to need."""
     return demand.prompt_tokens + expected_completion_tokens(demand)
 
 
 def uncached_tokens(demand: CallDemand, engine: EngineView) -> int:
-    """Return the tokens of the call's context that the engine would have to prefill."""
+    """Return the prompt tokens that the engine would have to prefill."""
     return max(0, demand.prompt_tokens - engine.cached_tokens)
 
 
 def decode_seconds(demand: CallDemand, engine: EngineView) -> float:
-    """Return the expected seconds of decoding, in a batch as full as it is now."""
+    """Return the expected seconds of decoding at the engine's current batch size."""
     batch_factor = 1.0 + FULL_BATCH_SLOWDOWN * min(1.0, engine.running / engine.slots)
     return expected_completion_tokens(demand) * engine.decode_seconds * batch_factor
 
@@ -49,17 +48,17 @@
 
 
 def eviction_seconds(demand: CallDemand, engine: EngineView) -> float:
-    """Return the expected seconds of prefill that others will have to repeat."""
+    """Return the weighted seconds of prefill that other programs would have to repeat."""
     added_tokens = uncached_tokens(demand, engine) + expected_completion_tokens(demand)
     evicted = max(0.0, engine.active_tokens + added_tokens - engine.cache_tokens)
     return EVICTION_WEIGHT * evicted / engine.prefill_rate
 
 
 def finish_seconds(demand: CallDemand, engine: EngineView) -> float:
-    """Return the expected seconds until the answer is complete, with the harm to others.
+    """Return the expected seconds until the answer is complete, plus the cost to other calls.
 
-    Queue wait, prefill of the missing tokens behind the prefill already sent, decoding, and
-    a share of the cost of rebuilding what would be evicted.
+    The sum of queueing, pending prefill, prefill of the uncached tokens, decoding, stalled decodes
+    of other calls, and the weighted cost of rebuilding evicted contexts.
     """
     uncached_seconds = uncached_tokens(demand, engine) / engine.prefill_rate
     prefill = engine.pending_prefill / engine.prefill_rate + uncached_seconds
