--- a/src/yokeline/scheduling/forecast.py
+++ b/src/yokeline/scheduling/forecast.py
@@ -15,16 +15,16 @@
 BUCKET_BOUNDS_SECONDS = tuple(
     MIN_BOUND_SECONDS * 2.0 ** (index / BUCKETS_PER_DOUBLING) for index in range(BUCKET_COUNT)
 )
-"""Upper bounds of the buckets in seconds: 10 ms to about 8 h; a last bucket is open."""
+"""Upper bounds of the buckets, from 10 ms to about 8 h; the last bucket is open."""
 
 
 def bucket_of(seconds: float) -> int:
-    """Return the index of the bucket that a length falls into."""
+    """Return the index of the bucket that contains a length."""
     return bisect.bisect_left(BUCKET_BOUNDS_SECONDS, seconds)
 
 
 def bucket_seconds(index: int) -> float:
-    """Return the length that stands for a bucket: its upper bound."""
+    """Return the length that represents a bucket: its upper bound."""
     return BUCKET_BOUNDS_SECONDS[min(index, BUCKET_COUNT - 1)]
 
 
@@ -33,7 +33,7 @@
 
     Attributes:
         seconds: Possible lengths, ascending.
-        shares: Their probabilities; they add up to 1.
+        probabilities: Their probabilities; they add up to 1.
     """
 
     seconds: tuple[float, ...]
@@ -46,7 +46,7 @@
 
     @classmethod
     def of_counts(cls, counts: Sequence[float]) -> PauseForecast:
-        """Return the forecast of counts per bucket (at least one above zero)."""
+        """Return the forecast for counts by bucket, at least one of which is positive."""
         total = sum(counts)
         pairs = [(index, count) for index, count in enumerate(counts) if count > 0]
         return cls(
@@ -55,17 +55,17 @@
         )
 
     def probability_within(self, limit: float) -> float:
-        """Return the probability that the pause is over after ``limit`` seconds."""
+        """Return the probability that the pause ends within ``limit`` seconds."""
         count = bisect.bisect_right(self.seconds, limit)
         return min(1.0, sum(self.probabilities[:count]))
 
     def expected_seconds_within(self, limit: float) -> float:
-        """Return the expected seconds until the pause or ``limit`` is over, the first of both."""
+        """Return the expected minimum of the pause and ``limit`` (seconds)."""
         pairs = zip(self.seconds, self.probabilities, strict=True)
         return sum(min(seconds, limit) * probability for seconds, probability in pairs)
 
     def quantile(self, probability: float) -> float:
-        """Return the least length within which the pause is over with probability ``share``."""
+        """Return the least length within which the pause ends with the given probability."""
         cumulative = itertools.accumulate(self.probabilities)
         for seconds, total in zip(self.seconds, cumulative, strict=True):
             if total >= probability:
