--- a/src/yokeline/scheduling/interface.py
+++ b/src/yokeline/scheduling/interface.py
@@ -1,12 +1,11 @@
-"""Types between those who schedule (executor, experiments) and the scheduling policies.
-
-A policy answers four questions as pure functions: *which* engine serves a call
-(:meth:`SchedulingPolicy.choose`, which also caps the programs active at an engine), *when*
-(:meth:`SchedulingPolicy.order`), and *what becomes of the cached context* when a program
-pauses or ends (:meth:`SchedulingPolicy.cache_decision`). Everything it may know is in the
-arguments: :class:`EngineView` values are built by ``scheduling.ledger.EngineLedger``,
-forecasts by ``scheduling.pauses.PausePredictor``. Both are pure bookkeeping and serve the
-production code and the experiments alike.
+"""Types shared by the callers of the scheduler and the scheduling policies.
+
+A policy answers four questions as pure functions: which engine serves a call and whether it must
+wait (:meth:`SchedulingPolicy.choose`), in which order calls wait (:meth:`SchedulingPolicy.order`),
+which priority they get at the engine (:meth:`SchedulingPolicy.engine_priority`), and what happens
+to the cached context when a program pauses or ends (:meth:`SchedulingPolicy.cache_decision`). All
+inputs are arguments: :class:`EngineView` values are built by ``scheduling.ledger.EngineLedger`` and
+forecasts by ``scheduling.pauses.PausePredictor``, in production and in experiments.
 """
 
 from __future__ import annotations
@@ -54,25 +53,25 @@
     """A model call that needs an engine.
 
     Attributes:
-        cache_key: Root run whose context the call extends: the whole program.
+        cache_key: Root run of the program whose context the call extends.
         model: Model that must be served.
-        engine_selector: Selector on engine labels; empty allows all.
+        engine_selector: Selector on engine labels; empty matches all.
         prompt_tokens: Estimated tokens of the whole context.
-        completion_tokens: Most tokens the answer may have.
-        previous_engine: Engine of this run's last finished model call, from the log, so that
-            a new leader knows where the context is; empty if there was none.
+        completion_tokens: Limit on the tokens of the answer.
+        previous_engine: Engine of this run's last finished model call, read from the run's log so
+            that a new leader knows where the context is cached; empty if there was none.
         previous_tokens: Tokens of context (prompt and answer) there after that call.
-        attained_service: Tokens that the whole program was served so far.
+        attained_service: Tokens served to the whole program so far.
         deadline_wall: Wall seconds by which the caller wants the run's answer.
         avoid: Engines that failed this call before; used only if no other is left.
-        waiting_since: Monotonic seconds since when the call waits.
+        waiting_since: Monotonic seconds at which the call began to wait.
         repeatable: Whether another engine may be tried later.
         program: Name of the program, qualified by its tenant.
-        deadline: The same as ``deadline_wall`` in monotonic seconds, comparable with ``now``.
+        deadline: ``deadline_wall`` converted to monotonic seconds.
         program_since: Monotonic seconds at which the program's current turn arrived.
-        expected_completion_tokens: Expected length of the answer; 0 if nothing is known.
-        remaining_service: Tokens that the program will still be served, this call included.
-            Only a clairvoyant reference knows it; None otherwise.
+        expected_completion_tokens: Expected length of the answer; 0 if unknown.
+        remaining_service: Tokens still to be served to the program, including this call. Set for
+            the clairvoyant policy only; None otherwise.
     """
 
     run: RunId
@@ -99,23 +98,23 @@
 
 
 class EngineView(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of one engine at the moment of a choice.
+    """What is known of one engine when a call is scheduled.
 
     Attributes:
         name: ``pool/ip:port``.
-        running: Calls running or waiting there, as far as known: those that this node sent
-            and that have not ended, and those of others by the last report.
-        waiting: Calls among them that wait at the engine, by the last report.
-        cached_tokens: Tokens of this call's context that the engine is believed to hold.
+        running: Calls running or waiting there: this node's calls in progress, and other nodes' as
+            last reported.
+        waiting: Calls among them that wait at the engine, as last reported.
+        cached_tokens: Tokens of this call's context expected in the engine's cache.
         cache_tokens: Size of its cache.
-        cache_used: Tokens in its cache, as reported.
-        prefill_rate: Observed prefill, tokens a second.
+        cache_used: Tokens in its cache, as last reported.
+        prefill_rate: Observed prefill rate, tokens per second.
         decode_seconds: Observed seconds per generated token.
         pending_prefill: Prompt tokens sent there and not yet prefilled, as far as known.
-        active_programs: Programs with a call there, or paused by a tool with context there.
-        active_tokens: Tokens of context that those programs need there.
-        member: This call's program is one of the active programs.
-        usable: New calls may go there (it is neither leaving nor unreachable).
+        active_programs: Programs with a call there, or paused with context there.
+        active_tokens: Context tokens of the active programs.
+        program_is_active: Whether this call's program is one of them.
+        usable: Whether new calls may go there (it is neither leaving nor unreachable).
     """
 
     name: str
@@ -142,16 +141,16 @@
 
     BASELINE = "baseline"
     CACHED_CONTEXT = "cached_context"
-    """It holds context of the call and is the least estimated finish."""
+    """It caches context of the call and has the least estimated finish."""
     LEAST_FINISH = "least_finish"
-    """No context anywhere, or the engine that has it would take longer."""
+    """It has the least estimated finish and caches no context of the call."""
 
 
 class EngineChoice(msgspec.Struct, frozen=True, kw_only=True):
-    """The engine for a call and, for people, why.
+    """The engine for a call, and the reason in words.
 
     Attributes:
-        expected_seconds: Estimated time until the answer is complete.
+        expected_seconds: Estimated cost in seconds, including the delay of other calls.
     """
 
     engine: str
@@ -167,22 +166,22 @@
     NO_ENGINE = "no_engine"
     """No engine is usable."""
     SLOTS = "slots"
-    """All allowed engines run as many calls as they should."""
+    """All allowed engines are at their limit of calls."""
     MEMORY = "memory"
-    """The program is new and its context does not fit beside the active ones."""
+    """The program is new and its context does not fit beside the active programs."""
     CONTEXT_ELSEWHERE = "context_elsewhere"
-    """Waiting for the engine that holds the context is shorter than a rebuild."""
+    """Waiting for the engine that caches the context is faster than a rebuild elsewhere."""
 
 
 class WaitForEngine(msgspec.Struct, frozen=True, kw_only=True):
-    """The decision to keep a call in the queue; it is asked for again when room appears."""
+    """The decision to keep a call in the queue."""
 
     cause: WaitCause
     reason: str
 
 
 class SchedulingPolicy(Protocol):
-    """Which engine, when, and what of the cache; pure apart from its own counters."""
+    """Decides on engines, order and cache; pure apart from its own counters."""
 
     name: str
 
@@ -191,50 +190,50 @@
     ) -> EngineChoice | WaitForEngine:
         """Return the engine to use now, or the decision to wait.
 
-        Whoever waits is asked again, in the order of :meth:`order`, whenever a call ends, a
-        program ends or pauses, or a load report arrives. A call that must wait does not keep
-        those behind it from being asked.
+        Waiting calls are offered again, in the order of :meth:`order`, whenever a call ends, a
+        program ends or pauses, or a load report arrives. A call that must wait does not block the
+        calls behind it.
         """
         ...
 
     def order(self, waiting: Sequence[CallDemand], now: float) -> tuple[int, ...]:
-        """Return the indices of the waiting calls, the one to serve first in front."""
+        """Return the indices of the waiting calls in the order to serve them."""
         ...
 
     def engine_priority(self, demand: CallDemand, now: float) -> int:
-        """Return the priority to give the call at the engine; the highest goes first."""
+        """Return the priority of the call at the engine; higher values are served first."""
         ...
 
     def cache_decision(self, pause: PauseContext) -> CacheDecision:
-        """Return what becomes of the context of a program that pauses or ends."""
+        """Return what to do with the context of a program that pauses or ends."""
         ...
 
 
 class EngineDirectoryInterface(Protocol):
-    """What the executor needs of the engine directory."""
+    """The engine directory, as the executor uses it."""
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
         ...
 
     def order(self, waiting: Sequence[CallDemand]) -> tuple[int, ...]:
-        """Return the indices of the waiting calls, the one to serve first in front."""
+        """Return the indices of the waiting calls in the order to serve them."""
         ...
 
     def engine_priority(self, demand: CallDemand) -> int:
-        """Return the priority to give a call at its engine."""
+        """Return the priority to send with a call."""
         ...
 
     def address_of(self, engine: str) -> Address | None:
-        """Return where an engine listens, None if it is not known (any more)."""
+        """Return the address of an engine; None if it is not in the catalog."""
         ...
 
     def call_sent(self, engine: str, demand: CallDemand, call_id: str) -> None:
-        """Note that a call was sent."""
+        """Record a call that was sent."""
         ...
 
     def text_received(self, call_id: str) -> None:
-        """Note that text of a call's answer arrived: its prefill is over."""
+        """Record text of a call's answer; the first text ends its prefill."""
         ...
 
     def call_ended(
@@ -246,23 +245,23 @@
         ok: bool,
         completion_tokens: int = 0,
     ) -> None:
-        """Note that a call ended; on success its context is in the engine's cache.
+        """Record the end of a call; on success its context is in the engine's cache.
 
         Args:
             call_id: The id given to :meth:`call_sent`.
             prompt_tokens: Tokens of the prompt, without the answer.
-            cached_tokens: Those among them that the engine had in its cache.
+            cached_tokens: Prompt tokens that the engine had in its cache.
             ok: Whether the answer is complete.
             completion_tokens: Tokens of the answer.
         """
         ...
 
     def pause_started(self, pause: ProgramPause) -> PlannedCacheAction | None:
-        """Decide what becomes of a pausing program's context; None: nothing is to be done."""
+        """Decide on the context of a pausing program; None if there is nothing to do."""
         ...
 
     def hold_ended(self, engine: str, cache_key: RunId) -> Address | None:
-        """Forget a hold whose context is in use again; return where it is to be released."""
+        """Remove a hold whose context is in use again; return the address to release it at."""
         ...
 
     def pause_ended(self, kind: PauseKind, name: str, seconds: float) -> None:
@@ -270,5 +269,5 @@
         ...
 
     def run_ended(self, cache_key: RunId) -> tuple[str, ...]:
-        """Forget a run's cached context; return the engines that may still hold it."""
+        """Forget the contexts of an ended program; return the engines that may still cache them."""
         ...
