--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of calls, contexts and pauses that the policies' views are built from.
+"""Tracks calls, cached contexts and pauses, and builds the views that policies decide on.
 
-Load reports lag, so the ledger combines them with what this node sent and saw end. A run's
-context is known from the run's own log (its last model call) and from what ended here, so a
-new leader needs no transfer of this state. Lookups cost no more than the engines they are for.
+Load reports lag, so the ledger combines them with the calls that this node sent and saw end. A
+run's context is known from the run's own log (its last model call) and from the calls that ended on
+this node, so a new leader needs no transfer of this state.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from yokeline.scheduling.pauses import PausePredictor
 
 DEFAULT_PAUSE_SECONDS = 10.0
-"""Time for which a paused program counts as active where no forecast is known."""
+"""Time for which a paused program stays active without a forecast of its pause."""
 ACTIVE_PAUSE_QUANTILE = 0.9
 MAX_ACTIVE_PAUSE_SECONDS = 60.0
 MAX_PROGRAMS = 20_000
-"""Programs whose contexts are remembered; their logs know the rest."""
+"""Programs whose contexts are kept in memory; others are read from their runs' logs."""
 
 
 class EngineFacts(msgspec.Struct, frozen=True, kw_only=True):
-    """What the configuration says of an engine, and whether new calls may go there."""
+    """Configured values of an engine, and whether it takes new calls."""
 
     name: str
     address: Address
@@ -49,7 +49,7 @@
 
     Attributes:
         prompt_tokens: Tokens of the prompt, without the answer.
-        cached_tokens: Those among them that the engine had in its cache.
+        cached_tokens: Prompt tokens that the engine had in its cache.
     """
 
     ok: bool
@@ -59,11 +59,11 @@
 
 
 class EngineLedger:
-    """Bookkeeping over all engines; see the module's docstring.
+    """State of all engines, as one node knows them.
 
     Attributes:
-        pauses: The predictor of pauses.
-        answers: The predictor of lengths of answers.
+        pauses: Predictor of pauses.
+        completion_lengths: Predictor of completion lengths.
     """
 
     def __init__(self) -> None:
@@ -75,27 +75,25 @@
         self._contexts: dict[RunId, dict[str, dict[RunId, int]]] = {}
 
     def account(self, engine: str) -> EngineAccount:
-        """Return the account of an engine."""
+        """Return the account of an engine, created at its first use."""
         account = self._accounts.get(engine)
         if account is None:
             account = self._accounts[engine] = EngineAccount()
         return account
 
     def forget_engine(self, engine: str) -> None:
-        """Drop an engine that does not exist any more."""
+        """Remove an engine; its account is kept if it has calls in progress."""
         if not self.account(engine).calls:
             del self._accounts[engine]
         for contexts in self._contexts.values():
             contexts.pop(engine, None)
 
     def report_received(self, engine: str, report: LoadState, taken_at: float) -> None:
-        """Take over a load report that shows the state at ``taken_at``."""
+        """Store a load report that shows the state at ``taken_at``."""
         self.account(engine).report_received(report, taken_at)
 
-    # ------------------------------------------------------------ views
-
     def view(self, facts: EngineFacts, demand: CallDemand, now: float) -> EngineView:
-        """Return what the policy may know of an engine for a call."""
+        """Return an engine's state as the policy sees it for one call."""
         account = self.account(facts.name)
         account.expire_pauses(now)
         report = account.report or LoadState()
@@ -126,17 +124,15 @@
         return known
 
     def with_expected_answer(self, demand: CallDemand) -> CallDemand:
-        """Return the demand with the expected length of its answer, where it has none."""
+        """Fill in the expected completion length, unless the demand has one."""
         expected = self.completion_lengths.expected(demand.program)
         if demand.expected_completion_tokens or expected is None:
             return demand
         expected = min(expected, demand.completion_tokens)
         return msgspec.structs.replace(demand, expected_completion_tokens=expected)
 
-    # ------------------------------------------------------------ calls
-
     def call_sent(self, engine: str, demand: CallDemand, call_id: str, now: float) -> None:
-        """Note that a call was sent to an engine; a call sent before is replaced."""
+        """Record a call that was sent to an engine, replacing an earlier one of the same id."""
         self.call_ended(call_id, CallEnd(ok=False), now)
         account = self.account(engine)
         uncached = max(0, demand.prompt_tokens - self._cached_tokens(engine, demand))
@@ -151,13 +147,13 @@
         account.call_sent(call, now)
 
     def text_received(self, call_id: str, now: float) -> None:
-        """Note that text of a call arrived; only the first time matters."""
+        """Record text of a call; only the first one matters."""
         call = self._sent.get(call_id)
         if call is not None and call.first_text_at is None:
             self.account(call.engine).prefill_ended(call, now)
 
     def call_ended(self, call_id: str, end: CallEnd, now: float) -> None:
-        """Note that a call ended; on success its context is in the engine's cache."""
+        """Record the end of a call; on success its context is in the engine's cache."""
         call = self._sent.pop(call_id, None)
         if call is None:
             return
@@ -183,15 +179,13 @@
         account.speed.observe_decode(end.completion_tokens, now - call.first_text_at)
 
     def _record_context(self, call: SentCall, tokens: int) -> None:
-        # Moved to the end, so that the first program is the one used longest ago.
+        # Moved to the end, so that the first program is the least recently used.
         engines = self._contexts.pop(call.demand.cache_key, {})
         self._contexts[call.demand.cache_key] = engines
         engines.setdefault(call.engine, {})[call.demand.run] = tokens
         if len(self._contexts) > MAX_PROGRAMS:
             del self._contexts[next(iter(self._contexts))]
 
-    # ------------------------------------------------------------ pauses and ends
-
     def pause_context(
         self,
         pause: ProgramPause,
@@ -201,7 +195,7 @@
         now: float,
         forecast: PauseForecast | None = None,
     ) -> PauseContext:
-        """Return what a cache decision may depend on; without a forecast the learned one."""
+        """Return the inputs of a cache decision; ``forecast`` defaults to the learned one."""
         account = self.account(pause.engine)
         account.expire_pauses(now)
         report = account.report or LoadState()
@@ -225,7 +219,7 @@
         )
 
     def pause_started(self, context: PauseContext, decision: CacheDecision, now: float) -> None:
-        """Note a pause and what was decided about the context."""
+        """Record a pause and the decision on its context."""
         account = self.account(context.engine)
         if decision.action is CacheAction.HOLD:
             until = now + decision.hold_seconds
@@ -242,17 +236,17 @@
             account.deactivate_program(context.cache_key)
 
     def context_removed(self, engine: str, cache_key: RunId) -> None:
-        """Note that an engine does not hold a program's context any more."""
+        """Record that an engine no longer caches a program's context."""
         account = self.account(engine)
         account.hold_ended(cache_key)
         account.deactivate_program(cache_key)
         contexts = self._contexts.get(cache_key, {}).get(engine, {})
         for run in contexts:
-            # Kept as zero: the log's last call would else count as cached again.
+            # Kept as 0, since a missing entry falls back to the run's last logged call.
             contexts[run] = 0
 
     def idle_contexts_at(self, engine: str) -> tuple[RunId, ...]:
-        """Return the programs believed to have context at an engine and no call there."""
+        """Return the inactive programs whose context is expected in an engine's cache."""
         account = self.account(engine)
         return tuple(
             cache_key
@@ -261,11 +255,11 @@
         )
 
     def engines_with_context(self, cache_key: RunId) -> tuple[str, ...]:
-        """Return the engines that may hold a program's context, by name."""
+        """Return the engines that may cache a program's context, by name."""
         return tuple(sorted(self._contexts.get(cache_key, {})))
 
     def program_ended(self, cache_key: RunId) -> tuple[str, ...]:
-        """Forget a program; return the engines that may still hold its context."""
+        """Forget a program; return the engines that may still cache its context."""
         engines = self.engines_with_context(cache_key)
         for engine in engines:
             account = self.account(engine)
@@ -276,7 +270,7 @@
 
 
 def active_pause_seconds(forecast: PauseForecast | None) -> float:
-    """Return for how long a paused program counts as active."""
+    """Return for how long a paused program stays active."""
     if forecast is None:
         return DEFAULT_PAUSE_SECONDS
     return min(MAX_ACTIVE_PAUSE_SECONDS, forecast.quantile(ACTIVE_PAUSE_QUANTILE))
