--- a/src/yokeline/scheduling/medians.py
+++ b/src/yokeline/scheduling/medians.py
@@ -1,4 +1,4 @@
-"""The median, without the memory that the module ``statistics`` takes in each role."""
+"""A median without the module ``statistics``, whose import costs memory in every process."""
 
 from __future__ import annotations
 
