--- a/src/yokeline/scheduling/ordering.py
+++ b/src/yokeline/scheduling/ordering.py
@@ -1,4 +1,4 @@
-"""The order in which waiting calls get an engine."""
+"""The order in which waiting model calls get an engine."""
 
 from __future__ import annotations
 
@@ -10,21 +10,20 @@
 
 MIN_WORTH = 1e-9
 LEVEL_BASE_TOKENS = 1024.0
-"""Service below this is one level; each further level covers twice as much.
+"""Upper bound of the first service level; it doubles with each further level.
 
-Programs of one level take turns by arrival instead of leapfrogging each other at every call,
-as in multi-level feedback queues over whole programs (Luo et al. 2025, "Autellix").
-"""
+Programs of one level are served by arrival and do not overtake each other at every call, as in
+multi-level feedback queues over whole programs (Luo et al. 2025, "Autellix")."""
 
 
 class OrderRules(msgspec.Struct, frozen=True, kw_only=True):
-    """What counts in the order.
+    """Criteria of the order.
 
     Attributes:
-        aging_seconds: Waiting time that lifts a call by one priority step.
-        by_service: Least attained service of the whole program first; else by arrival.
-        by_deadline: Programs whose deadline has passed go behind those of their priority.
-        by_ageing: Waiting lifts the priority.
+        aging_seconds: Waiting time that raises a call by one priority step.
+        by_service: Least attained service of the whole program first; otherwise by arrival.
+        by_deadline: Programs past their deadline are served last within their priority.
+        by_ageing: Priority rises with waiting time.
     """
 
     aging_seconds: float = 10.0
@@ -37,13 +36,13 @@
 
 
 def service_level(demand: CallDemand) -> float:
-    """Return the level of service attained by the whole program, weighted by its worth."""
+    """Return the level of the service attained by the whole program, weighted by its worth."""
     served = demand.attained_service / max(demand.worth, MIN_WORTH)
     return max(0.0, math.floor(math.log2(max(served, 1.0) / LEVEL_BASE_TOKENS)) + 1.0)
 
 
 def aged_priority(demand: CallDemand, now: float, rules: OrderRules) -> int:
-    """Return the priority of a call, lifted by one step per ``aging_seconds`` of waiting."""
+    """Return the priority of a call, raised by one step per ``aging_seconds`` of waiting."""
     if not rules.by_ageing:
         return demand.priority
     waited = max(0.0, now - demand.waiting_since)
@@ -51,10 +50,10 @@
 
 
 def order_key(demand: CallDemand, index: int, now: float, rules: OrderRules) -> OrderKey:
-    """Return the place of a call in the queue; the lowest goes first.
+    """Return the sort key of a call; the lowest is served first.
 
-    Within a priority, programs that have been served go before new ones: their contexts take
-    memory already, and a new program among them makes all of them thrash.
+    Within a priority, started programs precede new ones: their contexts already occupy cache, and
+    admitting a new program would cause thrashing.
     """
     new = not demand.attained_service
     late = rules.by_deadline and demand.deadline is not None and demand.deadline < now
