--- a/src/yokeline/scheduling/engine_speed.py
+++ b/src/yokeline/scheduling/engine_speed.py
@@ -1,29 +1,29 @@
-"""The pace of an engine, observed from the calls that ended there."""
+"""Prefill and decode speed of an engine, observed from its calls."""
 
 from __future__ import annotations
 
 DEFAULT_PREFILL_RATE = 8000.0
-"""Tokens a second until an engine's own pace has been observed."""
+"""Tokens per second before the first observation."""
 DEFAULT_DECODE_SECONDS = 0.02
-"""Seconds per generated token until an engine's own pace has been observed."""
+"""Seconds per generated token before the first observation."""
 
 MIN_PREFILL_TOKENS = 500
-"""Prefills below this say more about the step time than about the rate."""
+"""Shorter prefills are dominated by the time of a step."""
 MIN_DECODED_TOKENS = 8
 MIN_SECONDS = 1e-4
 BEST_SPEED_DECAY = 0.98
-"""Factor by which the best pace is forgotten at an observation below it."""
+"""Decay of the best observed speed at each slower observation."""
 
 
 class EngineSpeed:
-    """The pace of one engine while nothing is in a call's way.
+    """Speed of one engine without interference.
 
-    Times contain queueing and the prefill of other calls, which only ever make an engine look
-    slower. So good observations count at once and bad ones slowly; a mean would follow the
-    load of the moment, and programs would leave their contexts because of it.
+    Observed times include queueing and other calls' prefill, which only make an engine look slower.
+    So a faster observation is adopted at once and slower ones decay the estimate; a mean would
+    follow the momentary load and move programs away from their cached contexts.
 
     Attributes:
-        prefill_rate: Tokens a second.
+        prefill_rate: Tokens per second.
         decode_seconds: Seconds per generated token.
     """
 
@@ -37,7 +37,7 @@
         self._decode_observed = False
 
     def observe_prefill(self, tokens: int, seconds: float) -> None:
-        """Learn from a call that computed ``tokens`` before its first token."""
+        """Learn from a call that prefilled ``tokens`` before its first text."""
         if tokens < MIN_PREFILL_TOKENS or seconds < MIN_SECONDS:
             return
         rate = tokens / seconds
@@ -48,7 +48,7 @@
         self.prefill_rate = max(rate, self.prefill_rate * BEST_SPEED_DECAY)
 
     def observe_decode(self, tokens: int, seconds: float) -> None:
-        """Learn from a call that generated ``tokens`` after its first token."""
+        """Learn from a call that generated ``tokens`` after its first text."""
         if tokens < MIN_DECODED_TOKENS or seconds < MIN_SECONDS:
             return
         seconds_per_token = seconds / tokens
