--- a/src/yokeline/scheduling/pauses.py
+++ b/src/yokeline/scheduling/pauses.py
@@ -1,4 +1,4 @@
-"""Prediction of pauses from the ones that ended: a histogram per tool, child and program."""
+"""Predicts pauses from past ones: a histogram for each tool, child and program."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from yokeline.scheduling.interface import PauseKind
 
 MIN_SAMPLES = 5
-"""Pauses that must have ended before a name gets a forecast of its own."""
+"""Observations needed before a forecast is made."""
 MAX_WEIGHT = 500.0
-"""Weight of a histogram at which it is halved, so that old pauses fade out."""
+"""Total weight at which a histogram is halved, so that old pauses decay."""
 MAX_NAMES = 4096
-"""Histograms kept; the one that was updated longest ago makes room."""
+"""Least recently updated histograms are removed beyond this number."""
 
 
 class PauseHistogram:
-    """Counts of pauses in fixed buckets, with fading."""
+    """Counts of pauses in fixed buckets, with decay."""
 
     def __init__(self) -> None:
         """Create an empty histogram."""
@@ -40,15 +40,15 @@
 
 
 class PausePredictor:
-    """Learns the lengths of pauses by what causes them."""
+    """Learns the lengths of pauses by kind and name."""
 
     def __init__(self) -> None:
-        """Create a predictor that knows nothing."""
+        """Create a predictor without observations."""
         self._histograms: dict[_Key, PauseHistogram] = {}
 
     def observe(self, kind: PauseKind, name: str, seconds: float) -> None:
         """Learn from a pause that ended."""
-        # Moved to the end, so that the first one is the one updated longest ago.
+        # Moved to the end, so that the first one is the least recently updated.
         histogram = self._histograms.pop((kind, name), None) or PauseHistogram()
         self._histograms[kind, name] = histogram
         histogram.add(seconds)
@@ -56,6 +56,6 @@
             del self._histograms[next(iter(self._histograms))]
 
     def forecast(self, kind: PauseKind, name: str) -> PauseForecast | None:
-        """Return what is known of a pause that begins now; None if too little is."""
+        """Return the forecast of a pause that begins now; None without enough observations."""
         histogram = self._histograms.get((kind, name))
         return histogram.forecast() if histogram is not None else None
