--- a/src/yokeline/scheduling/policies.py
+++ b/src/yokeline/scheduling/policies.py
@@ -1,4 +1,4 @@
-"""Policies by their names in the settings."""
+"""Scheduling policies by their names in the settings."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
     Args:
         name: One of ``POLICY_NAMES``.
-        aging_seconds: Waiting time that lifts a call by one priority step.
-        mechanisms: What to switch off, for the policies that have mechanisms.
+        aging_seconds: Waiting time that raises a call by one priority step.
+        mechanisms: Parts to disable, for the policies that have them.
 
     Raises:
         KeyError: The name is not one of ``POLICY_NAMES``.
