--- a/src/yokeline/scheduling/steward.py
+++ b/src/yokeline/scheduling/steward.py
@@ -1,9 +1,9 @@
-"""Reconciles the caches of engines with the runs that exist.
+"""Reconciles the caches of engines with the existing runs.
 
-Each engine has one steward: the node that leads the shard of the engine's name. At a slow
-period it reads the engine's inventory and drops what belongs to runs that are over or
-forgotten, so that a missed release costs one period and no more. It asks the leader of the
-run's shard first, and keeps the entries of every run that it gets no clear answer about.
+Each engine has one steward: the node that leads the shard of the engine's name. It periodically
+reads the engine's inventory and drops the entries of runs that have ended or do not exist, so a
+lost release costs at most one period. The leader of the run's shard is asked first; without a clear
+answer the entries are kept.
 """
 
 from __future__ import annotations
@@ -25,37 +25,37 @@
 INVENTORY_PERIOD_SECONDS = 20.0
 FIRST_INVENTORY_SECONDS = 5.0
 MAX_LOOKUPS_PER_INVENTORY = 200
-"""Runs asked about per reading; the next reading goes on behind them."""
+"""Limit on the runs looked up per inventory; the next inventory continues after them."""
 
 
 class RunPresence(enum.Enum):
-    """What the leader of a run's shard says of the run."""
+    """Whether a run still needs its context, according to the leader of its shard."""
 
     NEEDED = "needed"
     """It is active, or an idle conversation."""
     GONE = "gone"
-    """It has ended, or the shard (read linearizably) has no such run."""
+    """It has ended, or a linearizable read found no such run."""
     UNKNOWN = "unknown"
-    """There was no answer."""
+    """The lookup got no answer."""
 
 
 PresenceHandler = Callable[[RunPresence], None]
 RunExists = Callable[[RunId, str, PresenceHandler], None]
-"""Asks about a root run of a tenant; the handler may be called at once or later."""
+"""Looks up a root run of a tenant; the handler may be called immediately or later."""
 
 
 def presence_unknown(_run: RunId, _tenant: str, done: PresenceHandler) -> None:
-    """Answer that a run's presence is unknown, so that its entries are kept."""
+    """Report the presence as unknown, so that the entries are kept."""
     done(RunPresence.UNKNOWN)
 
 
 def stewards_nothing(_engine: str) -> bool:
-    """Return that another node is the steward of an engine."""
+    """Return False: this node is the steward of no engine."""
     return False
 
 
 class CacheSteward:
-    """Reads inventories of the engines that this node is the steward of."""
+    """Reads the inventories of the engines that this node is the steward of."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         stewards: Callable[[str], bool],
         run_exists: RunExists,
     ) -> None:
-        """Create it; the first inventories are read some seconds later."""
+        """Create the steward; the first inventories are read after a delay."""
         self._context = context
         self._catalog = catalog
         self._ledger = ledger
@@ -76,11 +76,11 @@
         self._cursors: dict[str, str] = {}
 
     def next_deadline(self) -> float:
-        """Return when inventories are due."""
+        """Return when the next inventories are due."""
         return self._next_inventory_at
 
     def tick(self) -> None:
-        """Read the inventories, if they are due."""
+        """Read the inventories if they are due."""
         if self._context.now < self._next_inventory_at:
             return
         self._next_inventory_at = self._context.now + INVENTORY_PERIOD_SECONDS
@@ -107,7 +107,7 @@
                 self._ledger.context_removed(engine, cache_key)
 
     def _entries_to_check(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
-        """Return the entries of runs that may be gone, the next ones in turn."""
+        """Return the entries of inactive runs to look up, continuing after the last inventory."""
         account = self._ledger.account(engine)
         cursor = self._cursors.get(engine, "")
         candidates = [
@@ -116,7 +116,7 @@
             if entry.cache_key.startswith(RUN_PREFIX)
             and not account.is_active(RunId(entry.cache_key))
         ]
-        # Those behind the cursor first, then from the start again.
+        # Entries after the cursor first, then from the start again.
         candidates.sort(key=lambda entry: (entry.cache_key <= cursor, entry.cache_key))
         selected = candidates[:MAX_LOOKUPS_PER_INVENTORY]
         self._cursors[engine] = selected[-1].cache_key if selected else ""
@@ -133,4 +133,4 @@
 
 
 def _ignore_result(_result: Result[Accepted, YokelineError]) -> None:
-    """A drop that failed is repeated after the next inventory."""
+    """A failed drop is repeated after the next inventory."""
