--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -1,15 +1,14 @@
-"""What a turn costs at an engine, learned from the turns that were served there.
-
-A turn's time has two parts: until its first event, which grows with the prompt tokens that the
-engine has to read, and between its events, which grows with the turns that run beside it. Both are
-lines fitted to what a node observes of a pool, the latest observations counting most. Engines of
-a pool differ in speed; each has a pace of its own (:mod:`yokeline.scheduling.engine_profiles`),
-which is divided out of an observation before it goes into a line. So a line says the same at a
-node that uses the fast engines as at one that uses the slow ones. The model is pure: observations
-go in, predictions come out, and it keeps a handful of numbers for each engine that it has used.
-
-Before anything is seen, :data:`SAFE_START` holds: an engine that reads slowly, so that a line of
-turns stays where it was read. It counts as little as a few observations.
+"""Predicts how long a turn takes at an engine, learned from the turns served there.
+
+A turn's time has two parts: the time to the first event, linear in the prompt tokens to prefill,
+and the interval between events, linear in the number of concurrent turns. Both lines are fitted to
+one node's observations of a pool, with exponentially decaying weights. Engines of a pool differ in
+speed, so an observation is divided by its engine's relative pace
+(:mod:`yokeline.scheduling.engine_profiles`) before it enters a fit. The fits are therefore
+comparable between nodes that use fast and slow engines.
+
+Before the first observation, :data:`DEFAULT_PRIOR` assumes slow prefill, so that the turns of a
+program stay where their prompt is cached. It weighs as little as a few observations.
 """
 
 from __future__ import annotations
@@ -24,28 +23,27 @@
 )
 
 OBSERVATION_DECAY = 0.985
-"""Share of its weight that an observation keeps when the next one comes."""
+"""Factor by which each new observation reduces the weight of earlier ones."""
 OUTLIER_FACTOR = 3.0
-"""An observation counts at most as this multiple of what was predicted (and at least as its
-inverse), so that a cut or a pause of a process does not bend the line."""
+"""Bound on the ratio of an observation to its prediction, so that a stalled process does not
+distort a fit."""
 PRIOR_DECAY = 0.9
 MIN_PRIOR_WEIGHT = 0.02
-"""Assumed observations fade faster than real ones, down to a share that keeps a line defined
-where all real ones lie at one value."""
+"""Lower bound on the weight of the prior, which decays faster than observations. It keeps a fit
+defined when all observations are at the same x."""
 USUAL_PACE_WEIGHT = 0.05
 """Weight of one turn in the usual pace of the engines that this node has used."""
 MIN_TURNS = 4
-"""Turns after which a line's shape is the pool's rather than what was assumed of it."""
+"""Turns after which the fit describes the pool rather than the prior."""
 EVENTS_WEIGHT = 0.05
-"""Weight of one turn in the usual number of events."""
+"""Weight of one turn in the mean number of events."""
 MAX_HINT_FACTOR = 4.0
-"""A caller's guess of a turn's events counts at most as this multiple of the usual number, and
-at least as its inverse."""
+"""Bound on the ratio of a caller's estimate of a turn's events to the mean number."""
 MIN_SECONDS = 1e-4
 
 
 class PriorPoint(msgspec.Struct, frozen=True):
-    """An assumed observation, and how many real ones it is worth."""
+    """An assumed observation, weighted in units of real ones."""
 
     x: float
     y: float
@@ -53,10 +51,10 @@
 
 
 class LinearFit:
-    """A line ``y = base + slope * x`` with ``base`` and ``slope`` of at least 0."""
+    """A line ``y = intercept + slope * x`` with both coefficients at least 0."""
 
     def __init__(self, prior: tuple[PriorPoint, ...]) -> None:
-        """Begin with assumed observations at two or more values of x."""
+        """Start from assumed observations at two or more values of x."""
         self._prior = prior
         self._prior_weight = 1.0
         self._weight = 0.0
@@ -73,7 +71,7 @@
         return max(MIN_SECONDS, self.intercept + self.slope * x)
 
     def observe(self, x: float, y: float) -> None:
-        """Take an observation in."""
+        """Add an observation."""
         predicted = self.predict(x)
         y = min(max(y, predicted / OUTLIER_FACTOR), predicted * OUTLIER_FACTOR)
         self._prior_weight = max(MIN_PRIOR_WEIGHT, self._prior_weight * PRIOR_DECAY)
@@ -101,11 +99,11 @@
 
 
 class ModelPrior(msgspec.Struct, frozen=True, kw_only=True):
-    """What is assumed of engines before any turn was seen.
+    """Assumptions about engines before the first observation.
 
     Attributes:
-        reading: Seconds until the first event over prompt tokens to read.
-        pace: Seconds between events over turns beside it, as a share of the slots.
+        prefill: Seconds until the first event, by prompt tokens to prefill.
+        event_interval: Seconds between events, by concurrent turns.
         events: Events of a turn.
     """
 
@@ -122,13 +120,13 @@
 
 
 class ServedTurn(msgspec.Struct, frozen=True, kw_only=True):
-    """A turn that an engine served whole.
+    """Measurements of a turn that one engine served completely.
 
     Attributes:
-        unread: Prompt tokens that the engine had to read, as believed when it was sent.
-        beside: Turns that ran beside it, the mean of its begin and its end.
-        first_event_seconds: From the send to the first event.
-        event_seconds: Mean time between two events; None if there was only one.
+        unread: Prompt tokens that the engine was expected to prefill when the turn was sent.
+        beside: Concurrent turns at the engine, averaged over the turn's start and end.
+        first_event_seconds: Time from sending the turn to its first event.
+        event_seconds: Mean interval between events; None with too few events to measure it.
         events: Number of its events.
     """
 
@@ -141,25 +139,25 @@
 
 
 class Prediction(msgspec.Struct, frozen=True):
-    """Seconds that a turn takes, and that it takes from the turns beside it."""
+    """Seconds that a turn takes, and by which it delays the concurrent turns."""
 
     seconds: float
     delay_to_others: float
 
     @property
     def cost(self) -> float:
-        """The time of all turns together."""
+        """Seconds of all affected turns together."""
         return self.seconds + self.delay_to_others
 
 
 class ObservedPace(msgspec.Struct, frozen=True, kw_only=True):
-    """What one turn said of its engine's pace.
+    """What one turn showed of its engine's pace.
 
     Attributes:
-        slowness: Its time between events as a multiple of what is usual in the pool at that
-            load; 0 if it had too few events to tell.
-        alone_seconds: Its time between events as it would be without turns beside it; 0 if that
-            cannot be told.
+        slowness: Its interval between events relative to the usual one in the pool at that load; 0
+            with too few events to measure it.
+        alone_seconds: Its interval between events with the effect of concurrent turns removed; 0 if
+            unknown.
     """
 
     slowness: float = 0.0
@@ -170,10 +168,10 @@
 
 
 class EngineModel:
-    """The engines of one pool, as one node has seen them and was told of them."""
+    """One node's model of the engines of a pool, from its own turns and the leader's reports."""
 
     def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
-        """Begin with what is assumed."""
+        """Start from the prior."""
         self._prefill_fit = LinearFit(prior.prefill)
         self._interval_fit = LinearFit(prior.event_interval)
         self._profiles: dict[str, EngineProfile] = {}
@@ -185,29 +183,29 @@
 
     @property
     def prefill_seconds_per_token(self) -> float:
-        """Seconds for a prompt token to read."""
+        """Seconds to prefill a prompt token."""
         return self._usual_relative_pace * self._prefill_fit.slope
 
     @property
     def usual_seconds(self) -> float:
-        """Seconds of a usual turn that runs alone and finds its prompt cached."""
+        """Seconds of an average turn that runs alone and has its prompt cached."""
         return self._usual_relative_pace * (
             self._prefill_fit.intercept + self.events * self._interval_fit.intercept
         )
 
     def slowdown_factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
-        """Return how slow an engine is lastingly, as a multiple of the pool's usual."""
+        """Return an engine's baseline pace as a multiple of the pool's usual one."""
         return self._baseline_pace(engine_id, now, told) / self._usual_pace
 
     def take_usual(self, seconds: float) -> None:
-        """Note the usual pace of the pool's engines as it was told; 0 if nothing was."""
+        """Set the usual pace of the pool's engines as reported by the leader; 0 if unknown."""
         self._told_usual_pace = seconds
         self._set_reference_pace(seconds)
 
     def observe(
         self, turn: ServedTurn, now: float, told: ToldProfile | None = None
     ) -> ObservedPace:
-        """Take a turn in that ended now; ``told`` is what others know of its engine."""
+        """Learn from a turn that ended now; ``told`` is the leader's profile of its engine."""
         self.events += EVENTS_WEIGHT * (turn.events - self.events)
         if turn.event_seconds is None:
             self._observe_prefill(turn, now, told)
@@ -241,14 +239,13 @@
 
         Args:
             engine_id: The engine.
-            unread: Prompt tokens that it would have to read.
-            beside: Turns that run there.
+            unread: Prompt tokens that it would have to prefill.
+            beside: Turns in progress there.
             now: When the turn would be sent.
-            told: The engine's profile as other nodes have seen it; None if it was not told.
-            told_slowness: What other nodes have seen of the engine lately, from a leader that
-                tells no profiles.
-            hinted_events: The caller's guess of the turn's events; it is often far off, so it
-                counts within :data:`HINT_FACTOR` of the usual number.
+            told: The engine's profile as reported by the leader; None if it reported none.
+            told_slowness: Slowness that the leader reported, for leaders that report no profiles.
+            hinted_events: The caller's estimate of the turn's events, limited by
+                :data:`MAX_HINT_FACTOR`.
         """
         events = self._expected_events(hinted_events)
         relative = self._current_relative_pace(engine_id, now, told, told_slowness)
@@ -268,15 +265,15 @@
         return self._usual_pace / self._reference_pace if self._reference_pace else 1.0
 
     def _set_reference_pace(self, seconds: float) -> None:
-        """Fix the pace for which the lines stand, with the first that is known.
+        """Set the pace that the fits refer to, unless it is set already.
 
-        Any value would do, since observations are divided by it and predictions multiplied. It
-        never changes, so engines that come or go bend no line.
+        Its value cancels out, since observations are divided by it and predictions multiplied. It
+        is never changed, so that engines that come or go do not distort the fits.
         """
         self._reference_pace = self._reference_pace or seconds
 
     def _load_slowdown(self, beside: float) -> float:
-        """Return how much turns beside it slow a turn down."""
+        """Return the factor by which concurrent turns slow a turn down."""
         return self._interval_fit.predict(beside) / self._interval_fit.predict(0.0)
 
     def _slowness_ratio(self, alone_seconds: float) -> float:
@@ -298,7 +295,7 @@
         return merge_paces(own, other, self._usual_pace)
 
     def _relative_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
-        """Return an engine's lasting pace as a multiple of what the lines stand for."""
+        """Return an engine's baseline pace as a multiple of the reference pace."""
         if not self._reference_pace:
             return 1.0
         return self._baseline_pace(engine_id, now, told) / self._reference_pace
@@ -306,7 +303,7 @@
     def _current_relative_pace(
         self, engine_id: str, now: float, told: ToldProfile | None, told_slowness: float
     ) -> float:
-        """Return the same with the spell that an engine is in."""
+        """Return an engine's relative pace including its current spell."""
         relative = self._relative_pace(engine_id, now, told)
         if told is not None:
             return relative * told.spell_at(now)
@@ -322,5 +319,5 @@
         return min(max(hinted, self.events / MAX_HINT_FACTOR), self.events * MAX_HINT_FACTOR)
 
     def forget(self, engine_id: str) -> None:
-        """Forget an engine that is gone."""
+        """Remove an engine."""
         self._profiles.pop(engine_id, None)
