--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -1,18 +1,14 @@
-"""How fast one start of an engine is: its lasting pace, apart from spells of slowness.
-
-What nodes see of an engine can only be put together if it means the same at each of them. A ratio
-to what is usual does not: each node's usual is fitted to the engines that it happened to use. So a
-profile is kept in seconds: the time between two events of a turn as it would be if the turn ran
-alone. A node divides what it measured by how much the load beside the turn slows it, which is a
-ratio within its own line, and every other factor of that line cancels out. How slow an engine is
-against others then follows at the reader, from the paces of the engines that the reader chooses
-among.
-
-The lasting pace is the median of samples that lie so far apart that one spell bends few of them.
-A spell is told once some samples in a row lie to the same side of that median: one that has lasted
-that long will probably last for another turn, while a shorter one is over before it is known. The
-number of samples says how much they count, and fades slowly, so that an engine that is avoided is
-tried again. Times are seconds.
+"""Speed of one engine process: a baseline pace, and temporary deviations called spells.
+
+The pace is the interval, in seconds, between two events of a turn that runs alone. A node divides a
+measured interval by the slowdown that its own fit attributes to concurrent turns, so paces measured
+by different nodes are comparable. Ratios to a node's usual pace would not be, since each node uses
+different engines.
+
+The baseline is the median of samples taken far enough apart that one spell affects few of them. A
+spell is reported once several consecutive samples lie on the same side of the baseline; a shorter
+one is over before it can be used. The number of samples is the weight of a baseline. It decays
+without new turns, so that an avoided engine is tried again.
 """
 
 from __future__ import annotations
@@ -26,38 +22,38 @@
 from yokeline.scheduling.medians import median
 
 SAMPLE_SECONDS = 0.5
-"""Turns that end within this time of each other count as one sample: a spell of slowness of some
-hundred milliseconds takes them all."""
+"""Turns that end within this time are averaged into one sample, so that a short spell affects one
+sample only."""
 MAX_SAMPLES = 15
-"""Samples kept; a lasting change shows once half of them have seen it, 4 s at a busy engine."""
+"""Samples kept; the median follows a permanent change after half of them."""
 SPELL_FADE_SECONDS = 1.0
-"""Time in which a spell fades to a third without new turns; some turns' time."""
+"""Time constant with which a spell decays without new turns."""
 SPELL_SAMPLES = 3
-"""Samples in a row, all slow or all fast, that make a spell."""
+"""Consecutive samples, all slower or all faster than the baseline, that make a spell."""
 MIN_SAMPLES_FOR_SPELL = 2 * SPELL_SAMPLES + 1
-"""Samples from which the median is that of other ones than a spell is read from."""
+"""Below this number of samples a spell would determine the median itself."""
 MAX_SPELL_FACTOR = 3.0
-"""A turn counts at most as this multiple of the lasting pace in a spell, and at least as its
-inverse, so that a pause of a process is not taken for the engine's."""
+"""Bound on the factor of a spell, and the inverse of its lower bound, so that a stalled process is
+not taken for a slow engine."""
 SILENCE_FADE_SECONDS = 30.0
-"""Time without a turn in which the weight of what was seen falls to a third."""
+"""Time constant with which the weight of samples decays without new turns."""
 PRIOR_SAMPLES = 0.5
-"""Weight of the assumption that an engine is as fast as is usual in its pool."""
+"""Weight of the prior that an engine is as fast as usual in its pool."""
 USUAL_PACE_TOLERANCE = 0.05
-"""Paces closer to the usual one than this are taken for it: nodes that are told the same would all
-choose the engine that the noise of measurement favours."""
+"""Relative difference up to which a pace counts as the usual one. Otherwise all nodes would choose
+the engine that measurement noise favours."""
 FAULT_WEIGHT = 0.15
-"""Weight of one request in an engine's share of failures."""
+"""Weight of one request in an engine's failure rate."""
 FAULT_FADE_SECONDS = 4.0
-"""Time in which a share of failures fades to a third without new requests."""
+"""Time constant with which a failure rate decays without new requests."""
 
 
 class Pace(msgspec.Struct, frozen=True):
-    """A lasting pace, and how much it counts.
+    """A baseline pace and its weight.
 
     Attributes:
-        seconds: Between two events of a turn that runs alone; 0 if nothing was seen.
-        samples: Weight, in samples that lie apart.
+        seconds: Interval between two events of a turn that runs alone; 0 without samples.
+        samples: Weight, as a number of samples.
     """
 
     seconds: float = 0.0
@@ -68,22 +64,22 @@
 
 
 def faded_samples(samples: float, silence: float) -> float:
-    """Return the weight of samples after a time without new ones."""
+    """Return the weight of samples after ``silence`` seconds without a new one."""
     return samples * math.exp(-max(0.0, silence) / SILENCE_FADE_SECONDS)
 
 
 def faded_spell(spell: float, age: float) -> float:
-    """Return what is believed of a spell some time after the latest turn."""
+    """Return the factor of a spell, decayed towards 1, ``age`` seconds after its last turn."""
     remaining = math.exp(-max(0.0, age) / SPELL_FADE_SECONDS)
     return remaining * spell + (1.0 - remaining)
 
 
 class ToldProfile(msgspec.Struct, frozen=True, kw_only=True):
-    """What another process told of an engine.
+    """An engine's profile as reported by another process.
 
     Attributes:
-        spell: The engine's time as a multiple of its lasting one; 1 outside of a spell.
-        told_at: When it was told (this process's clock).
+        spell: Current pace as a multiple of the baseline; 1 outside of a spell.
+        told_at: When the report arrived, by this process's clock.
     """
 
     pace_seconds: float
@@ -92,23 +88,23 @@
     told_at: float
 
     def pace(self, now: float) -> Pace:
-        """Return the lasting pace, which counts less the older it is."""
+        """Return the baseline pace with its decayed weight."""
         return Pace(self.pace_seconds, faded_samples(self.samples, now - self.told_at))
 
     def spell_at(self, now: float) -> float:
-        """Return the spell as far as it is still believed."""
+        """Return the decayed factor of the spell."""
         return faded_spell(self.spell, now - self.told_at)
 
 
 class EngineProfile:
-    """What was seen of one start of an engine.
+    """Pace and failure rate of one engine process, as observed here.
 
     Attributes:
-        failed: Share of its latest requests that failed.
+        failed: Failure rate of its latest requests.
     """
 
     def __init__(self) -> None:
-        """Know nothing yet."""
+        """Create a profile without observations."""
         self.failed = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
         self._samples: list[float] = []
         self._sample_started_at = -math.inf
@@ -118,26 +114,26 @@
         self._spell = 1.0
 
     def note_outcome(self, now: float, *, failed: bool) -> None:
-        """Take the end of a request into the share of failures."""
+        """Add the outcome of a request to the failure rate."""
         self.failed.observe(float(failed), now)
 
     def note_pace(self, seconds: float, now: float) -> None:
-        """Take the time between a turn's events in, as it would be if the turn ran alone."""
+        """Add a turn's interval between events, with the effect of concurrent turns removed."""
         self._last_turn_at = now
         self._add_sample(seconds, now)
         self._baseline = median(self._samples)
         self._spell = self._spell_of_samples()
 
     def pace(self, now: float) -> Pace:
-        """Return the lasting pace."""
+        """Return the baseline pace."""
         return Pace(self._baseline, faded_samples(len(self._samples), now - self._last_turn_at))
 
     def spell(self, now: float) -> float:
-        """Return the present time as a multiple of the lasting one."""
+        """Return the current pace as a multiple of the baseline."""
         return faded_spell(self._spell, now - self._last_turn_at)
 
     def _spell_of_samples(self) -> float:
-        """Return by how much the latest samples all differ from the lasting pace."""
+        """Return the least factor of the latest samples if all are slower or all faster."""
         if len(self._samples) < MIN_SAMPLES_FOR_SPELL:
             return 1.0
         ratios = [sample / self._baseline for sample in self._samples[-SPELL_SAMPLES:]]
@@ -160,11 +156,11 @@
 
 
 def merge_paces(own: Pace, told: Pace, usual: float) -> float:
-    """Return the lasting pace that follows from what this process saw and what it was told.
+    """Return the baseline pace that follows from own samples and a reported profile.
 
-    Each counts by its samples, and the pool's usual one as a few of them. Paces are ratios by
-    nature, so their logarithms are averaged: the result lies between the least and the greatest.
-    One next to the usual pace is taken for it.
+    The result is a geometric mean, weighted by samples; the pool's usual pace counts as
+    :data:`PRIOR_SAMPLES`. A result within :data:`USUAL_PACE_TOLERANCE` of the usual pace is
+    replaced by it.
     """
     weight, log_ratio_sum = PRIOR_SAMPLES, 0.0
     for pace in (own, told):
