--- a/src/yokeline/scheduling/engine_subsets.py
+++ b/src/yokeline/scheduling/engine_subsets.py
@@ -1,13 +1,13 @@
-"""Which engines of a pool a node prefers, so that it keeps connections to a few of them only.
+"""Deterministic subsetting: the engines of a pool that a node keeps connections to.
 
-Rendezvous hashing: each pair of a node and an engine has a rank of its own, from their names. Each
-engine is preferred by the nodes of its zone with the least ranks, as many for each engine, so that
-no engine is left out and none is preferred by all. A node that gets too few that way adds the
-engines with the least ranks, those of its own zone first. A node or an engine that comes or goes
-moves only pairs that it is part of, and those that take its place.
+Rendezvous hashing gives each pair of a node and an engine a rank. Each engine is preferred by the
+nodes of its zone with the lowest ranks, the same number for every engine, so no engine is left out
+and none is preferred by all. A node with too few engines adds those with the lowest ranks, its own
+zone's first. When a node or an engine comes or goes, only its own pairs and their replacements
+change.
 
-A subset is a preference and no bound: an engine outside of it costs a new connection more. So a
-node goes beyond it at once when the engines in it are loaded, slow, failing or gone.
+A subset is a preference and not a limit: an engine outside of it costs a new connection. A node
+uses one as soon as the engines of its subset are loaded, slow, failing or gone.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 import xxhash
 
 SUBSET_HEADROOM = 2.0
-"""Engines in a subset for each one that the node's share of the load would fill: half of them may
+"""Size of a subset relative to the engines that the node's share of the load would fill; others may
 be loaded by other nodes, slow or gone."""
 LEAST_ENGINES = 3
-"""Engines in a subset at least, so that one that fails and one that is full leave another."""
+"""Minimum size of a subset: one engine may fail and another be full."""
 _HASH_SPAN = 2**64
 
 
 class ZoneMember(msgspec.Struct, frozen=True):
-    """A node or an engine, and the zone that it is in."""
+    """A node or an engine, and its zone."""
 
     name: str
     zone: str
 
 
 def rank(node: str, engine_id: str) -> float:
-    """Return the rank of an engine for a node (0 to 1, the least first)."""
+    """Return the rank of an engine for a node, from 0 to 1; the lowest rank is preferred."""
     return xxhash.xxh64_intdigest(f"{node}/{engine_id}".encode()) / _HASH_SPAN
 
 
 def nodes_per_engine(nodes: int, engines: int) -> int:
-    """Return by how many nodes each engine is preferred, where some nodes share some engines.
+    """Return how many nodes of a zone prefer each of its engines.
 
-    A node so prefers this many times the engines over the nodes on average.
+    A node prefers this number times ``engines / nodes`` engines on average.
     """
     return min(nodes, math.ceil(max(SUBSET_HEADROOM, LEAST_ENGINES * nodes / engines)))
 
@@ -51,7 +51,7 @@
 def preferred_engines(
     node: ZoneMember, nodes: Iterable[ZoneMember], engines: Sequence[ZoneMember]
 ) -> frozenset[str]:
-    """Return the ids of a pool's engines that a node prefers.
+    """Return the ids of the engines of a pool that a node prefers.
 
     Args:
         node: This node.
@@ -87,7 +87,7 @@
 def _preferred_in_zone(
     node: ZoneMember, nodes: Sequence[ZoneMember], engines: Sequence[ZoneMember]
 ) -> Iterable[ZoneMember]:
-    """Return the engines that have a node among their own, of those that share a zone."""
+    """Return the engines of a zone that are preferred by a node."""
     if node not in nodes:
         return []
     limit = nodes_per_engine(len(nodes), len(engines))
@@ -97,7 +97,7 @@
 def _ranks_within(
     node: ZoneMember, nodes: Sequence[ZoneMember], engine: ZoneMember, limit: int
 ) -> bool:
-    """Return whether fewer than ``most`` nodes rank before this one at an engine."""
+    """Return whether fewer than ``limit`` nodes rank lower than this one at an engine."""
     own = rank(node.name, engine.name)
     lower_ranks = 0
     for other in nodes:
@@ -110,7 +110,7 @@
 def _fallback_engines(
     node: ZoneMember, engines: Iterable[ZoneMember], preferred: set[str], count: int
 ) -> set[str]:
-    """Return further engines, the own zone's first."""
+    """Return further engines by rank, the node's own zone first."""
     others = [engine for engine in engines if engine.name not in preferred]
     first = heapq.nsmallest(
         count, others, key=lambda item: (item.zone != node.zone, rank(node.name, item.name))
