--- a/src/yokeline/scheduling/passing_over.py
+++ b/src/yokeline/scheduling/passing_over.py
@@ -1,8 +1,9 @@
-"""A bound on how often the new programs of a tenant beyond its share are passed over.
+"""Starvation bound for tenants whose new programs are held back for exceeding their share.
 
-Held back alone, a tenant that asks for many times its share would be served far less often than
-the others. So it counts as owed a part of the places that it would get if it were served as often
-as all; once a whole place is owed, its programs compete with the others as equals.
+A tenant that asks for many times its share would otherwise be served far less often than the
+others. Each of its programs adds a fraction of the service rate of all programs to its deficit, and
+each program served subtracts one. With a deficit of one or more, its programs are no longer held
+back.
 """
 
 from __future__ import annotations
@@ -14,23 +15,23 @@
 from yokeline.fading import FadingAverage
 
 MIN_SERVICE_RATIO = 1 / 3
-"""How often a tenant is served at least, as a part of how often all are."""
+"""Minimum service rate of a tenant, relative to the service rate of all programs."""
 MAX_SURPLUS = 4.0
-"""Places beyond that part that count towards it later; more of them are forgotten, so that a long
-time with room for all does not let a tenant be passed over for as long afterwards."""
+"""Bound on the credit for programs served beyond the minimum, so that a period without contention
+does not let a tenant be held back for equally long."""
 MAX_DEFICIT = 16.0
-"""Places owed at most: a tenant that competes as an equal and gets none for long, since others are
-more urgent, is not let by for as long once that has changed."""
+"""Bound on the deficit, so that a tenant that was not served for long is not exempt from being held
+back for equally long."""
 MAX_TENANTS = 4096
-"""Tenants that are counted; the one that has asked for nothing the longest is forgotten."""
+"""Tenants counted; the least recently active one is removed."""
 SERVED_WEIGHT = 0.05
-"""Weight of one program in the average of those that got a place."""
+"""Weight of one program in the average service rate."""
 SERVED_FADE_SECONDS = 8.0
-"""Time in which that average fades back to a third without new programs."""
+"""Time constant with which the average returns to 1 without new programs."""
 
 
 class PassingOver(msgspec.Struct):
-    """Counts, for one node, the places that each tenant got and those that it is owed."""
+    """Counts each tenant's service deficit at one node."""
 
     _deficits: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     _service_rate: FadingAverage = msgspec.field(
@@ -38,15 +39,15 @@
     )
 
     def __len__(self) -> int:
-        """Return how many tenants are counted."""
+        """Return the number of tenants counted."""
         return len(self._deficits)
 
     def is_owed(self, tenant: str) -> bool:
-        """Return whether a tenant's programs must not be held back."""
+        """Return whether a tenant's deficit is at least one program."""
         return self._deficits.get(tenant, 0.0) >= 1.0
 
     def note(self, tenant: str, now: float, *, is_served: bool) -> None:
-        """Count a new program that got a place, or ceased to wait without one."""
+        """Count a new program that was served, or that stopped waiting without being served."""
         self._service_rate.observe(float(is_served), now)
         deficit = self._deficits.pop(tenant, 0.0) + MIN_SERVICE_RATIO * self._service_rate.value(
             now
