--- a/src/yokeline/scheduling/program_admission.py
+++ b/src/yokeline/scheduling/program_admission.py
@@ -1,11 +1,11 @@
-"""Whether a tenant's limit carries one more program to its end.
+"""Admission of programs to a tenant's rate limit.
 
-The load it answers: a tenant that asks for more than its limit. Let in one by one, its requests are
-spread over many programs, of which few end. So a program that begins holds a claim on the limit for
-all that it is expected to ask for, and a new one begins only if the limit carries it beside them.
+Without admission, a tenant beyond its limit would have many programs in progress and complete few.
+So a program that begins holds a claim on the limit for all requests it is expected to send, and a
+new program begins only if the limit covers its requests beside the existing claims.
 
-A claim falls due evenly, at the pace of its kind. For every time from now on, what has fallen due
-until then may be no more than what the bucket holds and what will have come into it.
+Claims fall due evenly over the expected duration. At every future time, the requests due by then
+must not exceed the level of the token bucket plus its refill.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 from yokeline.scheduling.program_sizes import ProgramSize
 
 STD_DEVIATIONS_PER_MEAN_DEVIATION = 1.25
-"""Standard deviations per mean deviation (of a normal distribution): the claims together exceed
-what is expected by more than that in one case of six."""
+"""Standard deviations per mean deviation of a normal distribution. The margin is one standard
+deviation of the sum of the claims."""
 BISECTION_STEPS = 8
-"""Halvings in the search for the time of return: to 1 part in 256 of the longest one."""
+"""Halvings in the search for the earliest start."""
 
 
 class Supply(msgspec.Struct, frozen=True, kw_only=True):
-    """What a tenant may ask for.
+    """State of a tenant's token bucket.
 
     Attributes:
-        level: Requests that its bucket holds now.
-        rate: Requests a second that come into it.
+        level: Requests available now.
+        rate: Refill in requests per second.
     """
 
     level: float
@@ -38,11 +38,11 @@
 
 
 class Claims(msgspec.Struct, frozen=True, kw_only=True):
-    """Claims of equal programs: of one kind, and equally far.
+    """Claims of programs of one kind that have sent the same number of requests.
 
     Attributes:
         count: Number of the programs.
-        requests: Requests that each of them is expected still to send.
+        requests: Requests that each of them is still expected to send.
         seconds: Time within which each is expected to send them.
         deviation: Mean deviation of ``requests``.
     """
@@ -54,16 +54,15 @@
 
 
 class Admission(msgspec.Struct, frozen=True, kw_only=True):
-    """What was decided on a new program, and from what.
+    """The decision on a new program, and its inputs.
 
     Attributes:
-        is_let_in: It may begin.
-        retry_after: Otherwise, seconds until it could if nothing else comes; 0 if it may.
+        is_let_in: Whether it may begin.
+        retry_after: Seconds until it could begin if no other program did before; 0 if it may now.
         programs: Programs that hold claims.
-        claimed: Requests that they are expected to ask for.
-        margin: Requests by which the claims may exceed what is expected.
-        cannot_end_in_time: Too little of its time is left, and it leaves what there is to those
-            that can.
+        claimed: Requests that they are expected to send.
+        margin: Requests by which the claims may exceed the expected number.
+        cannot_end_in_time: Whether it was refused because too little of its time limit is left.
     """
 
     is_let_in: bool
@@ -77,8 +76,8 @@
 def claims_of(size: ProgramSize, used: int, count: int) -> Claims | None:
     """Return the claims of programs that have sent ``used`` requests; None if they have none.
 
-    One that asks for more than expected goes on to claim what programs deviate by, until it has
-    asked for so much that it loops.
+    A program that sends more than expected claims the mean deviation, until it exceeds
+    ``max_requests`` of its kind.
     """
     if used > size.max_requests:
         return None
@@ -96,7 +95,7 @@
 def decide(supply: Supply, claims: Iterable[Claims], size: ProgramSize) -> Admission:
     """Decide whether a new program may begin.
 
-    One whose tenant has no other program under way may, however large it is: it could not later.
+    A tenant's only program may begin regardless of its size, since waiting would not help it.
     """
     held = list(claims)
     claimed = sum(item.count * item.requests for item in held)
@@ -116,15 +115,15 @@
 
 
 def _margin(variance: float) -> float:
-    """Return by how much claims may exceed what is expected; errors of many partly cancel out."""
+    """Return the safety margin of the claims; independent deviations partly cancel out."""
     return STD_DEVIATIONS_PER_MEAN_DEVIATION * math.sqrt(variance)
 
 
 class _Slack:
-    """What a supply leaves to a new program at each time, beside the claims that are held.
+    """Requests that the bucket leaves to a new program over time, after the existing claims.
 
-    It is worked out where claims end. Between two ends it is taken as linear; the margin grows
-    ever more slowly there, so it is a little less than that.
+    The slack is computed where claims end and interpolated linearly between. That overestimates it
+    slightly, since the margin is a concave function of time.
     """
 
     def __init__(self, supply: Supply, claims: list[Claims], new: ProgramSize) -> None:
@@ -154,7 +153,7 @@
         return slack + fraction * (self.requests[next_index] - slack)
 
     def can_start_at(self, new: ProgramSize, start: float) -> bool:
-        """Return whether a program that begins at a time has what it asks for at each moment."""
+        """Return whether the slack covers a program that begins at ``start`` throughout its run."""
         if self.value_at(start) < 0 or self.value_at(start + new.seconds) < new.requests:
             return False
         first = bisect_right(self.times, start)
@@ -165,12 +164,12 @@
 
 
 def _earliest_start(slack: _Slack, new: ProgramSize, upper_bound: float) -> float:
-    """Return the seconds after which a new program can begin; 0 if it can now.
+    """Return the seconds after which a new program can begin; 0 if it can begin now.
 
     Args:
-        slack: What is left to it.
+        slack: The slack left to it.
         new: Its size.
-        upper_bound: Seconds after which there is room in any case.
+        upper_bound: Seconds after which it can begin in any case.
     """
     if slack.can_start_at(new, 0.0):
         return 0.0
