--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -1,8 +1,7 @@
-"""How large programs of one kind are, learned from those that have ended.
+"""Sizes of programs of one kind, learned from the programs that ended.
 
-The load it answers: programs of one kind differ, and a few of them loop without end. So a size is a
-mean with its mean deviation, later programs count for more than earlier ones, and no single program
-counts for more than a few usual ones.
+Sizes vary, and a few programs loop without end. So a size has a mean and a mean deviation, recent
+programs weigh more, and the weight of an outlier is bounded.
 """
 
 from __future__ import annotations
@@ -15,24 +14,23 @@
 from yokeline.scheduling.medians import median
 
 LEAST_PROGRAMS = 5
-"""Programs that must have ended before a size is known: of five the median is that of whole
-programs even if two of them looped."""
+"""Programs that must have ended before a size is known; the median of five tolerates two that
+loop."""
 AVERAGING_PROGRAMS = 40
-"""Programs after which an earlier one counts for a third of what it did; until there are so many,
-all count alike, so that the first few do not decide for long."""
+"""Programs averaged with equal weight at first; later the window of the moving average."""
 OUTLIER_FACTOR = 4.0
-"""A program counts for no more than this multiple of the usual one."""
+"""A program counts for at most this multiple of the usual size."""
 MIN_DURATION_SECONDS = 0.05
-"""Shortest span of a program: one that sends all its requests at once has no pace."""
+"""Minimum duration, for programs that send all their requests at once."""
 
 
 class ProgramSize(msgspec.Struct, frozen=True, kw_only=True):
-    """What a program of a kind is expected to ask for.
+    """Expected size of a program of one kind.
 
     Attributes:
-        requests: Mean number of its requests.
+        requests: Mean number of requests.
         deviation: Mean deviation of that number.
-        seconds: Mean time from its first request to its last activity.
+        seconds: Mean time from the first request to the last activity.
     """
 
     requests: float
@@ -41,17 +39,17 @@
 
     @property
     def rate(self) -> float:
-        """Requests a second while it runs."""
+        """Requests per second during a program."""
         return self.requests / self.seconds
 
     @property
     def max_requests(self) -> float:
-        """Requests beyond which a program is not what was expected: it loops."""
+        """Number of requests beyond which a program is assumed to loop."""
         return OUTLIER_FACTOR * max(1.0, self.requests)
 
 
 class _Sample(msgspec.Struct, frozen=True):
-    """One program that has ended."""
+    """A program that ended."""
 
     requests: float
     seconds: float
@@ -61,7 +59,7 @@
     """Learns the size of one kind of program."""
 
     def __init__(self) -> None:
-        """Know nothing."""
+        """Create an estimate without observations."""
         self._ended_programs = 0
         self._initial_samples: list[_Sample] = []
         self._size: ProgramSize | None = None
@@ -72,10 +70,10 @@
         return self._size
 
     def observe(self, requests: int, seconds: float) -> None:
-        """Learn from a program that has ended.
+        """Learn from a program that ended.
 
         Args:
-            requests: That it sent in all.
+            requests: Requests that it sent.
             seconds: From its first request to its last activity.
         """
         sample = _Sample(float(requests), max(MIN_DURATION_SECONDS, seconds))
@@ -91,7 +89,7 @@
 
 
 def _initial_size(samples: list[_Sample]) -> ProgramSize:
-    """Return the size that a few programs tell; medians first, so that loops do not set the cap."""
+    """Return the size of the first programs, each capped relative to the median."""
     max_requests = OUTLIER_FACTOR * median([item.requests for item in samples])
     max_seconds = OUTLIER_FACTOR * median([item.seconds for item in samples])
     capped = [min(item.requests, max_requests) for item in samples]
@@ -104,7 +102,7 @@
 
 
 def _updated(size: ProgramSize, sample: _Sample, weight: float) -> ProgramSize:
-    """Return a size after one more program, which counts for ``weight``."""
+    """Return a size updated with one program of a given weight."""
     requests = min(sample.requests, size.max_requests)
     seconds = min(sample.seconds, OUTLIER_FACTOR * size.seconds)
     deviation = abs(requests - size.requests)
