--- a/src/yokeline/scheduling/program_times.py
+++ b/src/yokeline/scheduling/program_times.py
@@ -1,14 +1,12 @@
-"""Which share of the time that programs are given they take, learned by route.
+"""Share of their time limit that programs take, learned by route at one node.
 
-A node sees the first turn of a program with the time that the program is given, and then those of
-its requests that come to this node. What it observes is the time from the send of the first turn
-to the last answer here, as a share of what was given; a program counts once it was silent for a
-while. The wait of the first turn is left out: it is what the share is needed for.
+A node measures the time from sending a program's first turn to its last answer here, as a share of
+the time limit; a program counts once it has been idle for long enough. The wait before the first
+turn is excluded, since the share serves to limit it.
 
-Part of the programs end at another node, so that their observed times are too short. They are
-never too long. So a high quantile is learned in place of the mean: as long as between a third and
-three quarters of the programs stay, the 0.8 quantile of all observations lies between the 0.4 and
-the 0.73 quantile of those that stayed.
+Programs that continue at another node appear shorter than they are, and never longer. So a high
+quantile is learned instead of the mean. If between a third and three quarters of the programs stay,
+the 0.8 quantile of all observations lies between the 0.4 and 0.73 quantiles of those that stay.
 """
 
 from __future__ import annotations
@@ -18,24 +16,23 @@
 import msgspec
 
 INITIAL_SHARE = 0.7
-"""Share before anything was seen: a program that is given 1.4 times what it takes on idle engines
-takes that."""
+"""Share before the first observation."""
 MIN_SHARE = 0.1
-"""Bound below the learned share, so that a few short programs do not let a first turn wait for all
-its time."""
+"""Lower bound, so that a few short programs do not let a first turn wait for its whole time
+limit."""
 MAX_SHARE = 0.9
-"""A first turn always bears a little: a program that ends somewhat late is worth more than one
-that never begins."""
+"""Upper bound, so that a first turn may always wait a little; a program that ends late is worth
+more than one that is refused."""
 QUANTILE = 0.8
 QUANTILE_STEP = 0.05
-"""By how much an observation moves the learned share; one moves it by this times the quantile, or
-by this times the rest."""
+"""Step of the quantile estimate: a larger observation raises the share by the quantile times this,
+a smaller one lowers it by the remainder times this."""
 IDLE_TIMEOUT_SHARE = 1.0
-"""Time without a request after which a program has ended, as a share of what it was given."""
+"""Idle time after which a program has ended, as a share of its time limit."""
 MAX_PROGRAMS = 4096
-"""Programs that are followed at once; the one that was silent for longest counts as ended."""
+"""Programs tracked at once; the one idle for longest is counted as ended."""
 MAX_ROUTES = 1024
-"""Routes of which a share is kept; the oldest gives way."""
+"""Routes with a learned share; the oldest one is removed."""
 
 
 class _TrackedProgram(msgspec.Struct):
@@ -48,24 +45,24 @@
 
 
 class ProgramTimes:
-    """Times of programs, as one node has seen them."""
+    """Learns the durations of programs at one node."""
 
     def __init__(self) -> None:
-        """Know nothing yet."""
+        """Create an estimate without observations."""
         self._tracked: OrderedDict[str, _TrackedProgram] = OrderedDict()
         self._shares: OrderedDict[str, float] = OrderedDict()
 
     def share(self, route: str) -> float:
-        """Return which share of their time programs that begin on a route take."""
+        """Return the share of their time limit that programs of a route take."""
         return self._shares.get(route, INITIAL_SHARE)
 
     def begin(self, program: str, route: str, time_limit: float, now: float) -> None:
-        """Follow a program whose first turn is sent.
+        """Track a program whose first turn is sent.
 
         Args:
             program: Its name.
-            route: Of its first turn.
-            time_limit: Seconds in which it should be over, from its arrival.
+            route: The route of its first turn.
+            time_limit: Seconds from its arrival within which it should end.
             now: Time of the send (monotonic seconds).
         """
         self._close_idle(now)
@@ -76,14 +73,14 @@
             self._close(next(iter(self._tracked)))
 
     def answered(self, program: str, now: float) -> None:
-        """Note that a request of a program got its whole answer."""
+        """Record that a request of a program was answered completely."""
         tracked = self._tracked.get(program)
         if tracked is not None:
             tracked.last_answer_at = now
             self._tracked.move_to_end(program)
 
     def _close_idle(self, now: float) -> None:
-        """Count the programs that were silent for so long that they have ended."""
+        """Count the programs whose idle time has expired."""
         while self._tracked:
             program, tracked = next(iter(self._tracked.items()))
             if now - tracked.last_answer_at < IDLE_TIMEOUT_SHARE * tracked.time_limit:
