--- a/src/yokeline/scheduling/queue_order.py
+++ b/src/yokeline/scheduling/queue_order.py
@@ -1,7 +1,6 @@
-"""The order in which requests that wait for an engine are served.
+"""The order of requests that wait for an engine.
 
-The load it answers: more requests than places. What was spent on programs that have begun is lost
-if they are passed over, so they go before programs that begin.
+Under overload, programs that have begun precede new ones: the work spent on them would be lost.
 """
 
 from __future__ import annotations
@@ -12,15 +11,15 @@
 
 
 class Standing(msgspec.Struct, frozen=True, kw_only=True):
-    """What decides the place of a request in a queue; nothing of it changes while it waits.
+    """Properties that determine a request's position in the queue; fixed while it waits.
 
     Attributes:
-        is_interrupted: Its caller is already reading a stream that broke off.
-        is_late: The time that its caller gave the program was over when the request came.
+        is_interrupted: Its caller has already received part of a stream that broke off.
+        is_late: Its program's time limit had passed when the request arrived.
         has_begun: Its program has had a turn before.
-        is_held_back: It begins a program of a tenant that must leave places to others.
-        priority: The operator's rank of it (0 first).
-        over_at: When its program should be over (monotonic seconds).
+        is_held_back: It begins a program of a tenant that exceeds its share.
+        priority: The priority that the operator set; 0 is the highest.
+        over_at: Deadline of its program (monotonic seconds).
     """
 
     is_interrupted: bool = False
@@ -32,7 +31,7 @@
 
 
 def order_key(standing: Standing) -> OrderKey:
-    """Return the place of a request in the queue; the least is served first."""
+    """Return the sort key of a request; the lowest is served first."""
     return (
         0 if standing.is_interrupted else 1,
         1 if standing.is_held_back else 0,
