--- a/src/yokeline/scheduling/return_times.py
+++ b/src/yokeline/scheduling/return_times.py
@@ -1,8 +1,8 @@
-"""When a caller that was refused is to come back.
+"""Retry delays of refused callers.
 
-The load it answers: callers that were refused together. If all of them return at one moment, they
-find the engines as full as before. So each returns when the queue before it will be gone, spread
-by its request's id, and those whose programs have begun return first.
+Callers refused at the same time must not return together, or they would find the engines as full as
+before. A delay is the expected time until the queue has drained, plus a jitter derived from the
+request's id. Programs that have begun return earlier.
 """
 
 from __future__ import annotations
@@ -11,36 +11,36 @@
 import xxhash
 
 MIN_DELAY_SECONDS = 0.2
-"""Least time after which a caller returns: about a turn, in which places come free."""
+"""Minimum delay: about the duration of a turn."""
 BEGUN_MIN_DELAY_SECONDS = 0.1
-"""The same for a program that has begun: its pause counts against its time."""
+"""Minimum delay of a program that has begun; the delay counts against its time limit."""
 MAX_DELAY_SECONDS = 2.0
-"""Greatest time: what is known of the load now says little about a later time."""
+"""Maximum delay; the load is not known further ahead."""
 HONOURED_SHARE = 1 / 3
-"""Share of the time that a caller has left up to which it honours what it is told."""
+"""Callers honour a delay up to this share of their remaining time."""
 JITTER = 1.0
-"""Width of the span in which callers return, as a share of the earliest time."""
+"""Width of the interval of delays, relative to the earliest one."""
 MAX_START_SHARE = 0.5
-"""Latest begin of the span as a share of its end, so that callers are spread also where what they
-honour cuts it short."""
+"""Latest start of the interval relative to its end, so that delays are spread even if the interval
+is cut short by what callers honour."""
 OUTAGE_DELAY_SECONDS = 0.3
-"""Earliest return to a node that cannot serve for a while: it looks again about as soon, and the
-caller comes to another node as likely as not."""
+"""Earliest delay from a node that is temporarily unable to serve; another node is as likely to get
+the retry."""
 BEGUN_OUTAGE_DELAY_SECONDS = 0.15
-"""The same for a program that has begun."""
+"""The earliest delay from such a node for a program that has begun."""
 OUTAGE_JITTER = 2.0
-"""Width of that span as a share of the earliest time: all callers of the fleet return in it."""
+"""Width of the interval of delays from such a node; all callers of the fleet return within it."""
 LIMIT_SPREAD = 0.25
-"""Width of the span in which callers return that were refused for their tenant's limit: the least
-of them is told a true time, and the others come little later."""
+"""Width of the interval of delays after a refusal by a tenant's limit; the earliest delay is
+exact."""
 _HASH_SPAN = 2**32
 
 
 class Returning(msgspec.Struct, frozen=True, kw_only=True):
-    """A caller that is refused.
+    """A refused caller.
 
     Attributes:
-        request_id: Decides where in the span it returns.
+        request_id: Determines its jitter.
         has_begun: Its program has had a turn before.
         time_left: Seconds until it needs its final answer.
     """
@@ -51,34 +51,34 @@
 
 
 def return_after(caller: Returning, expected_wait: float) -> float:
-    """Return after how many seconds a caller that was refused for room is to come back.
+    """Return the retry delay in seconds of a caller that was refused for lack of capacity.
 
     Args:
-        caller: Who was refused.
-        expected_wait: Seconds until the queue before it will be gone; 0 if not known.
+        caller: The refused caller.
+        expected_wait: Seconds until the queue before it has drained; 0 if unknown.
     """
     earliest = BEGUN_MIN_DELAY_SECONDS if caller.has_begun else MIN_DELAY_SECONDS
     return _with_jitter(caller, max(earliest, expected_wait), JITTER)
 
 
 def return_after_outage(caller: Returning) -> float:
-    """Return after how many seconds to come back to a node that cannot serve anybody yet."""
+    """Return the retry delay in seconds from a node that is temporarily unable to serve."""
     earliest = BEGUN_OUTAGE_DELAY_SECONDS if caller.has_begun else OUTAGE_DELAY_SECONDS
     return _with_jitter(caller, earliest, OUTAGE_JITTER)
 
 
 def return_after_limit(request_id: str, seconds: float) -> float:
-    """Return after how many seconds to come back to a tenant's limit, never before ``seconds``.
+    """Return the retry delay in seconds after a refusal by a tenant's limit, at least ``seconds``.
 
     Args:
         request_id: The request's id.
-        seconds: From now until the request could be let in.
+        seconds: From now until the request could be admitted.
     """
     return seconds * (1.0 + LIMIT_SPREAD * _hash_fraction(request_id))
 
 
 def _with_jitter(caller: Returning, earliest: float, jitter: float) -> float:
-    """Return a time of the caller's own between the earliest one and what it honours."""
+    """Return a delay between ``earliest`` and the latest one that the caller honours."""
     honoured = max(0.0, HONOURED_SHARE * caller.time_left)
     latest = min(earliest * (1.0 + jitter), MAX_DELAY_SECONDS, honoured)
     start = min(earliest, MAX_START_SHARE * latest)
@@ -86,5 +86,5 @@
 
 
 def _hash_fraction(request_id: str) -> float:
-    """Return the same number from 0 to 1 for an id each time."""
+    """Return a number from 0 to 1 that depends on the id alone."""
     return xxhash.xxh32_intdigest(request_id.encode()) / _HASH_SPAN
