--- a/src/yokeline/scheduling/room_waits.py
+++ b/src/yokeline/scheduling/room_waits.py
@@ -1,9 +1,8 @@
-"""Whether a request waits for an engine with room, and for how long, or is refused at once.
+"""Whether a request waits for a free slot, and for how long, or is refused immediately.
 
-The load it answers: a pool whose places are all taken. A caller that waits without being served
-has lost that time, and one that is refused too soon loses a place that was about to be free. So a
-request waits if a place is likely to be free within the time that it can bear, and is refused at
-once if not.
+A request that waits in vain has lost that time, and one refused too early loses a slot that was
+about to become free. So a request waits only if a slot is expected to be free within its longest
+acceptable wait.
 """
 
 from __future__ import annotations
@@ -13,50 +12,49 @@
 import msgspec
 
 STANDALONE_WAIT_SHARE = 0.25
-"""Share of the target latency for which a request without a program waits: the rest is for its
-answer, which is of full worth within the target only."""
+"""Longest wait of a request without a program, as a share of its target latency."""
 STANDALONE_BEGUN_WAIT_SHARE = 1.0
-"""The same for one that continues an earlier turn, which is of little use without it."""
+"""Longest wait, as a share of the target latency, of a request that continues an earlier turn but
+has no program."""
 MAX_SLACK_SHARE = 0.5
-"""Share of a program's slack that its first turn may wait: its later turns meet the same load, and
-need the rest."""
+"""Share of a program's slack that its first turn may wait; its later turns need the rest."""
 EXPECTED_WAIT_SHARE = 0.6
-"""A first turn waits if a place is expected within this share of what it bears: an expectation errs
-both ways, and a wait that ends without a place has cost its caller that time."""
+"""A first turn waits if the expected wait is within this share of its longest wait, since the
+expectation may be too low."""
 HOPELESS_FACTOR = 2.0
-"""A wait ends early if the expected one exceeds what is left of it by this factor. The estimate
-moves by about as much while turns of different lengths end, and what was waited would be lost."""
+"""A wait is aborted if the expected wait exceeds the remaining one by this factor. It is well above
+the usual variation of the estimate."""
 
 
 class RoomRefusal(enum.Enum):
-    """Why a request was refused for want of room."""
+    """Why a request was refused for lack of capacity."""
 
     EXPECTED_WAIT = "expected_wait"
-    """A place is likely to be free later than it can bear."""
+    """The expected wait exceeds its longest wait."""
     WAITED = "waited"
-    """It has waited for as long as it can bear."""
+    """Its longest wait has passed."""
     HOPELESS = "hopeless"
-    """While it waited, the expected wait grew far beyond what it can bear."""
+    """The expected wait grew far beyond its remaining wait."""
     QUEUE_FULL = "queue_full"
-    """More urgent ones fill the queue."""
+    """The queue is full of more urgent requests."""
     NO_TIME = "no_time"
-    """Too little of its own time is left to be served."""
+    """Too little time is left to serve it."""
     NO_ENGINE_LEFT = "no_engine_left"
-    """No engine may take it, or those that were asked refused it."""
+    """No engine may serve it, or all those that were tried refused it."""
 
 
 class RoomNeed(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request needs, and what it can bear.
+    """What a request needs, and the limits of its wait.
 
     Attributes:
         time_left: Seconds until it must have its final answer.
-        own_seconds: Seconds that it is likely to take once it has a place.
-        target_latency: Seconds within which its answer is of full worth.
+        own_seconds: Seconds that it is expected to take at an engine.
+        target_latency: Seconds within which its answer has its full value.
         has_program: It belongs to a program.
-        program_left: Seconds until its program should be over; None if that is not said.
-        program_share: Share of that time which programs of its kind take.
+        program_left: Seconds until the deadline of its program; None without one.
+        program_share: Share of their time limit that programs of its kind take.
         has_begun: Its program has had a turn before, or it is a call from within a program.
-        is_interrupted: Its caller is already reading a stream that broke off.
+        is_interrupted: Its caller has already received part of a stream that broke off.
     """
 
     time_left: float
@@ -70,16 +68,16 @@
 
 
 class PoolRoom(msgspec.Struct, frozen=True, kw_only=True):
-    """What is known of a pool without room.
+    """State of a pool without a free slot.
 
     Attributes:
-        places: Requests that its engines work on together.
-        ahead: Requests that go before this one, at all nodes.
-        excess: Requests that have to leave their engines before those may get a place.
-        place_seconds: Seconds for which a request keeps a place; None if not known.
-        share: Share of the places that come free which requests of its standing get; turns of
-            begun programs that arrive later take the others.
-        error_ratio: By which factor waits were longer than expected lately.
+        places: Requests that the pool's engines serve concurrently.
+        ahead: Requests before this one in the queues of all nodes.
+        excess: Requests that must leave the engines before a queued request gets a slot.
+        place_seconds: Mean time that a request occupies a slot; None if unknown.
+        share: Share of the freed slots that such requests get; later turns of begun programs take
+            the others.
+        error_ratio: Recent ratio of actual to expected waits.
     """
 
     places: int
@@ -95,9 +93,9 @@
 
     Attributes:
         until: When it is refused at the latest (monotonic seconds).
-        expected: Seconds until a place is likely to be free, at the latest look.
-        first_expected: The same when the wait began, before it was corrected.
-        bears: Seconds that it could bear when the wait began.
+        expected: Seconds until a slot is expected to be free, by the latest estimate.
+        first_expected: The first estimate, without the correction by ``error_ratio``.
+        bears: Its longest wait in seconds.
     """
 
     until: float
@@ -107,12 +105,12 @@
 
 
 class RoomDecision(msgspec.Struct, frozen=True, kw_only=True):
-    """What a request without a place is to do.
+    """Whether a request without a slot waits.
 
     Attributes:
-        bears: Seconds that it can wait.
-        expected: Seconds until a place is likely to be free; 0 if not known.
-        refusal: Why it is refused at once; None if it waits.
+        bears: Its longest wait in seconds.
+        expected: Seconds until a slot is expected to be free; 0 if unknown.
+        refusal: Why it is refused immediately; None if it waits.
     """
 
     bears: float
@@ -123,8 +121,7 @@
 def decide(need: RoomNeed, room: PoolRoom) -> RoomDecision:
     """Decide whether a request waits.
 
-    A request without a program waits for its share of the target in any case, and a stream that
-    broke off for as long as its caller does.
+    Requests without a program and interrupted streams wait regardless of the expected wait.
     """
     max_wait = longest_wait(need)
     expected = expected_wait(room)
@@ -136,13 +133,13 @@
 
 
 def longest_wait(need: RoomNeed) -> float:
-    """Return for how many seconds a request can wait for a place.
+    """Return the longest time in seconds that a request may wait for a slot.
 
-    The first turn of a program bears its share of what the program does not take of its time; if
-    it is late already, it gets a place that is free, but waits for none. A turn or call of a begun
-    program, also of a late one, bears all its time but that of its own service, since what the
-    program has used would be lost. A request without a program, or one that begins a program of
-    which no time is said, waits for a share of its target.
+    An interrupted stream may wait for all the time its caller has left. A request without a
+    program, or the first turn of a program without a deadline, may wait for a share of its target
+    latency. A later turn or a call of a program may wait for all of its remaining time except its
+    own service, even past the program's deadline, since the program's work would be lost. A first
+    turn may wait for a share of the program's slack, and not at all past its deadline.
     """
     if need.is_interrupted:
         return max(0.0, need.time_left)
@@ -157,7 +154,7 @@
 
 
 def expected_wait(room: PoolRoom) -> float:
-    """Return in how many seconds a place is likely to be free; 0 if that is not known."""
+    """Return the seconds until a slot is expected to be free; 0 if unknown."""
     if room.place_seconds is None or room.places <= 0:
         return 0.0
     places_needed = room.excess + (room.ahead + 1.0) / room.share
@@ -165,10 +162,10 @@
 
 
 def is_hopeless(bears_still: float, expected: float) -> bool:
-    """Return whether a wait is to end before its limit.
+    """Return whether a wait is to be aborted.
 
     Args:
-        bears_still: Seconds that are left of it.
-        expected: Seconds until a place is likely to be free, as it looks now.
+        bears_still: Seconds that are left of the wait.
+        expected: Seconds until a slot is expected to be free.
     """
     return expected > HOPELESS_FACTOR * max(0.0, bears_still)
