--- a/src/yokeline/scheduling/tenant_shares.py
+++ b/src/yokeline/scheduling/tenant_shares.py
@@ -1,8 +1,7 @@
-"""Weighted max-min fair shares of the engines' places between tenants.
+"""Weighted max-min fair shares of the engines' slots between tenants.
 
-The load it answers: engines have less room than is asked for, and one tenant asks for most of it.
-Places are shared in proportion to the tenants' weights. What a tenant does not ask for is lent to
-the others, so a tenant is beyond its share only while another one lacks places of its own share.
+Slots are shared in proportion to the tenants' weights, and unused shares are lent to other tenants.
+So a tenant exceeds its share only while another one lacks slots of its own share.
 """
 
 from __future__ import annotations
@@ -14,22 +13,21 @@
 import msgspec
 
 MIN_SHARE = 1.0
-"""Places that a tenant may hold at least, however small its weight."""
+"""Minimum share of a tenant, however small its weight."""
 MIN_EXCESS = 1.0
-"""Places beyond its share from which a tenant counts as beyond it: shares are fractions, and a
-tenant that holds the next whole number of places has taken none from others."""
+"""Minimum excess over its share from which a tenant exceeds it: shares are fractions, and slots are
+not."""
 MAX_BEYOND = 8
-"""Tenants named as beyond their share; those with the largest excess hold most of what others
-lack, and the next ones are named once these have given way."""
+"""Limit on the tenants reported as exceeding their share, largest excess first."""
 
 
 class TenantDemand(msgspec.Struct, frozen=True):
-    """What one tenant holds and asks for, at all nodes together.
+    """Slots that one tenant holds and asks for, summed over all nodes.
 
     Attributes:
-        weight: Its part of the places relative to others; above zero.
-        running: Places that it holds.
-        waiting: Programs that wait to begin, each for one place.
+        weight: Its weight relative to other tenants; above zero.
+        running: Slots that it holds.
+        waiting: Programs that wait to begin, one slot each.
     """
 
     tenant: str
@@ -39,24 +37,24 @@
 
     @property
     def wanted(self) -> int:
-        """Places that it would hold if there were enough."""
+        """Slots that it would hold with sufficient capacity."""
         return self.running + self.waiting
 
 
 class Shares(msgspec.Struct, frozen=True):
-    """How the places are shared.
+    """Result of sharing the slots.
 
     Attributes:
-        level: Places for a weight of one; infinite if all get what they want.
-        beyond: Tenants that hold a whole place or more beyond their share while others lack
-            theirs, the largest excess first; :data:`MAX_BEYOND` at most.
+        level: Slots per unit of weight; infinite if all demands are met.
+        beyond: Tenants that exceed their share by :data:`MIN_EXCESS` or more while others lack
+            theirs, largest excess first; at most :data:`MAX_BEYOND`.
     """
 
     level: float = math.inf
     beyond: tuple[TenantDemand, ...] = ()
 
     def share_of(self, demand: TenantDemand) -> float:
-        """Return the places that a tenant is entitled to."""
+        """Return the slots that a tenant is entitled to."""
         return min(demand.wanted, max(MIN_SHARE, self.level * demand.weight))
 
 
@@ -68,7 +66,7 @@
     shares = Shares(level)
     if not any(item.waiting and item.running < shares.share_of(item) for item in demands):
         return shares
-    # Who holds more than these places wants more as well, so they are its whole share.
+    # A tenant that holds more than this bound also demands more, so the bound is its whole share.
     excesses = (
         (item.running - max(MIN_SHARE, level * item.weight), item.tenant, item) for item in demands
     )
@@ -78,10 +76,10 @@
 
 
 def fair_level(demands: Collection[TenantDemand], places: float) -> float:
-    """Return the level at which the wanted places, cut at ``level * weight``, add up to ``places``.
+    """Return the level at which the demands, capped at ``level * weight``, add up to ``places``.
 
-    It is infinite if there are places for all that is wanted (water filling: the tenants that
-    want least for their weight are served whole, and the others share what is left).
+    Water filling: the tenants with the least demand for their weight are served completely, and the
+    others share the rest. The level is infinite if all demands can be met.
     """
     demanded = [(item.running + item.waiting, item.weight) for item in demands]
     if sum(wanted for wanted, _ in demanded) <= places:
