--- a/src/yokeline/scheduling/wait_errors.py
+++ b/src/yokeline/scheduling/wait_errors.py
@@ -1,41 +1,41 @@
-"""By how much waits for room are longer than expected, learned by pool.
+"""Ratio of actual to expected waits for a slot, learned by pool.
 
-What the expectation leaves out is much the same for a while: requests that come later and go first,
-and engines that hold more than their places. So the ratio of real to expected waits is learned.
+It corrects the expected wait for what the estimate leaves out: later requests that are served
+first, and engines with more requests than slots.
 """
 
 from __future__ import annotations
 
 RATIO_WEIGHT = 0.1
-"""Weight of a wait in the learned ratio."""
+"""Weight of one wait in the learned ratio."""
 MIN_RATIO = 0.5
 MAX_RATIO = 4.0
-"""A wait counts within these ratios of what was expected."""
+"""Bounds on the ratio of one wait."""
 CENSORED_FACTOR = 1.5
-"""A wait that ended without a place would have lasted longer; it counts as this multiple."""
+"""A wait that ended without a slot would have been longer; it counts as this multiple."""
 MIN_EXPECTED_SECONDS = 0.01
-"""Shorter waits are ruled by when events come, and tell nothing."""
+"""Shorter expected waits are ignored, since their ratio depends on the timing of events."""
 
 
 class WaitErrors:
-    """Ratios of real to expected waits, as one node has seen them."""
+    """Learns the ratios at one node."""
 
     def __init__(self) -> None:
-        """Expect what is computed."""
+        """Create an estimate without observations."""
         self._ratios: dict[str, float] = {}
 
     def ratio(self, pool: str) -> float:
-        """Return by which factor to multiply an expected wait of a pool."""
+        """Return the factor by which to multiply the expected wait of a pool."""
         return self._ratios.get(pool, 1.0)
 
     def note(self, pool: str, expected: float, waited: float, *, got_place: bool) -> None:
-        """Learn from a wait that is over.
+        """Learn from a wait that ended.
 
         Args:
-            pool: Which had no room.
-            expected: Seconds that were expected at its begin, before any correction.
+            pool: The pool without a free slot.
+            expected: Seconds expected at the start of the wait, before correction.
             waited: Seconds that it lasted.
-            got_place: It ended with a place.
+            got_place: Whether it ended with a slot.
         """
         if expected < MIN_EXPECTED_SECONDS:
             return
