--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -1,7 +1,7 @@
-"""Many nodes that use engines of three speeds with spells of slowness, without network.
+"""Replays turns at engines of different speeds and compares predictors of their duration.
 
-Every turn goes to a random engine, so all ways to predict are asked the same. Each way is a set of
-nodes of its own, with what a leader tells them.
+Each turn goes to a random engine, so all predictors see the same turns. Each predictor has its own
+set of nodes and its own leader.
 """
 
 from __future__ import annotations
@@ -45,7 +45,7 @@
 
 
 class Turn(msgspec.Struct, frozen=True):
-    """A turn that was served, and when it began and ended."""
+    """A served turn."""
 
     node: int
     engine: str
@@ -57,7 +57,7 @@
 
 
 class Fleet:
-    """Engines, some of which are in a spell."""
+    """Engines, some of which are in a spell of slowness."""
 
     def __init__(self, seed: int, spell_share: float = SPELL_SHARE) -> None:
         self.random = random.Random(seed)
@@ -66,7 +66,7 @@
         self._spells: dict[tuple[str, int], bool] = {}
 
     def restart_engines(self, share: float) -> None:
-        """Start some engines anew, under other names, the slowest first."""
+        """Replace a fraction of the engines, the slowest first, with new ones of random speed."""
         names = sorted(self.speeds, key=lambda name: -self.speeds[name])
         for name in names[: round(share * len(names))]:
             del self.speeds[name]
@@ -100,7 +100,7 @@
 
 
 class Predictor:
-    """One way to predict: nodes, and a leader that can fall silent."""
+    """Predicts turns on all nodes; its leader can be made unreachable."""
 
     def __init__(self) -> None:
         self.errors: list[tuple[float, float]] = []
@@ -113,12 +113,12 @@
         raise NotImplementedError
 
     def mean_error(self, since: float = 0.0, until: float = float("inf")) -> float:
-        """Return the mean share by which turns that began in a time were predicted wrong."""
+        """Return the mean relative error over the turns that started in an interval."""
         return statistics.fmean(error for at, error in self.errors if since <= at < until)
 
 
 class OwnFactorPredictor(Predictor):
-    """Each node's own factors, and a told slowness that fades in 4 s."""
+    """Uses each node's own slowdown factors and the slowness reported by the leader."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -149,7 +149,7 @@
 
 
 class ToldProfilePredictor(Predictor):
-    """The lasting pace that the leader tells, weighed by counts; with the spell or without."""
+    """Uses the profiles reported by the leader, with or without spells."""
 
     def __init__(self, *, with_spell: bool) -> None:
         super().__init__()
@@ -160,7 +160,7 @@
         self._sequence = 0
 
     def receive_leader_report(self, node: int, now: float) -> None:
-        """Let a node hear the leader."""
+        """Deliver the leader's report to a node."""
         if self.leader_is_silent:
             return
         for item in self.leader.engines(now):
@@ -204,7 +204,7 @@
     begin: float = 0.0,
     before_turn: Callable[[float], None] = lambda now: None,
 ) -> None:
-    """Serve turns for some seconds, and let each way predict each of them."""
+    """Serve turns for some seconds, each predicted by every predictor."""
     under_way: list[tuple[float, int, Turn]] = []
     running = dict.fromkeys(fleet.speeds, 0)
     now, number = begin, 0
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -1,8 +1,7 @@
-"""Tenants that compete for full engines, replayed over several nodes without a network.
+"""Replays tenants that compete for full engines over several nodes, without a network.
 
-Nodes have the real queue and the real shares, and the leader the real book. A node learns of the
-load of all engines, and of the shares, with the answer to each turn that it asks for; in between
-it goes by what was told and by what it has sent itself since.
+Uses the production queue, shares and leader state. A node learns the load of all engines and the
+shares from the leader's reply to each turn; in between it adds what it has sent itself.
 """
 
 from __future__ import annotations
@@ -31,9 +30,9 @@
 
 POOL = "models"
 BEGUN_HEADROOM = 1.4
-"""Most turns of begun programs at the engines, as a multiple of their places."""
+"""Limit on the concurrent turns of begun programs, relative to the slots."""
 ONE_WAY_SECONDS = 0.004
-"""From a node to the leader, and back."""
+"""Latency between a node and the leader."""
 HOT = "hot"
 ROUTE = Route(
     name="turn",
@@ -48,7 +47,7 @@
 
 
 class Way(enum.Enum):
-    """How places are shared."""
+    """How slots are shared."""
 
     FIRST_COME = "first come, first served"
     VIRTUAL_TIME = "virtual time of a tenant in each node's queue"
@@ -56,16 +55,16 @@
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
-    """What is asked for, and of whom.
+    """Arrivals, capacity and faults of a replay.
 
     Attributes:
-        calm_rate: New programs a second of each calm tenant.
-        hot_rate: The same of the hot tenant while it is hot.
-        hot_from: Share of the time after which it is hot.
-        hot_until: Share of the time after which it is as before.
-        leader_silent_from: Time from which the leader answers no more (seconds).
-        turns_from: Time from which turns that end are counted (seconds).
-        node_dies_at: Time when the first node dies with all its turns (seconds).
+        calm_rate: New programs per second of each calm tenant.
+        hot_rate: New programs per second of the hot tenant while it is hot.
+        hot_from: Start of the hot interval, as a fraction of ``seconds``.
+        hot_until: End of the hot interval, as a fraction of ``seconds``.
+        leader_silent_from: Time from which the leader does not reply (seconds).
+        turns_from: Time from which ended turns are counted (seconds).
+        node_dies_at: Time at which the first node crashes with all its turns (seconds).
     """
 
     nodes: int = 8
@@ -89,13 +88,13 @@
 
 
 class Result(msgspec.Struct, kw_only=True):
-    """What became of new programs that were asked for while the hot tenant was hot.
+    """Outcome of the programs that arrived in the hot interval.
 
     Attributes:
-        asked: By tenant.
-        begun: Of those, with a place for the first turn; by tenant.
-        waits: Seconds from the arrival to that, of calm tenants.
-        turns: Turns that ended while the tenant was hot and turns were counted.
+        asked: Programs that arrived, by tenant.
+        begun: Programs whose first turn got a slot, by tenant.
+        waits: Seconds from arrival to that slot, for calm tenants.
+        turns: Counted turns that ended in the hot interval.
     """
 
     asked: Counter[str] = msgspec.field(default_factory=Counter)
@@ -104,33 +103,33 @@
     turns: int = 0
 
     def served(self, tenant: str) -> float:
-        """Return the share of a tenant's programs that began."""
+        """Return the fraction of a tenant's programs that began."""
         return self.begun[tenant] / max(1, self.asked[tenant])
 
     @property
     def all_served(self) -> float:
-        """The same of all tenants together."""
+        """The fraction of all programs that began."""
         return self.begun.total() / max(1, self.asked.total())
 
     @property
     def calm_served(self) -> float:
-        """The same of the calm tenants together."""
+        """The fraction of the calm tenants' programs that began."""
         begun = self.begun.total() - self.begun[HOT]
         return begun / max(1, self.asked.total() - self.asked[HOT])
 
     @property
     def least_served(self) -> float:
-        """The same of the tenant that was served least often."""
+        """The lowest fraction of any tenant."""
         return min(self.served(tenant) for tenant in self.asked)
 
     @property
     def calm_wait(self) -> float:
-        """Mean wait of the calm tenants' programs that began (seconds)."""
+        """Mean wait in seconds of the calm tenants' programs that began."""
         return sum(self.waits) / max(1, len(self.waits))
 
 
 class _Program(msgspec.Struct, eq=False):
-    """A program under way; it counts in the result if it was asked for while the tenant was hot."""
+    """A program in progress; ``is_counted`` if it arrived in the hot interval."""
 
     tenant: Tenant
     turns_left: int
@@ -138,7 +137,7 @@
 
 
 class _Node:
-    """A node: its queue, what it was told, and its turns at engines."""
+    """A node: its queue, its last known load and shares, and its turns at engines."""
 
     def __init__(self, name: str, way: Way) -> None:
         self.process = ReplicaId(name)
@@ -157,7 +156,7 @@
         self._virtual_time = 0.0
 
     def in_order(self, now: float) -> list[Exchange]:
-        """Return what waits, in the order of this way of sharing, without what is held back."""
+        """Return the waiting requests in this mode's order, without those held back."""
         waiting = self.queue.in_order()
         if self.way is Way.VIRTUAL_TIME:
             waiting.sort(key=lambda item: (not item.begun, self._virtual_start(item), item.started))
@@ -168,11 +167,11 @@
         return self.queue.in_order()
 
     def may_place(self, exchange: Exchange, now: float) -> bool:
-        """Return whether a request need not leave its place to others."""
+        """Return whether a request is not held back."""
         return self.way is not Way.SHARES or not self.shares.is_held_back(exchange, now)
 
     def record_placement(self, exchange: Exchange, weight: float, now: float) -> None:
-        """Count a request that got a place."""
+        """Count a request that got a slot."""
         self.running[exchange.tenant_name] += 1
         self.sent_since_report += 1
         self._virtual_time = max(self._virtual_time, self._virtual_start(exchange))
@@ -185,10 +184,10 @@
 
 
 class Replay:
-    """One load under one way of sharing; the same seed gives the same arrivals under all."""
+    """Replays one load under one mode; arrivals depend on the seed alone."""
 
     def __init__(self, way: Way, load: Load, seed: int) -> None:
-        """Plan nothing yet."""
+        """Create the nodes and the leader."""
         self.result = Result()
         self._load = load
         self._nodes = [_Node(f"node-{number}", way) for number in range(load.nodes)]
@@ -202,7 +201,7 @@
         self.now = 0.0
 
     def run(self) -> Result:
-        """Play the whole load."""
+        """Replay the whole load."""
         for number in range(self._load.calm_tenants):
             calm = Tenant(name=f"calm-{number}", rate=self._load.calm_weight)
             self._schedule_arrivals(calm, self._load.calm_rate, 0.0, self._load.seconds)
@@ -252,7 +251,7 @@
         self._query_leader(node, program, has_begun=False)
 
     def _query_leader(self, node: _Node, program: _Program, *, has_begun: bool) -> None:
-        """Ask the leader, as each turn does; the answer tells of the load of all."""
+        """Query the leader, as each turn does; the reply reports the load of all nodes."""
         exchange = self._exchange(program, has_begun=has_begun)
         if self.now < self._load.leader_silent_from:
             self._schedule(self.now + ONE_WAY_SECONDS, lambda: self._leader_reply(node))
@@ -306,7 +305,7 @@
         self._dispatch(node)
 
     def _dispatch(self, node: _Node) -> None:
-        """Give places to what waits at a node, as far as it believes that there are any."""
+        """Assign the slots that a node believes to be free."""
         for exchange in node.in_order(self.now):
             believed = node.reported_running + node.sent_since_report
             headroom = BEGUN_HEADROOM if exchange.begun else 1.0
@@ -350,10 +349,10 @@
             )
         self._dispatch(node)
 
-    # ------------------------------------------------------------ what the leader is told
+    # ------------------------------------------------------------ reports to the leader
 
     def _report(self, node: _Node) -> None:
-        """Tell the leader of the node's tenants, at once or as soon as the next rows are due."""
+        """Report a node's tenants now, or as soon as the minimum interval has passed."""
         due = node.last_report_at + ROWS_SECONDS
         if node.is_report_scheduled:
             return
@@ -395,14 +394,14 @@
         self._schedule(self.now + REFRESH_SECONDS, lambda: self._refresh(node))
 
     def _peer_reports_received(self, node: _Node) -> None:
-        """Learn of the load from the other nodes' reports, which say nothing of shares."""
+        """Update the load from the other nodes' reports, which contain no shares."""
         node.reported_running, node.sent_since_report = self._running, 0
 
     def _weight(self, tenant: str) -> float:
         return self._load.hot_weight if tenant == HOT else self._load.calm_weight
 
     def _crash(self, node: _Node) -> None:
-        """Let a node die; its turns still take their places at engines until they end."""
+        """Stop a node; its turns occupy their slots until they end."""
         node.is_alive = False
 
 
--- a/tests/unit/scheduling/test_profile_replay.py
+++ b/tests/unit/scheduling/test_profile_replay.py
@@ -1,4 +1,4 @@
-"""How far predicted turns are from real ones, at 72 nodes that each see few turns of an engine."""
+"""Errors of predicted turn durations, with 72 nodes that each see few turns of an engine."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 )
 
 WARM_UP_SECONDS = 10.0
-"""Seconds after which each node has seen some turns."""
+"""Time after which each node has seen some turns."""
 END_SECONDS = 25.0
 
 
--- a/tests/unit/scheduling/test_share_replay.py
+++ b/tests/unit/scheduling/test_share_replay.py
@@ -1,4 +1,4 @@
-"""A hot tenant within its limit beside others at full engines, replayed over several nodes."""
+"""Replays a hot tenant within its limit beside others at full engines."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 LOAD = Load(seconds=12.0)
 STARVATION_RATIO = 0.25
-"""A tenant served less often than this part of how often all are counts as starved."""
+"""A tenant is starved if its service rate is below this fraction of the overall one."""
 MIN_TURN_RATIO = 0.97
-"""Part of the turns served first come, first served that the engines must serve at least."""
+"""Least fraction of the turns served first come, first served that must still be served."""
 SEEDS = range(4)
-"""Summed up where turns are compared: one seed alone gives 0.96 to 1.01 of them."""
+"""Turns are compared over several seeds, since single seeds vary by some percent."""
 
 
 def replay(way: Way, load: Load, seed: int = 0) -> Result:
@@ -28,7 +28,7 @@
 
 class HotTenant(unittest.TestCase):
     def test_its_excess_costs_others_few_places(self) -> None:
-        """The others ask for half of the places, and the hot tenant for more than all."""
+        """The other tenants demand half of the slots, and the hot tenant more than all."""
         for seed in range(2):
             first_come = replay(Way.FIRST_COME, LOAD, seed)
             shares = replay(Way.SHARES, LOAD, seed)
@@ -72,7 +72,7 @@
         self.assertEqual(shares.turns, first_come.turns)
 
     def test_old_word_of_the_leader_holds_nobody_back(self) -> None:
-        """It falls silent while the tenant is hot and beyond its share; its word counts a while."""
+        """Shares reported before the leader became unreachable must expire."""
         lapses_at = 5.0 + TOLD_FRESH_SECONDS
         silent = msgspec.structs.replace(LOAD, leader_silent_from=5.0, turns_from=lapses_at)
         first_come = [replay(Way.FIRST_COME, silent, seed) for seed in SEEDS]
