--- a/tests/property/test_engine_profiles.py
+++ b/tests/property/test_engine_profiles.py
@@ -1,4 +1,4 @@
-"""What is believed of an engine lies within what was seen of it, and is bounded in size."""
+"""Estimates of an engine lie within its observations, and their size is bounded."""
 
 from __future__ import annotations
 
--- a/tests/property/test_engine_subsets.py
+++ b/tests/property/test_engine_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of engines stay even and change little, whatever nodes and engines come and go."""
+"""Subsets of engines stay even and change little when nodes and engines come and go."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Fleet:
-    """Nodes and engines in zones, that come and go."""
+    """Nodes and engines in zones that come and go."""
 
     def __init__(self, seed: int, zone_count: int, nodes: int, engines: int) -> None:
         self.random = random.Random(seed)
@@ -38,7 +38,7 @@
         return ZoneMember(f"{kind}-{self.number}", f"z{self.random.randrange(self.zone_count)}")
 
     def change(self) -> None:
-        """Let a node or an engine come or go."""
+        """Add or remove a node or an engine."""
         kind, group = self.random.choice((("edge", self.nodes), ("engine", self.engines)))
         if len(group) > 1 and self.random.random() < 0.5:
             del group[self.random.randrange(len(group))]
@@ -49,7 +49,7 @@
         return {node.name: preferred_engines(node, self.nodes, self.engines) for node in self.nodes}
 
     def min_preferences(self) -> dict[str, int]:
-        """Return by how many nodes each engine is preferred at least."""
+        """Return the minimum number of nodes that must prefer each engine."""
         nodes: dict[str, int] = Counter(node.zone for node in self.nodes)
         engines: dict[str, int] = Counter(engine.zone for engine in self.engines)
         shared = {zone: nodes[zone] or len(self.nodes) for zone in engines}
@@ -80,7 +80,7 @@
     def test_an_engine_moves_only_by_changes_of_its_zone(
         self, seed: int, nodes: int, engines: int
     ) -> None:
-        """A node that goes from another zone leaves a node with enough engines as it was."""
+        """Removing a node does not change the subsets of another zone with enough engines."""
         fleet = Fleet(seed, 2, nodes, engines)
         before = fleet.subsets()
         gone = fleet.random.choice(fleet.nodes)
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -1,10 +1,8 @@
-"""Programs of a tenant beyond its limit, while leaders of the ledger change, pause and restart.
+"""Admission of a tenant's programs while leaders of the ledger change, pause and restart.
 
-Callers run programs of two kinds for ever and come back when they are told. A leader that is
-replaced may have proposed what is lost, or what the next one has not applied yet; callers that hear
-nothing ask again. What must hold: no window of the tenant exceeds its limit; what is in the log is
-never refused as a new program; claims are given back; no kind of program is starved; and replicas
-of the earlier build, which know no kinds, come to the same results.
+Guards against five failures: a window exceeds the limit; a logged operation is refused as a new
+program; claims are not returned; a kind of program is starved; a replica of the earlier release
+computes other results.
 """
 
 from __future__ import annotations
@@ -51,11 +49,11 @@
 SMALL_CALLERS = 14
 LARGE_CALLERS = 2
 STARVATION_SECONDS = 20.0
-"""A kind that asks is next after 2 s, once claims are given back: those of programs that hang or
-loop after 10 s, of others 2 s after their end. Its callers come back up to 4 s later, and a pause
-takes 2 s. A new leader begins anew, as it does not know who was passed over."""
+"""A waiting kind is preferred after 2 s. Claims are returned 2 s after a program's end, or 10 s
+after it hangs. Callers retry up to 4 s later and a pause takes 2 s. A new leader does not know
+which kinds were passed over."""
 LEADER_CHANGE_PROBABILITIES = (0.0, 0.002, 0.01)
-"""Of steps in which the leader changes, by world."""
+"""Probability of a leader change per step; each simulation draws one."""
 ROUNDING = 1e-6
 TRANSITION_DRAW = TenantQuotas.transition_draw
 _CLIENT = Address("10.0.9.1", 1)
@@ -68,7 +66,7 @@
 
 
 class _Replica:
-    """A replica with its applied state; the world commits what it proposes, or loses it."""
+    """A replica with its applied state; the simulation commits or loses its proposals."""
 
     def __init__(self, term: int, log: list[LedgerCommand], applied: int) -> None:
         self.group = _Group(term)
@@ -112,7 +110,7 @@
 
 
 class _Caller:
-    """Runs one program after the other, and at times leaves one in its midst."""
+    """Runs programs one after the other and abandons some of them."""
 
     def __init__(self, name: str, kind: str, source: random.Random) -> None:
         self.name = name
@@ -133,7 +131,7 @@
         usual = SIZES[self.kind]
         self.size = self.source.randint(max(1, usual // 2), usual + usual // 2)
         if self.source.random() < 0.05:
-            self.size *= 10  # it loops, and is left in its midst
+            self.size *= 10  # it loops, and is abandoned
         self.abandoned_at = self.source.randint(1, 60)
 
     def next_operation(self) -> Reserve | Draw:
@@ -151,7 +149,7 @@
         )
 
     def handle_result(self, result: OperationResult, now: float) -> Settle | None:
-        """Take an answer; return what is to be settled."""
+        """Process a result; return the settlement to send, if any."""
         outstanding, self.outstanding = self.outstanding, None
         if isinstance(result, QuotaSpent):
             self.due = now + max(STEP_SECONDS, result.retry_after)
@@ -184,7 +182,7 @@
         self.pending_requests: dict[int, _Caller] = {}
         self.started_programs: dict[str, int] = dict.fromkeys(SIZES, 0)
         self.waiting_since: dict[str, float] = {}
-        """For each kind of which a program waits: since when none was let in."""
+        """For each kind with a waiting program: the time since which none was admitted."""
         self.longest_wait = 0.0
         self.wrongly_refused: list[str] = []
         self.elect(1, 0)
@@ -218,7 +216,7 @@
         self.note_proposals()
 
     def change_leader(self) -> None:
-        """Lose some of what is proposed and not committed; the next one may have just started."""
+        """Lose some uncommitted proposals; the next leader may have just started."""
         first_open = min(self.replica.pending, default=len(self.log))
         kept = self.source.randint(first_open, len(self.log))
         del self.log[kept:]
@@ -229,7 +227,7 @@
         for kind in list(self.waiting_since):
             self.waiting_since[kind] = self.now
         for caller in self.callers:
-            caller.sent_at = -RESEND_SECONDS  # nodes ask a new leader at once
+            caller.sent_at = -RESEND_SECONDS  # nodes query a new leader immediately
 
     def commit(self) -> None:
         upto = self.source.randint(self.replica.applied, len(self.log))
@@ -275,7 +273,7 @@
         if caller is None or caller.outstanding is None or not reply.results:
             return
         if self.source.random() < 0.02:
-            return  # the answer is lost on its way
+            return  # the reply is lost
         result = reply.results[0]
         if caller.sent == 0 and isinstance(result, Granted):
             self.started_programs[caller.kind] += 1
@@ -285,7 +283,7 @@
             self.submit(0, settle)
 
     def is_granted_by_log(self, operation: Operation) -> bool:
-        """Return whether the log as it stands grants an operation, once it is applied."""
+        """Return whether the log grants an operation once it is applied."""
         state = LedgerState()
         for command in self.log:
             results = state.transition_apply(command)
@@ -293,10 +291,10 @@
                 return isinstance(results[command.operations.index(operation)], Granted)
         return False
 
-    # ------------------------------------------------------------ what must hold
+    # ------------------------------------------------------------ invariants
 
     def largest_excess(self) -> float:
-        """Return by how much the worst window exceeds what the limit gives."""
+        """Return the largest excess of a window over what the limit allows."""
         state = LedgerState()
         times: list[float] = []
         for command, at in zip(self.log, self.proposed_at, strict=True):
@@ -311,12 +309,12 @@
         return largest
 
     def record_wait(self, kind: str) -> None:
-        """Note for how long no program of a kind was let in while one waited."""
+        """Record how long a program of a kind waited without one being admitted."""
         since = self.waiting_since.pop(kind, self.now)
         self.longest_wait = max(self.longest_wait, self.now - since)
 
     def claims_after_idle(self) -> int:
-        """Return the claims that are held when nobody has asked for a while."""
+        """Return the claims that remain after a period without requests."""
         self.commit_all()
         self.now += LONGEST_TURN_SECONDS + 1.0
         self.batches.tick(self.local_time())
@@ -328,7 +326,7 @@
             self.batches.tick(self.local_time())
 
     def differs_from_earlier_build(self) -> bool:
-        """Return whether a replica that knows none of the new fields answers otherwise."""
+        """Return whether a replica without the new fields returns other results."""
         ours, theirs = LedgerState(), LedgerState()
         for command in self.log:
             results = ours.transition_apply(command)
@@ -352,7 +350,7 @@
 
 
 def violations(seed: int) -> list[str]:
-    """Play a world; return what did not hold."""
+    """Run a simulation; return the violated invariants."""
     simulation = _Simulation(seed)
     simulation.run()
     found = []
@@ -386,7 +384,7 @@
 
 
 class PlantedFaults(unittest.TestCase):
-    """Faults that would break what must hold are caught."""
+    """The invariants detect deliberately introduced faults."""
 
     def caught(self, expected: str) -> bool:
         return any(expected in violations(seed) for seed in range(10))
--- a/tests/property/test_room_waits.py
+++ b/tests/property/test_room_waits.py
@@ -1,4 +1,4 @@
-"""What holds for every request that finds no room, and for every caller that is refused."""
+"""Properties of waits for a free slot and of retry delays."""
 
 from __future__ import annotations
 
@@ -48,7 +48,6 @@
 EXAMPLES = settings(
     derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow], max_examples=200
 )
-"""Nothing is said of time: the machine may be shared."""
 
 
 class Waits(unittest.TestCase):
--- a/tests/property/test_scheduling.py
+++ b/tests/property/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Properties of the scheduling policies and their bookkeeping."""
+"""Properties of the scheduling policies and the state they decide on."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @st.composite
 def engines(draw: st.DrawFn) -> list[EngineView]:
-    """Draw engines, some of them full, crowded or not usable."""
+    """Draw engines, some of them full, crowded or unusable."""
     count = draw(st.integers(0, 5))
     return [
         engine(
@@ -81,7 +81,7 @@
     @EXAMPLES
     @given(demands(), st.integers(0, 5))
     def test_ageing_prevents_starvation(self, calls: list[CallDemand], steps: int) -> None:
-        """A call that has waited long enough goes before all that arrive from then on."""
+        """A call that has waited long enough precedes all later arrivals."""
         policy = AffinityPolicy(aging_seconds=AGING_SECONDS)
         starved = demand(
             run=RunId("run-starved"), priority=-steps, attained_service=10**9, waiting_since=0.0
--- a/tests/property/test_tenant_shares.py
+++ b/tests/property/test_tenant_shares.py
@@ -1,4 +1,4 @@
-"""Shares are max-min fair, whatever the demands, their order and the scale of the weights."""
+"""Shares are max-min fair for all demands, orders and scales of the weights."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 ROUNDING = 1e-6
 EXAMPLES = settings(derandomize=True, deadline=None, max_examples=100)
 LONG_RUN = 20_000
-"""New programs at a node: some ten minutes."""
+"""New programs at a node, about ten minutes."""
 
 rows = st.tuples(
     st.sampled_from([0.01, 0.5, 1.0, 1.7, 3.0, 20.0, 533.0]),
@@ -57,7 +57,7 @@
     def test_nobody_gets_more_for_its_weight_than_one_who_lacks_something(
         self, demands: list[TenantDemand], places: int
     ) -> None:
-        """Max-min: to give more to one that lacks, one with no more for its weight must lose."""
+        """Any increase for one tenant would take from another with no more for its weight."""
         shares = allocations(demands, fair_level(demands, places))
         for item, share in zip(demands, shares, strict=True):
             if share >= item.wanted - ROUNDING:
@@ -130,9 +130,9 @@
     def test_a_tenant_that_is_always_held_back_is_served_a_quarter_as_often_as_all(
         self, hot_part: int, rate: int, seed: int
     ) -> None:
-        """It gets a place only once it is owed one, and then with as much luck as the others.
+        """It is served only once it has a deficit, and then as often as the others.
 
-        Over some ten places or more: a tenant may be a place or two behind at any moment.
+        Checked over a long run, since a tenant may be a few slots behind at any moment.
         """
         source = random.Random(seed)
         passing = PassingOver()
@@ -153,7 +153,7 @@
     def test_places_got_are_counted_for_each_tenant_alone(
         self, ends: list[tuple[str, bool]]
     ) -> None:
-        """At least the bound less one place: a tenant that is owed nothing has had its part."""
+        """A tenant without a deficit has been served at the minimum rate, less one slot."""
         passing = PassingOver()
         for step, (tenant, is_served) in enumerate(ends):
             passing.note(tenant, 0.01 * step, is_served=is_served)
