--- a/tests/unit/scheduling/__init__.py
+++ b/tests/unit/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the scheduling policies and their bookkeeping."""
+"""Tests of the scheduling policies and the state they decide on."""
--- a/tests/unit/scheduling/support.py
+++ b/tests/unit/scheduling/support.py
@@ -1,4 +1,4 @@
-"""Demands, engines and pauses for tests of scheduling."""
+"""Factories of demands, engines and pauses."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def engine(name: str = "pool/e1", **changes: object) -> EngineView:
-    """Return an idle engine."""
+    """Return the view of an idle engine."""
     base = EngineView(
         name=name,
         address=ADDRESS,
@@ -50,14 +50,14 @@
 
 
 def facts(name: str = "pool/e1") -> EngineFacts:
-    """Return the facts of an engine."""
+    """Return the configured values of an engine."""
     return EngineFacts(
         name=name, address=ADDRESS, pool="pool", labels={}, slots=4, cache_tokens=CACHE_TOKENS
     )
 
 
 def pause(seconds: float | None = 1.0, **changes: object) -> PauseContext:
-    """Return a tool pause of a root run at a crowded engine, its length known."""
+    """Return a tool pause of known length, of a root run at a crowded engine."""
     base = PauseContext(
         run=RUN,
         cache_key=RUN,
--- a/tests/unit/scheduling/test_directory.py
+++ b/tests/unit/scheduling/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the engine directory and the steward over fake engines."""
+"""Tests of the engine directory and the cache steward over fake engines."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Bench:
-    """A directory over two engines of a pool, under a manual clock."""
+    """A directory over two engines, with a manual clock."""
 
     def __init__(self) -> None:
         self.context = NodeContext(
@@ -58,7 +58,7 @@
         done(self.presence.get(run, RunPresence.UNKNOWN))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass with a tick at each deadline, engines answering at once."""
+        """Advance the clock with a tick at each deadline; engines answer immediately."""
         end = self.context.now + seconds
         for _ in range(1000):
             due = self.directory.next_deadline()
@@ -88,13 +88,13 @@
             )
 
     def dropped(self) -> list[tuple[Address, str]]:
-        """Return where which entries were dropped."""
+        """Return the dropped cache entries with the engine's address."""
         found = [r for r in self.requests if r.method == "DELETE" and "/entries/" in r.path]
         return [(r.address, r.path.rpartition("/")[2]) for r in found]
 
 
 def entry(key: str) -> dict[str, object]:
-    """Return an entry of an inventory."""
+    """Return an inventory entry."""
     return {"cache_key": key, "cache_salt": "dallim", "tokens": 64, "held_seconds": None}
 
 
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -35,7 +35,7 @@
 
 
 class Observer:
-    """A model, and a clock that goes on by a second with each turn."""
+    """A model whose clock advances by a second with each turn."""
 
     def __init__(self) -> None:
         self.model = EngineModel()
@@ -178,7 +178,7 @@
 
 
 class Told(unittest.TestCase):
-    """What the leader tells of an engine's lasting pace and of its spell."""
+    """Profiles reported by the leader."""
 
     def test_a_node_that_has_just_started_predicts_with_what_it_was_told(self) -> None:
         observer = Observer()
@@ -220,7 +220,7 @@
         self.assertGreater(lasting, 2.2 * usual)
 
     def test_nodes_that_use_other_engines_tell_the_same_pace_of_one(self) -> None:
-        """One node uses fast engines beside it, the other one slow ones."""
+        """One node uses fast engines besides, the other one slow engines."""
         told = []
         for speed in (0.7, 1.7):
             observer, source = Observer(), random.Random(7)
--- a/tests/unit/scheduling/test_engine_subsets.py
+++ b/tests/unit/scheduling/test_engine_subsets.py
@@ -25,7 +25,7 @@
 
 
 def preference_counts(chosen: Subsets, engines: list[ZoneMember]) -> list[int]:
-    """Return by how many nodes each engine is preferred."""
+    """Return the number of nodes that prefer each engine."""
     counts = Counter(name for subset in chosen.values() for name in subset)
     return [counts[engine.name] for engine in engines]
 
@@ -61,7 +61,7 @@
         self.assertLess(max(means), 1.15 * min(means))
 
     def test_the_long_run_size(self) -> None:
-        """Some nodes of 400 only, since all of them together take minutes."""
+        """Samples 16 of 400 nodes, since all of them take minutes."""
         nodes, engines = members("edge", 400, zones=20), members("engine", 12_000, zones=20)
         sizes = [len(preferred_engines(node, nodes, engines)) for node in nodes[::25]]
         self.assertLess(max(sizes), 1.5 * statistics.fmean(sizes))
@@ -112,7 +112,7 @@
 
 class Changes(unittest.TestCase):
     def changed_pairs(self, before: Subsets, after: Subsets) -> int:
-        """Return how many pairs of a node and an engine are new or gone."""
+        """Return the number of pairs of a node and an engine that were added or removed."""
         return sum(len(before[name] ^ after[name]) for name in before if name in after)
 
     def count_pairs(self, chosen: Subsets) -> int:
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the ledger of calls, contexts and pauses."""
+"""Tests of the state that the ledger derives from calls, reports and pauses."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 class LoadTest(LedgerTest):
     def test_own_calls_count_at_once_and_others_by_the_report(self) -> None:
         self.ledger.call_sent(ENGINE, demand(), "a", 1.0)
-        # Taken at 1.5: one of the three calls there is ours.
+        # Taken at 1.5: one of the three calls at the engine is this node's.
         report = LoadState(running=2, waiting=1)
         self.ledger.call_sent(ENGINE, demand(run=RunId("run-2")), "b", 1.8)
         self.ledger.report_received(ENGINE, report, 1.5)
--- a/tests/unit/scheduling/test_policies.py
+++ b/tests/unit/scheduling/test_policies.py
@@ -27,7 +27,7 @@
 
 
 def chosen(*engines: EngineView, call: CallDemand | None = None, now: float = 0.0) -> str:
-    """Return the engine's name, or the cause of waiting."""
+    """Return the chosen engine's name, or the cause of waiting."""
     choice = AffinityPolicy().choose(call or demand(), engines, now)
     return choice.engine if isinstance(choice, EngineChoice) else choice.cause.value
 
--- a/tests/unit/scheduling/test_program_admission.py
+++ b/tests/unit/scheduling/test_program_admission.py
@@ -44,7 +44,7 @@
         self.assertTrue(decision(30.0, 0.001, held(2)).is_let_in)
 
     def test_what_comes_in_while_programs_run_counts(self) -> None:
-        """Five programs of 5 requests a second run on 30 a second, with nothing to spare."""
+        """Six programs of 5 requests per second, the new one included, need a refill of 30."""
         self.assertTrue(decision(0.0, 30.0, held(5)).is_let_in)
         self.assertFalse(decision(0.0, 29.0, held(5)).is_let_in)
 
@@ -55,7 +55,7 @@
         self.assertTrue(decision(25.0, 10.0, [quick, slow]).is_let_in)
 
     def test_a_refusal_tells_when_there_is_room(self) -> None:
-        """At 15 a second, after three programs of 5 a second, there is room when they end."""
+        """Three programs of 5 requests per second use up a refill of 15 until they end."""
         refused = decision(0.0, 15.0, held(3))
         self.assertFalse(refused.is_let_in)
         self.assertAlmostEqual(refused.retry_after, 2.0, delta=0.05)
--- a/tests/unit/scheduling/test_program_times.py
+++ b/tests/unit/scheduling/test_program_times.py
@@ -1,4 +1,4 @@
-"""What share of their time programs take, as a node learns it, and errors of expected waits."""
+"""Tests of the learned share of time limits and of the correction of expected waits."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def learn(share: float, stay_probability: float, programs: int = 400) -> float:
-    """Play programs that take a share of their time, some of which end at other nodes."""
+    """Return the share learned from programs some of which continue at other nodes."""
     times, source, now = ProgramTimes(), random.Random(1), 0.0
     for number in range(programs):
         name = f"p{number}"
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -1,4 +1,4 @@
-"""The order in which requests that wait for an engine are served."""
+"""Tests of the order of requests that wait for an engine."""
 
 from __future__ import annotations
 
--- a/tests/unit/scheduling/test_return_times.py
+++ b/tests/unit/scheduling/test_return_times.py
@@ -1,4 +1,4 @@
-"""When refused callers come back."""
+"""Tests of the retry delays of refused callers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def most_at_once(times: list[float], window: float = 0.05) -> float:
-    """Return the greatest share of the callers that return within one window."""
+    """Return the greatest fraction of the callers that return within one window."""
     most = max(sum(start <= time < start + window for time in times) for start in times)
     return most / len(times)
 
--- a/tests/unit/scheduling/test_room_waits.py
+++ b/tests/unit/scheduling/test_room_waits.py
@@ -1,4 +1,4 @@
-"""Who waits for room, and for how long."""
+"""Tests of which requests wait for a free slot, and for how long."""
 
 from __future__ import annotations
 
--- a/tests/unit/scheduling/test_tenant_shares.py
+++ b/tests/unit/scheduling/test_tenant_shares.py
@@ -1,4 +1,4 @@
-"""Who is beyond its share of the places, in single cases."""
+"""Tests of which tenants exceed their share of the slots."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
         self.assertEqual(shares_of(demands, 63), Shares(math.inf))
 
     def test_what_others_do_not_ask_for_is_lent(self) -> None:
-        """The hot tenant holds nearly all places, and nobody else waits."""
+        """The hot tenant holds nearly all slots, and no other tenant waits."""
         demands = [TenantDemand("hot", 1.0, 58, 40), TenantDemand("calm", 1.0, 2, 0)]
         self.assertEqual(names(shares_of(demands, 60)), [])
 
@@ -42,7 +42,7 @@
         self.assertEqual(names(shares_of(demands, 10)), [])
 
     def test_a_part_of_a_place_is_no_excess(self) -> None:
-        """Shares of 1.5 places: who holds two has taken no place from others."""
+        """At a share of 1.5 slots, a tenant with two has taken none from others."""
         demands = [TenantDemand(f"t{number}", 1.0, 2, 0) for number in range(3)]
         demands += [TenantDemand(f"w{number}", 1.0, 1, 1) for number in range(3)]
         shares = shares_of(demands, 9)
