--- a/src/yokeline/scheduling/passing_over.py
+++ b/src/yokeline/scheduling/passing_over.py
@@ -24,9 +24,9 @@
 back for equally long."""
 MAX_TENANTS = 4096
 """Tenants counted; the least recently active one is removed."""
-SERVED_WEIGHT = 0.05
+SERVICE_RATE_WEIGHT = 0.05
 """Weight of one program in the average service rate."""
-SERVED_FADE_SECONDS = 8.0
+SERVICE_RATE_FADE_SECONDS = 8.0
 """Time constant with which the average returns to 1 without new programs."""
 
 
@@ -35,7 +35,7 @@
 
     _deficits: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
     _service_rate: FadingAverage = msgspec.field(
-        default_factory=lambda: FadingAverage(1.0, SERVED_WEIGHT, SERVED_FADE_SECONDS)
+        default_factory=lambda: FadingAverage(1.0, SERVICE_RATE_WEIGHT, SERVICE_RATE_FADE_SECONDS)
     )
 
     def __len__(self) -> int:
--- a/src/yokeline/scheduling/program_lateness.py
+++ b/src/yokeline/scheduling/program_lateness.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-WEIGHT = 0.05
+SHARE_WEIGHT = 0.05
 """Weight of one program in the learned share."""
 MAX_SHARE = 0.95
 """Upper bound on the learned share: a program that has used none of its time is never late."""
@@ -30,7 +30,7 @@
             return
         observed = min(MAX_SHARE, seconds / time_limit)
         mean = observed if self._share is None else self._share
-        self._share = mean + WEIGHT * (observed - mean)
+        self._share = mean + SHARE_WEIGHT * (observed - mean)
 
     def is_late(self, time_left: float, time_limit: float) -> bool:
         """Return whether the time left is less than such programs take."""
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -415,12 +415,12 @@
             self.assertTrue(self.caught("claims held"))
 
     def test_a_leader_that_takes_what_is_on_its_way_for_new(self) -> None:
-        seen = itertools.count()
+        calls = itertools.count()
 
         def refused_blindly(
             gate: ProgramGate, operation: Operation, *others: object
         ) -> tuple[QuotaSpent | None, list[object]]:
-            if not isinstance(operation, Reserve) or next(seen) % 3:
+            if not isinstance(operation, Reserve) or next(calls) % 3:
                 return None, []
             gate.refused[BY_CLAIMS] += 1
             return QuotaSpent(retry_after=0.1, is_empty=False), []
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -122,26 +122,26 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.reading = [LinearFit(DEFAULT_PRIOR.prefill) for _ in range(NODES)]
-        self.pace = [LinearFit(DEFAULT_PRIOR.event_interval) for _ in range(NODES)]
+        self.prefill_fits = [LinearFit(DEFAULT_PRIOR.prefill) for _ in range(NODES)]
+        self.interval_fits = [LinearFit(DEFAULT_PRIOR.event_interval) for _ in range(NODES)]
         self.factors: list[dict[str, float]] = [{} for _ in range(NODES)]
         self.slowness: dict[str, FadingAverage] = {}
 
     def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
-        told = 1.0
+        reported = 1.0
         if engine in self.slowness and not self.leader_is_silent:
-            told = self.slowness[engine].value(now)
-        factor = max(self.factors[node].get(engine, 1.0), told if told > 1 else 0.0)
-        between = (EVENTS - 1) * self.pace[node].predict(beside)
-        return factor * (self.reading[node].predict(unread) + between)
+            reported = self.slowness[engine].value(now)
+        factor = max(self.factors[node].get(engine, 1.0), reported if reported > 1 else 0.0)
+        decode_seconds = (EVENTS - 1) * self.interval_fits[node].predict(beside)
+        return factor * (self.prefill_fits[node].predict(unread) + decode_seconds)
 
     def observe(self, turn: Turn) -> None:
         observed = served_turn(turn)
         assert observed.event_seconds is not None
-        self.reading[turn.node].observe(turn.unread, turn.first_event)
-        ratio = observed.event_seconds / self.pace[turn.node].predict(turn.beside)
+        self.prefill_fits[turn.node].observe(turn.unread, turn.first_event)
+        ratio = observed.event_seconds / self.interval_fits[turn.node].predict(turn.beside)
         ratio = min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
-        self.pace[turn.node].observe(turn.beside, observed.event_seconds)
+        self.interval_fits[turn.node].observe(turn.beside, observed.event_seconds)
         factor = self.factors[turn.node].get(turn.engine, 1.0)
         self.factors[turn.node][turn.engine] = factor + 0.1 * (ratio - factor)
         average = self.slowness.setdefault(turn.engine, FadingAverage(1.0, 0.15, 4.0))
--- a/tests/unit/scheduling/test_program_admission.py
+++ b/tests/unit/scheduling/test_program_admission.py
@@ -12,7 +12,7 @@
 from yokeline.scheduling.program_sizes import OUTLIER_FACTOR, ProgramSize
 
 SIZE = ProgramSize(requests=10.0, deviation=0.0, seconds=2.0)
-UNSURE = ProgramSize(requests=10.0, deviation=3.0, seconds=2.0)
+VARIABLE = ProgramSize(requests=10.0, deviation=3.0, seconds=2.0)
 
 
 def held(count: int, *, used: int = 0, size: ProgramSize = SIZE) -> list[Claims]:
@@ -32,11 +32,11 @@
         self.assertEqual((claims.count, claims.requests, claims.seconds), (3, 6.0, 1.2))
 
     def test_it_grows_with_a_program_that_asks_for_more_than_expected(self) -> None:
-        (claims,) = held(1, used=12, size=UNSURE)
-        self.assertEqual(claims.requests, UNSURE.deviation)
+        (claims,) = held(1, used=12, size=VARIABLE)
+        self.assertEqual(claims.requests, VARIABLE.deviation)
 
     def test_a_program_that_loops_holds_nothing(self) -> None:
-        self.assertEqual(held(1, used=int(OUTLIER_FACTOR * 10) + 1, size=UNSURE), [])
+        self.assertEqual(held(1, used=int(OUTLIER_FACTOR * 10) + 1, size=VARIABLE), [])
 
 
 class Decisions(unittest.TestCase):
@@ -78,8 +78,8 @@
                 self.assertEqual(again.is_let_in, share > 1.0, (level, rate, count, share))
 
     def test_the_margin_grows_with_the_root_of_the_number_of_claims(self) -> None:
-        few = decision(0.0, 1.0, held(4, size=UNSURE), UNSURE).margin
-        many = decision(0.0, 1.0, held(16, size=UNSURE), UNSURE).margin
+        few = decision(0.0, 1.0, held(4, size=VARIABLE), VARIABLE).margin
+        many = decision(0.0, 1.0, held(16, size=VARIABLE), VARIABLE).margin
         self.assertAlmostEqual(many / few, (17 / 5) ** 0.5)
 
     def test_an_unsure_estimate_lets_in_fewer(self) -> None:
@@ -90,7 +90,7 @@
                 if not decision(20.0, 100.0, held(count, size=size), size).is_let_in
             )
 
-        self.assertLess(most(UNSURE), most(SIZE))
+        self.assertLess(most(VARIABLE), most(SIZE))
 
     def test_the_only_program_of_a_tenant_is_let_in_however_large(self) -> None:
         huge = ProgramSize(requests=500.0, deviation=10.0, seconds=1.0)
--- a/tests/unit/scheduling/test_program_times.py
+++ b/tests/unit/scheduling/test_program_times.py
@@ -17,7 +17,7 @@
 TIME_LIMIT = 2.0
 
 
-def learn(share: float, stay_probability: float, programs: int = 400) -> float:
+def learned_share(share: float, stay_probability: float, programs: int = 400) -> float:
     """Return the share learned from programs some of which continue at other nodes."""
     times, source, now = ProgramTimes(), random.Random(1), 0.0
     for number in range(programs):
@@ -35,15 +35,17 @@
         self.assertEqual(ProgramTimes().share("route"), INITIAL_SHARE)
 
     def test_it_is_learned_where_programs_stay(self) -> None:
-        self.assertAlmostEqual(learn(0.5, stay_probability=1.0), 0.55, delta=0.08)
+        self.assertAlmostEqual(learned_share(0.5, stay_probability=1.0), 0.55, delta=0.08)
 
     def test_it_is_learned_where_most_programs_end_at_other_nodes(self) -> None:
         for stay_probability in (0.34, 0.5, 0.75):
-            self.assertAlmostEqual(learn(0.5, stay_probability=stay_probability), 0.5, delta=0.1)
+            self.assertAlmostEqual(
+                learned_share(0.5, stay_probability=stay_probability), 0.5, delta=0.1
+            )
 
     def test_it_stays_within_bounds(self) -> None:
-        self.assertLessEqual(learn(3.0, stay_probability=1.0), MAX_SHARE)
-        self.assertGreaterEqual(learn(0.01, stay_probability=1.0), MIN_SHARE)
+        self.assertLessEqual(learned_share(3.0, stay_probability=1.0), MAX_SHARE)
+        self.assertGreaterEqual(learned_share(0.01, stay_probability=1.0), MIN_SHARE)
 
     def test_a_program_under_way_does_not_count_yet(self) -> None:
         times = ProgramTimes()
--- a/tests/unit/scheduling/test_return_times.py
+++ b/tests/unit/scheduling/test_return_times.py
@@ -21,10 +21,10 @@
     ]
 
 
-def most_at_once(times: list[float], window: float = 0.05) -> float:
+def largest_cluster(times: list[float], window: float = 0.05) -> float:
     """Return the greatest fraction of the callers that return within one window."""
-    most = max(sum(start <= time < start + window for time in times) for start in times)
-    return most / len(times)
+    largest = max(sum(start <= time < start + window for time in times) for start in times)
+    return largest / len(times)
 
 
 class Returns(unittest.TestCase):
@@ -41,7 +41,7 @@
     def test_callers_that_were_refused_together_do_not_return_together(self) -> None:
         for expected in (0.0, 0.3, 5.0):
             times = [return_after(item, expected) for item in callers(has_begun=False)]
-            self.assertLess(most_at_once(times), 0.4)
+            self.assertLess(largest_cluster(times), 0.4)
 
     def test_begun_programs_return_sooner(self) -> None:
         begun = [return_after(item, 0.0) for item in callers(has_begun=True)]
@@ -56,5 +56,5 @@
     def test_after_an_outage_they_are_spread_too(self) -> None:
         first = [return_after_outage(item) for item in callers(has_begun=False)]
         begun = [return_after_outage(item) for item in callers(has_begun=True)]
-        self.assertLess(most_at_once(first), 0.2)
+        self.assertLess(largest_cluster(first), 0.2)
         self.assertLess(sum(begun) / len(begun), min(first) + 0.05)
