--- a/src/yokeline/scheduling/passing_over.py
+++ b/src/yokeline/scheduling/passing_over.py
@@ -34,7 +34,7 @@
     """Counts each tenant's service deficit at one node."""
 
     _deficits: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
-    _service_rate: FadingAverage = msgspec.field(
+    _served_rate: FadingAverage = msgspec.field(
         default_factory=lambda: FadingAverage(1.0, SERVICE_RATE_WEIGHT, SERVICE_RATE_FADE_SECONDS)
     )
 
@@ -48,10 +48,8 @@
 
     def note(self, tenant: str, now: float, *, is_served: bool) -> None:
         """Count a new program that was served, or that stopped waiting without being served."""
-        self._service_rate.observe(float(is_served), now)
-        deficit = self._deficits.pop(tenant, 0.0) + MIN_SERVICE_RATIO * self._service_rate.value(
-            now
-        )
+        self._served_rate.observe(float(is_served), now)
+        deficit = self._deficits.pop(tenant, 0.0) + MIN_SERVICE_RATIO * self._served_rate.value(now)
         if is_served:
             deficit -= 1.0
         self._deficits[tenant] = min(MAX_DEFICIT, max(-MAX_SURPLUS, deficit))
--- a/src/yokeline/scheduling/room_waits.py
+++ b/src/yokeline/scheduling/room_waits.py
@@ -125,9 +125,9 @@
     """
     max_wait = longest_wait(need)
     expected = expected_wait(room)
-    has_limit = need.has_program and not need.is_interrupted
+    is_refusable = need.has_program and not need.is_interrupted
     limit = max_wait if need.has_begun else EXPECTED_WAIT_SHARE * max_wait
-    is_refused = has_limit and (expected > limit or max_wait <= 0)
+    is_refused = is_refusable and (expected > limit or max_wait <= 0)
     refusal = RoomRefusal.EXPECTED_WAIT if is_refused else None
     return RoomDecision(bears=max_wait, expected=expected, refusal=refusal)
 
