--- a/tests/unit/scheduling/test_program_admission.py
+++ b/tests/unit/scheduling/test_program_admission.py
@@ -12,7 +12,7 @@
 from yokeline.scheduling.program_sizes import OUTLIER_FACTOR, ProgramSize
 
 SIZE = ProgramSize(requests=10.0, deviation=0.0, seconds=2.0)
-UNSURE = ProgramSize(requests=10.0, deviation=3.0, seconds=2.0)
+VARIABLE = ProgramSize(requests=10.0, deviation=3.0, seconds=2.0)
 
 
 def held(count: int, *, used: int = 0, size: ProgramSize = SIZE) -> list[Claims]:
@@ -32,11 +32,11 @@
         self.assertEqual((claims.count, claims.requests, claims.seconds), (3, 6.0, 1.2))
 
     def test_it_grows_with_a_program_that_asks_for_more_than_expected(self) -> None:
-        (claims,) = held(1, used=12, size=UNSURE)
-        self.assertEqual(claims.requests, UNSURE.deviation)
+        (claims,) = held(1, used=12, size=VARIABLE)
+        self.assertEqual(claims.requests, VARIABLE.deviation)
 
     def test_a_program_that_loops_holds_nothing(self) -> None:
-        self.assertEqual(held(1, used=int(OUTLIER_FACTOR * 10) + 1, size=UNSURE), [])
+        self.assertEqual(held(1, used=int(OUTLIER_FACTOR * 10) + 1, size=VARIABLE), [])
 
 
 class Decisions(unittest.TestCase):
@@ -44,7 +44,7 @@
         self.assertTrue(decision(30.0, 0.001, held(2)).is_let_in)
 
     def test_what_comes_in_while_programs_run_counts(self) -> None:
-        """Five programs of 5 requests a second run on 30 a second, with nothing to spare."""
+        """Six programs of 5 requests per second, the new one included, need a refill of 30."""
         self.assertTrue(decision(0.0, 30.0, held(5)).is_let_in)
         self.assertFalse(decision(0.0, 29.0, held(5)).is_let_in)
 
@@ -55,7 +55,7 @@
         self.assertTrue(decision(25.0, 10.0, [quick, slow]).is_let_in)
 
     def test_a_refusal_tells_when_there_is_room(self) -> None:
-        """At 15 a second, after three programs of 5 a second, there is room when they end."""
+        """Three programs of 5 requests per second use up a refill of 15 until they end."""
         refused = decision(0.0, 15.0, held(3))
         self.assertFalse(refused.is_let_in)
         self.assertAlmostEqual(refused.retry_after, 2.0, delta=0.05)
@@ -78,8 +78,8 @@
                 self.assertEqual(again.is_let_in, share > 1.0, (level, rate, count, share))
 
     def test_the_margin_grows_with_the_root_of_the_number_of_claims(self) -> None:
-        few = decision(0.0, 1.0, held(4, size=UNSURE), UNSURE).margin
-        many = decision(0.0, 1.0, held(16, size=UNSURE), UNSURE).margin
+        few = decision(0.0, 1.0, held(4, size=VARIABLE), VARIABLE).margin
+        many = decision(0.0, 1.0, held(16, size=VARIABLE), VARIABLE).margin
         self.assertAlmostEqual(many / few, (17 / 5) ** 0.5)
 
     def test_an_unsure_estimate_lets_in_fewer(self) -> None:
@@ -90,7 +90,7 @@
                 if not decision(20.0, 100.0, held(count, size=size), size).is_let_in
             )
 
-        self.assertLess(most(UNSURE), most(SIZE))
+        self.assertLess(most(VARIABLE), most(SIZE))
 
     def test_the_only_program_of_a_tenant_is_let_in_however_large(self) -> None:
         huge = ProgramSize(requests=500.0, deviation=10.0, seconds=1.0)
