--- a/tests/property/test_ledger_founding.py
+++ b/tests/property/test_ledger_founding.py
@@ -1,6 +1,6 @@
-"""The ledger is founded once, whatever falls into the first moments of the first start.
+"""The ledger is bootstrapped once, with any faults during the first start.
 
-``python -m tests.property.test_ledger_founding RUNS`` plays as many fresh plans by hand.
+``python -m tests.property.test_ledger_founding RUNS`` runs that many random plans.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from yokeline.registry.nodes import FOUNDERS_KEY, decode_founders
 
 FAULTS_UNTIL_SECONDS = 5.0
-"""Founders are named between 0.5 s and 3 s after the start."""
+"""Founders are chosen between 0.5 s and 3 s after the start."""
 QUIET_SECONDS = 20.0
-"""Time without faults within which all running machines are to be members."""
+"""Time without faults within which all running machines become members."""
 FAULT_KINDS = ("kill", "power", "all_power", "freeze", "disk_hangs", "store_down")
 STORE_SECONDS = (0.004, 0.05, 0.4)
-"""What an answer of the key-value service takes in a plan."""
+"""Response times of the key-value service."""
 FEW = settings(derandomize=True, deadline=None, max_examples=60)
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Something that begins at a moment and ends after some seconds."""
+    """A fault that begins at a time and ends after some seconds."""
 
     at: float
     kind: str
@@ -37,10 +37,10 @@
 
 
 class Plan(msgspec.Struct, frozen=True):
-    """A first start: when machines come, what befalls them, and the one disk that is lost.
+    """A first start: start times of the machines, faults, and one lost disk.
 
     Attributes:
-        comes_back: Whether the machine of the lost disk starts again, with an empty one.
+        comes_back: Whether the machine with the lost disk starts again.
     """
 
     seed: int
@@ -73,7 +73,7 @@
 
 
 def random_plan(source: random.Random) -> Plan:
-    """Return a plan like those of ``plans``, from a random source."""
+    """Return a random plan with the distribution of ``plans``."""
     drawn = tuple(
         Fault(
             at=source.uniform(0.0, FAULTS_UNTIL_SECONDS),
@@ -95,7 +95,7 @@
 
 
 class Play:
-    """Plays a plan and says what does not hold."""
+    """Runs a plan and checks its outcome."""
 
     def __init__(self, plan: Plan) -> None:
         self.plan = plan
@@ -143,7 +143,7 @@
             self.gone.add(machine.name)
 
     def broken(self) -> str | None:
-        """Play the plan; return what does not hold."""
+        """Run the plan; return the violation, if any."""
         self.cluster.run(FAULTS_UNTIL_SECONDS + 2.0)
         if not self.cluster.run_until(self.is_whole, QUIET_SECONDS):
             return f"not all are members: {sorted(self.cluster.members())}"
@@ -151,14 +151,17 @@
             request_id="t", turn=KeptTurn(turn_id="t", previous="", text=b"x", retention=60.0)
         )
         if self.cluster.ask(kept) != Settled():
-            return "the ledger keeps no turn"
+            return "the turn was not retained"
         found = self.cluster.ask(Reserve(request_id="look", previous="t", missing_from="t"))
         if not isinstance(found, Granted):
             return "the turn is lost"
         return self.groups_broken()
 
     def is_whole(self) -> bool:
-        """Whether all that run are members; one that is gone for good may still be one."""
+        """Return whether all running machines are members that have caught up.
+
+        A machine that is gone may still be a member.
+        """
         leader = self.cluster.leader()
         if leader is None or leader.node is None:
             return False
@@ -169,12 +172,12 @@
         return is_caught_up and running <= self.cluster.members()
 
     def groups_broken(self) -> str | None:
-        """Look for a second group, or two leaders of one term."""
+        """Check for a second group, and for two leaders of one term."""
         chosen = decode_founders(self.cluster.store.items[FOUNDERS_KEY].value or b"")
         for record in self.cluster.log:
             is_founding = record.event == "ledger_founded"
             if is_founding and record.fields["founders"] != " ".join(chosen):
-                return f"another group was founded: {record.fields}"
+                return f"another group was bootstrapped: {record.fields}"
         leaders: dict[object, object] = {}
         for record in self.cluster.log:
             if record.event == "ledger_role_changed" and record.fields["role"] == "leader":
@@ -192,7 +195,7 @@
 
 
 def main(runs: int) -> int:
-    """Play fresh plans; print those in which something does not hold."""
+    """Run random plans; print those with a violation."""
     failed = 0
     for _ in range(runs):
         seed = random.SystemRandom().getrandbits(48)
--- a/tests/property/test_quotas.py
+++ b/tests/property/test_quotas.py
@@ -1,7 +1,7 @@
 """In no window does a tenant get more than its rate and the depth of its bucket.
 
-Leaders of the ledger change at random, also while the old one goes on proposing; a new one has
-applied only a part of what it holds; processes stand still; each has a clock of its own beginning.
+Leaders change at random, also while the old one still proposes. A new leader has applied only part
+of its log, processes pause, and each has a monotonic clock with a different origin.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 LONGEST_PAUSE = 0.4
 ROUNDING = 1e-6
 RESTART_SHARE = 0.3
-"""Share of new leaders that have just started, and have applied nothing yet."""
+"""Share of new leaders that have just started and have applied nothing."""
 
 
 class _Leader:
-    """A replica that leads in a term, with the log that it began with."""
+    """A replica that leads in a term, with the log that it started with."""
 
     def __init__(self, term: int, log: list[LedgerCommand], applied: int, offset: float) -> None:
         self.term = term
@@ -60,7 +60,7 @@
         if self.random.random() < RESTART_SHARE:
             applied = 0
         leader = _Leader(term, self.log, applied, self.random.uniform(0.0, 1e6))
-        self.leader_time(leader)  # asked something in its first moment, as a candidate is
+        self.leader_time(leader)  # a candidate reads its clock immediately
         return leader
 
     def leader_time(self, leader: _Leader) -> float:
@@ -76,11 +76,11 @@
         if self.old and self.random.random() < 0.2:
             self.leader_time(
                 self.random.choice(self.old)
-            )  # it proposes; nothing of it is committed
+            )  # the old leader proposes, but nothing is committed
         self.propose()
 
     def propose(self) -> None:
-        """Commit a draw, and let the leader apply what came before, or not yet."""
+        """Commit a draw, and let the leader apply earlier entries or lag behind."""
         operation = Draw(request_id=f"r{len(self.log)}", limit=self.limit)
         leader_time = self.leader_time(self.leader)
         self.log.append(LedgerCommand(time=0.0, operations=(operation,), passed=leader_time))
@@ -88,7 +88,7 @@
         self.leader.apply(self.random.randint(self.leader.applied, len(self.log)))
 
     def granted_at(self) -> list[float]:
-        """Return when the draws were proposed that the log as a whole grants."""
+        """Return the proposal times of the draws that the log grants."""
         state = LedgerState()
         times = []
         for command, at in zip(self.log, self.proposed_at, strict=True):
@@ -99,7 +99,7 @@
 
 
 def worst_excess(seed: int, limit: RateLimit) -> float:
-    """Return by how much the worst window exceeds what the limit gives (negative: it does not)."""
+    """Return by how much the worst window exceeds the limit; negative if none does."""
     world = _World(seed, limit)
     for _ in range(STEPS):
         world.step()
@@ -132,12 +132,12 @@
         world = _World(1, RateLimit("hule", 6.0, 6.0, 1))
         for _ in range(STEPS):
             world.step()
-        # Pauses without requests and lost time of new leaders take the rest.
+        # Pauses without requests and the lost time of new leaders account for the rest.
         self.assertGreater(len(world.granted_at()), 0.6 * 6.0 * world.now)
 
 
 class PlantedFaults(unittest.TestCase):
-    """Clocks that would break the bound are caught."""
+    """Incorrect clocks are detected."""
 
     def caught(self, time: Callable[[LeadershipClock, int, float, float], float]) -> bool:
         limit = RateLimit("hule", 6.0, 6.0, 1)
--- a/tests/unit/ledger/cluster.py
+++ b/tests/unit/ledger/cluster.py
@@ -1,5 +1,8 @@
-"""Storage nodes on a virtual clock: a network that drops, disks that forget what was not synced,
-and a key-value service that may be down."""
+"""Simulated storage nodes on a virtual clock.
+
+The network loses messages, a power loss discards unsynced writes, and the key-value service may be
+unavailable.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +54,7 @@
 
 
 class MemoryStore:
-    """The items of the key-value service, with their changes."""
+    """Items of the key-value service and their changes."""
 
     def __init__(self) -> None:
         self.items: dict[str, StoredItem] = {}
@@ -70,7 +73,7 @@
 
 
 class StoreView:
-    """One process's calls; a call is spelled as the recipe of its answer."""
+    """Calls of one process; the answer of each call is computed when it is read."""
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
@@ -116,7 +119,7 @@
         return answer or WatchEvents((), self._store.revision)
 
     def waits(self, request: HttpRequest) -> bool:
-        """Return whether a watch has nothing to say yet."""
+        """Return whether a watch has no changes to report yet."""
         return request.path == "watch" and self._pending_answers[request.request]() is None
 
     def _call(
@@ -130,7 +133,7 @@
 
 
 class Machine:
-    """A storage machine: its disk outlives its processes."""
+    """A storage machine, whose disk outlives its processes."""
 
     def __init__(self, name: str, number: int) -> None:
         self.name = NodeName(name)
@@ -146,7 +149,7 @@
         self.generation = 0
         self.unsynced: list[SyncFile] = []
         self.link_bytes_per_second = 0.0
-        """Of what the machine sends; 0 for a link without a limit."""
+        """Rate of the machine's outgoing link; 0 for unlimited."""
         self.link_free_at = 0.0
         self.sent_bytes = 0
         self.receives_copies = True
@@ -160,7 +163,7 @@
 
 
 class EdgeClient:
-    """A forwarding node's client of the ledger, and how to reach it."""
+    """The ledger client of a forwarding node."""
 
     def __init__(self, name: str, address: Address) -> None:
         self.process = ReplicaId(name)
@@ -168,7 +171,7 @@
 
 
 class Cluster:
-    """Machines, an asking edge, and the events between them."""
+    """Machines, forwarding nodes, and the events between them."""
 
     def __init__(self, count: int, seed: int, *, link_mbps: float = 0.0) -> None:
         self.random = random.Random(seed)
@@ -176,7 +179,7 @@
         self.now = 0.0
         self.store = MemoryStore()
         self.store_seconds = 0.004
-        """What an answer of the key-value service takes."""
+        """Response time of the key-value service."""
         self.machines = [Machine(f"storage-{index}", index) for index in range(count)]
         self.edges = {_DEFAULT_EDGE: EdgeClient(_DEFAULT_EDGE, _DEFAULT_EDGE_ADDRESS)}
         self.client = self.edges[_DEFAULT_EDGE].client
@@ -186,11 +189,11 @@
         self.log: list[LogRecord] = []
         self.histories: list[HistoryReply] = []
         self.joins: list[ReplicaId] = []
-        """Replicas that were asked for membership, once for each request."""
+        """Recipients of join requests, once per request."""
         self.text_copies_sent: list[str] = []
-        """Turns whose texts were sent to a follower, once for each."""
+        """Turns whose texts were sent to a follower, once per message."""
         self.undelivered: list[tuple[ReplicaId, LedgerReply]] = []
-        """Answers to askers that are not played."""
+        """Replies to processes that are not simulated."""
         for machine in self.machines:
             self.start(machine)
         self._schedule(0.01, self._tick_edges)
@@ -198,7 +201,7 @@
     # ------------------------------------------------------------ machines
 
     def prepare_machine(self, number: int) -> Machine:
-        """Add a machine of the first start that does not run yet."""
+        """Add a machine of the first start without starting it."""
         machine = Machine(f"storage-{number}", number)
         self.machines.append(machine)
         return machine
@@ -243,13 +246,13 @@
         self._tick_repeatedly(machine, machine.generation)
 
     def kill(self, machine: Machine) -> None:
-        """End the process; what was written stays."""
+        """End the process; all writes reach the disk."""
         for effect in machine.unsynced:
             _write_to_disk(machine, effect)
         self._end(machine)
 
     def power_off(self, machine: Machine) -> None:
-        """End the process; of the writes that were not synced a random part stays, maybe torn."""
+        """End the process; a random part of the unsynced writes stays, possibly truncated."""
         for effect in machine.unsynced:
             if effect.replace or self.random.random() < 0.4:
                 break
@@ -260,7 +263,7 @@
         self._end(machine)
 
     def wipe(self, machine: Machine) -> None:
-        """Lose the machine's disk with its process."""
+        """End the process and erase the disk."""
         self._end(machine)
         machine.disk = b""
 
@@ -272,7 +275,7 @@
     # ------------------------------------------------------------ time
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the time."""
         end = self.now + seconds
         while self._queue and self._queue[0][0] <= end:
             self.now, _, action = heapq.heappop(self._queue)
@@ -280,7 +283,7 @@
         self.now = end
 
     def run_until(self, condition: Callable[[], bool], limit: float) -> bool:
-        """Let time pass until something holds; return whether it did within ``limit``."""
+        """Advance the time until a condition holds; return whether it does within ``limit``."""
         end = self.now + limit
         while not condition():
             if not self._queue or self._queue[0][0] > end:
@@ -300,14 +303,14 @@
         return max(leading, key=lambda item: item.node.replica.group.term, default=None)
 
     def members(self) -> set[ReplicaId]:
-        """Return the members that the leader knows."""
+        """Return the members in the leader's configuration."""
         leader = self.leader()
         if leader is None or leader.node is None:
             return set()
         return set(leader.node.replica.group.members)
 
     def all_members(self) -> bool:
-        """Return whether every running machine is a member that holds all that is committed."""
+        """Return whether every running machine is a member that has caught up."""
         leader = self.leader()
         running = {item.replica for item in self.machines if item.node is not None}
         if leader is None or leader.node is None or self.members() != running:
@@ -319,7 +322,7 @@
     # ------------------------------------------------------------ requests
 
     def ask(self, operation: Operation, limit: float = 5.0) -> OperationResult | None:
-        """Ask the ledger as an edge does, and wait."""
+        """Submit an operation through the default edge, and wait for its result."""
         answers: list[OperationResult | None] = []
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
@@ -336,7 +339,7 @@
         return answers[0] if answers else None
 
     def add_edge(self, name: str) -> EdgeClient:
-        """Add another forwarding node's client; it knows the machines that run now."""
+        """Add a forwarding node's client that knows the machines running now."""
         edge = EdgeClient(name, Address(f"10.0.9.{len(self.edges) + 10}", 1))
         edge.client.set_storage(
             {item.replica: item.address for item in self.machines if item.node is not None}
@@ -350,7 +353,7 @@
         self._schedule(0.01, self._tick_edges)
 
     def carry_out_edge(self, process: ReplicaId, effects: list[Effect]) -> None:
-        """Carry out what a forwarding node's client wants done."""
+        """Carry out the effects of a forwarding node's client."""
         for effect in effects:
             if isinstance(effect, SendPeer):
                 self._send(process, None, effect)
@@ -358,7 +361,7 @@
                 self.log.append(effect)
 
     def at(self, time: float, action: Callable[[], None]) -> None:
-        """Do something at a moment."""
+        """Schedule an action."""
         self._schedule(time - self.now, action)
 
     # ------------------------------------------------------------ events
@@ -374,7 +377,7 @@
         self._schedule(0.01, lambda: self._tick_repeatedly(machine, generation))
 
     def deliver_event(self, machine: Machine, event: Event) -> None:
-        """Let a machine take an event now."""
+        """Deliver an event to a machine immediately."""
         assert machine.node is not None
         generation = machine.generation
         for effect in machine.node.handle(event, self.now):
@@ -465,7 +468,7 @@
                 self._schedule(delay, lambda m=machine: self._arrive(m, effect.to, event))
 
     def _link_delay(self, source: Machine, effect: SendPeer) -> float:
-        """Return how long a message takes through its sender's link, behind the earlier ones."""
+        """Return a message's delay on its sender's link, behind earlier messages."""
         size = len(_CODEC.encode_peer(source.replica, effect.to, effect.message))
         source.sent_bytes += size
         source.link_free_at = max(source.link_free_at, self.now)
--- a/tests/unit/ledger/release_samples.py
+++ b/tests/unit/ledger/release_samples.py
@@ -1,4 +1,4 @@
-"""What nodes of an earlier release write and send, in the fields that it knows.
+"""Data that nodes of an earlier release write and send, with the fields of that release.
 
 ``git archive RELEASE src | tar -x -C FOLDER`` and ``PYTHONPATH=FOLDER/src python -m
 tests.unit.ledger.release_samples FILE`` write the bytes of that release.
@@ -98,7 +98,7 @@
 
 
 def messages(entry: bytes) -> list[msgspec.Struct]:
-    """Return messages of each kind; ``entry`` is the command of a log entry, as it was encoded."""
+    """Return messages of each type; ``entry`` is the encoded command of a log entry."""
     hint = LeaderHint(SENDER, ADDRESS)
     turns = NodeTurns(3, (EngineLoad("i-1", 2),), (TurnServed("i-1", True, 1.5, True),))
     results = (
@@ -163,7 +163,7 @@
 
 
 def disk() -> bytes:
-    """Return the records of a replica's file."""
+    """Return the records of a replica's log file."""
     entries = [
         LogEntry(index=number, term=1, kind=EntryKind.COMMAND, command=encode_command(command))
         for number, command in enumerate(commands(), 1)
@@ -179,7 +179,7 @@
 
 
 def encoded() -> dict[str, list[bytes]]:
-    """Return the bytes that this release writes, by kind."""
+    """Return the bytes that the running release writes, by type."""
     codec = LedgerCodec()
     entries = [encode_command(command) for command in commands()]
     return {
@@ -192,7 +192,7 @@
 
 
 def stored() -> dict[str, list[bytes]]:
-    """Return the bytes that the earlier release wrote."""
+    """Return the stored bytes of the earlier release."""
     rows: dict[str, list[str]] = json.loads(SAMPLES.read_text())
     return {kind: [base64.b64decode(item) for item in items] for kind, items in rows.items()}
 
--- a/tests/unit/ledger/test_admission_controller.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -1,4 +1,4 @@
-"""The leader refuses the first turn of a program that its tenant's limit would not carry."""
+"""Refusal of programs whose tenant's limit cannot carry them to the end."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
         self.lines: list[LogRecord] = []
 
     def ask(self, operation: Reserve | Draw | Settle) -> OperationResult:
-        """Ask the gate, and commit what it lets through."""
+        """Submit an operation, and commit it if it is admitted."""
         self.controller.tick(self.state, self.now)
         spent, lines = self.controller.refusal(operation, self.state, TERM, self.now)
         self.lines.extend(lines)
@@ -80,7 +80,7 @@
             self.ask(Draw(request_id=f"{name}/{number}", limit=limit, program=name))
 
     def learn(self) -> None:
-        """Let programs of 20 requests end under a wider limit; the later one begins full."""
+        """Let programs of 20 requests end under a wider limit."""
         for number in range(LEAST_PROGRAMS):
             self.run_program(f"earlier{number}", WIDE)
         self.now += MAX_IDLE_SECONDS
@@ -115,12 +115,7 @@
     def test_a_program_that_exhausts_its_budget_releases_its_claim_and_its_size_is_ignored(
         self,
     ) -> None:
-        """They loop: 86 of 550 requests in one second were told that their budget is spent.
-
-        Of a kind with 17 requests a program, 33 were expected, and the limit was half used:
-
-            program_not_admitted expected_requests=32.68 deviation=14.99 claims=121 claimed=1933
-        """
+        """Looping programs would otherwise inflate the expected size of their kind."""
         for number in range(LEAST_PROGRAMS):
             name = f"loop{number}"
             self.run_program(name, WIDE)
@@ -179,7 +174,7 @@
 
 class NewLeader(AdmissionCase):
     def successor(self, *, has_committed: bool) -> AdmissionController:
-        """Return the gate of a new leader, which has applied an entry of its term or not yet."""
+        """Return the controller of a new leader, which may have committed an entry of its term."""
         controller = AdmissionController()
         if has_committed:
             settle = Settle(request_id="x", program="y")
@@ -196,7 +191,7 @@
         self.assertIsInstance(spent, QuotaSpent)
 
     def test_a_new_leader_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
-        """What the one before it has proposed may be on its way; it may have led before itself."""
+        """Entries of the previous leader may be in flight, also if the same replica led before."""
         self.learn()
         self.begin(10)
         late = first_turn("late")
@@ -329,7 +324,7 @@
 
 
 class EarlierRelease(AdmissionCase):
-    """Replicas of the release before run side by side with this one during an upgrade."""
+    """Replicas of the previous release run beside this one during an upgrade."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -371,7 +366,7 @@
         self.assertEqual(state.programs["p"], Program(settled=["p/0"]))
 
     def test_an_entry_that_an_earlier_leader_wrote_gives_the_same_results(self) -> None:
-        """It skips the fields when it reads what nodes ask for, and writes none."""
+        """A leader of the earlier release drops the new fields from operations and writes none."""
         read = decode_struct(encode_command(self.command), _EarlierCommand).unwrap()
         theirs = decode_command(encode_struct(read)).unwrap()
         other = LedgerState()
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -1,4 +1,4 @@
-"""Loads of a tenant beyond its limit, replayed without network against the ledger's state."""
+"""Replays of a tenant above its limit against the ledger's state, without a network."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 SEEDS = (1, 2, 3)
 LOST_SHARE = 0.01
-"""Most of the programs that began and were refused after all: what they used is lost."""
+"""Maximum share of admitted programs that are refused later."""
 USED_SHARE = 0.95
-"""Least of a limit that is used while far more is asked for."""
+"""Minimum share of the limit that is used at high demand."""
 STARVED_SHARE = 0.25
-"""A kind is starved if it is served less than this as often as all."""
+"""A kind is starved if it begins less often than this, relative to all kinds."""
 
 LONG = Kind(name="long", weight=0.3, requests=18, step_seconds=0.4, fan_out=2)
 SHORT = Kind(name="short", weight=0.7, requests=4, step_seconds=0.4)
@@ -54,7 +54,7 @@
             self.assertGreaterEqual(len(outcome.ended), 0.98 * len(outcome.offered))
 
     def test_programs_of_a_tenant_within_its_limit_are_admitted_beside_a_hot_tenant(self) -> None:
-        """Both share one leader, and one book of claims."""
+        """Both tenants share one leader and its claims."""
         ledger = Ledger(has_gate=True)
         hot = Replay(HOT, ledger)
         calm = Replay(replace(HOT, tenant="calm", hot=1.0), ledger)
@@ -65,7 +65,7 @@
 
 
 class AdmissionPolicies(unittest.TestCase):
-    """The ways of the design note on the same arrivals."""
+    """The policies of ``benchmarks.program_admission`` on the same arrivals."""
 
     def test_by_time_loses_fewer_programs_and_uses_more_of_the_limit(self) -> None:
         slow = replace(
@@ -82,10 +82,10 @@
 
 
 class LargePrograms(unittest.TestCase):
-    """A kind that needs much at once, beside one that always takes what there is."""
+    """A kind that needs many tokens at once, beside one that takes tokens as they accrue."""
 
     def served_share(self, seed: int) -> float:
-        """Return how often large programs begin, as a share of how often all do."""
+        """Return how often large programs begin, relative to all programs."""
         slow = Kind(name="slow", weight=0.9, requests=10, step_seconds=0.5)
         large = Kind(name="large", weight=0.1, requests=40, step_seconds=0.2, fan_out=10)
         load = Load(kinds=(slow, large), hot_until=60.0, ends=70.0, seed=seed)
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -48,7 +48,7 @@
         self.now = 0.0
 
     def learn(self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS) -> None:
-        """Let programs of a kind run and rest."""
+        """Let programs of a kind run and become idle."""
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
             self.update(name, account(requests, self.now, self.now + 2.0, kind=kind))
@@ -123,10 +123,7 @@
         self.assertEqual(len(self.claims), 0)
 
     def test_a_program_of_a_fast_kind_releases_its_claim_sooner(self) -> None:
-        """Else those that have ended keep others out of a limit that is half used.
-
-        program_not_admitted level=803.36 (full) rate=532.0 claims=119 claimed=1894.1
-        """
+        """Claims of ended programs must not keep others out of a partly unused limit."""
         self.learn(40, "fast")
         self.update("p", account(39, self.now - 2.0, self.now, kind="fast"))
         self.update("slow", account(3, self.now, self.now, kind="unknown"))
@@ -263,12 +260,12 @@
 
 
 class LatePrograms(ClaimCase):
-    """Programs that are refused and come back leave the limit to those that can end in time."""
+    """Refused programs that retry too late leave the limit to those that meet their deadline."""
 
     time_limit = 4.0
 
     def learn_times(self, seconds: float) -> None:
-        """Let programs that were given four seconds run, and rest."""
+        """Let programs with a time limit of four seconds run and become idle."""
         for number in range(LEAST_PROGRAMS):
             name = f"t{number}"
             self.claims.add_provisional(candidate(name, time_left=self.time_limit), self.now)
@@ -282,7 +279,7 @@
         return decision
 
     def hold(self) -> None:
-        """Let a program claim what the bucket holds."""
+        """Let a program claim all tokens in the bucket."""
         self.update("held", account(1, self.now, self.now, has_open_turn=True))
 
     def test_a_late_program_yields_to_others(self) -> None:
@@ -317,7 +314,7 @@
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
     def test_admitted_programs_of_a_tenant_at_twice_its_limit_meet_their_deadlines(self) -> None:
-        """Each refused program comes back five times; with the rule few are let in late."""
+        """Each refused program retries up to five times; few are admitted too late."""
         in_time, let_in = self.replay(knows_time=True)
         before, let_in_before = self.replay(knows_time=False)
         self.assertGreater(in_time, 0.95 * let_in)
@@ -325,14 +322,14 @@
         self.assertGreater(let_in, 0.95 * let_in_before)
 
     def replay(self, *, knows_time: bool) -> tuple[int, int]:
-        """Return how many programs of ten requests began in time, and at all, in 40 s."""
+        """Return how many programs of ten requests began in time, and how many began, in 40 s."""
         self.claims, self.now = ClaimTracker(), 0.0
         self.learn_times(3.0)
         rate, level, began = 20.0, 0.0, self.now
         returning: list[tuple[float, int, str, float]] = []
-        """When a program asks, for which time, its name, and when it asked first."""
+        """Time of the request, attempt, name, time of the first request."""
         running: list[tuple[float, str, int, float]] = []
-        """When a program asks next, its name, its requests so far, and when it began."""
+        """Time of the next request, name, requests so far, time of the beginning."""
         in_time = let_in = number = 0
         while self.now < began + 40.0:
             self.now += 0.05
--- a/tests/unit/ledger/test_earlier_release.py
+++ b/tests/unit/ledger/test_earlier_release.py
@@ -1,4 +1,4 @@
-"""Bytes that an earlier release wrote are read as what that release meant."""
+"""Data written by an earlier release is decoded correctly."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def accounts(ledger: LedgerState) -> dict[str, object]:
-    """Return what each program has spent and reserved, and where it was read."""
+    """Return the spent and reserved tokens and the contexts of each program."""
     return {
         name: (program.spent, program.reserved, program.settled, program.contexts)
         for name, program in ledger.programs.items()
@@ -20,7 +20,7 @@
 
 
 def texts(ledger: LedgerState) -> dict[str, object]:
-    """Return the kept turns, and until when they are kept."""
+    """Return the retained turns and their expiry."""
     return {name: (stored.turn, stored.expires) for name, stored in ledger.turns.items()}
 
 
--- a/tests/unit/ledger/test_histories.py
+++ b/tests/unit/ledger/test_histories.py
@@ -1,4 +1,4 @@
-"""Texts of kept turns that come from a replica which does not lead."""
+"""Texts of retained turns served by replicas that do not lead."""
 
 from __future__ import annotations
 
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -1,4 +1,4 @@
-"""Ways from forwarding nodes to the ledger: cut off, one way cut, busy, or through another node."""
+"""Operations during partitions, leader changes and high load, sent directly or relayed."""
 
 from __future__ import annotations
 
@@ -167,16 +167,11 @@
             self.assertIsInstance(fleet.ask(edge, reserve("b", 1000)), Granted)
             began = fleet.now
             self.assertIsInstance(fleet.ask(edge, reserve("c", 1000)), Granted)
-            self.assertLess(fleet.now - began, MIN_TIMEOUT_SECONDS, "it knows the way by now")
+            self.assertLess(fleet.now - began, MIN_TIMEOUT_SECONDS, "the relay is known")
             self.assertIn("ledger_path_lost", edge.logged)
 
     def test_turns_of_a_partitioned_node_are_still_counted(self) -> None:
-        """Else all nodes take the engines for half as full as they are.
-
-        18 of 52 nodes were cut off, and their turns were in nobody's count:
-
-            engine_chosen load=6.4 (mean of three seconds); 12 to 15 turns were at each engine
-        """
+        """Nodes would otherwise underestimate the load of engines during a partition."""
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("a", 1000))
@@ -209,14 +204,14 @@
     def test_a_settlement_that_arrives_directly_and_relayed_counts_once(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
-        fleet.ask(edge, reserve("before"))  # operations go to a replica that is known to lead
+        fleet.ask(edge, reserve("before"))  # so that operations are sent to a known leader
         fleet.ask(edge, Settle(request_id="before", program="p", tokens=0))
         fleet.cut(edge, *STORAGE, answers_only=True)
         fleet.ask(edge, reserve("a"))
         settle = Settle(request_id="a", program="p", tokens=40)
         self.assertIsInstance(fleet.ask(edge, settle), Settled)
         fleet.run(1.0)
-        self.assertGreater(fleet.taken.count(settle), 1, "both ways were used")
+        self.assertGreater(fleet.taken.count(settle), 1, "sent directly and relayed")
         self.assertEqual(fleet.ledger.programs["p"].committed_tokens(), 40)
 
     def test_a_reservation_that_arrives_after_its_release_reserves_nothing(self) -> None:
@@ -242,7 +237,7 @@
 
 class NewLeader(unittest.TestCase):
     def test_pending_operations_are_answered_soon_after_an_election(self) -> None:
-        """Repetitions grow rarer, and one that goes to the dead leader waits the longest."""
+        """Retries back off, and operations sent to the failed leader have waited the longest."""
         fleet = Fleet(2)
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("first", 10_000))
@@ -312,7 +307,7 @@
         fleet.run(0.5)
         before = fleet.through_peers
         fleet.run(1.0)
-        self.assertEqual(fleet.through_peers, before, "all say that they do not reach it")
+        self.assertEqual(fleet.through_peers, before, "no node reports the ledger as reachable")
         fleet.leads = True
         fleet.run(1.0)
         self.assertTrue(all(edge.client.reaches_ledger for edge in fleet.edges))
--- a/tests/unit/ledger/test_load_lines.py
+++ b/tests/unit/ledger/test_load_lines.py
@@ -1,4 +1,4 @@
-"""What the log says of a ledger under load: repetitions by cause, and the leader's work."""
+"""Log lines of a ledger under load: retries by cause, and the leader's counters."""
 
 from __future__ import annotations
 
--- a/tests/unit/ledger/test_members.py
+++ b/tests/unit/ledger/test_members.py
@@ -1,4 +1,4 @@
-"""The next change of the ledger's members, from what its leader knows."""
+"""The next membership change, chosen from the leader's view of the group."""
 
 from __future__ import annotations
 
--- a/tests/unit/ledger/test_message_versions.py
+++ b/tests/unit/ledger/test_message_versions.py
@@ -1,4 +1,4 @@
-"""Messages about engines between this build and the one before it, in both directions."""
+"""Messages about engines between this release and the previous one, in both directions."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class EarlierTurnServed(msgspec.Struct, frozen=True, array_like=True):
-    """A served turn as the build before told it."""
+    """A turn's outcome in the previous release."""
 
     engine_id: str
     failed: bool
@@ -19,7 +19,7 @@
 
 
 class EarlierNodeTurns(msgspec.Struct, frozen=True, array_like=True):
-    """A node's report as the build before sent it."""
+    """A node's report in the previous release."""
 
     sequence: int
     loads: tuple[()]
@@ -27,7 +27,7 @@
 
 
 class EarlierEngineTurns(msgspec.Struct, frozen=True, array_like=True):
-    """An engine as the leader of the build before told of it."""
+    """The leader's data on an engine in the previous release."""
 
     engine_id: str
     running: int
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -1,7 +1,4 @@
-"""A ledger leader whose link is nearly full: what a burst leaves behind once it is over.
-
-Incident of sine-harvest-grown (docs/incidents/sine-harvest-grown-short.md).
-"""
+"""Recovery of a ledger leader with a nearly full link after a burst of load."""
 
 from __future__ import annotations
 
@@ -18,30 +15,30 @@
 TURN_SECONDS = 0.2
 TURNS = 5
 PROGRAMS_PER_SECOND = 5.0
-"""25 turns a second: the texts take 250,000 bytes a second to two followers, and answers and
-heartbeats some 60,000 more: the link is three quarters full."""
+"""25 turns per second; their texts, the answers and the heartbeats fill three quarters of the
+link."""
 BURST = 1.6
 ANSWER_LIMIT = 2.0
-"""As a forwarding node gives a reservation up."""
+"""Timeout of a reservation at a forwarding node."""
 ENGINES = 4
 
 
 class Load:
-    """Programs whose turns are reserved, generated and kept, each at another forwarding node."""
+    """Programs whose turns are reserved, generated and retained by different forwarding nodes."""
 
     def __init__(self, cluster: Cluster, edges: list[EdgeClient]) -> None:
         self.cluster = cluster
         self.edges = edges
         self.answers: list[tuple[float, float, bool]] = []
-        """When each operation was asked, the time to its result, and whether there was one."""
+        """For each operation: submission time, time to the result, whether there was a result."""
         self.kept: list[str] = []
-        """Turns that were acknowledged as kept."""
+        """Turns acknowledged as retained."""
         self.under_way = 0
         self._programs = 0
         self._turns = 0
 
     def arrive(self, start: float, end: float, per_second: float) -> None:
-        """Let programs begin, evenly."""
+        """Let programs begin at regular intervals."""
         for number in range(int((end - start) * per_second)):
             self.cluster.at(start + number / per_second, self._begin)
 
@@ -104,18 +101,18 @@
         self.cluster.carry_out_edge(edge.process, effects)
 
     def seconds(self, start: float, end: float) -> list[float]:
-        """Return the times to the results of what was asked between two moments, sorted."""
+        """Return the sorted response times of the operations submitted in an interval."""
         return sorted(took for asked, took, _ in self.answers if start <= asked < end)
 
     def median(self, start: float, end: float) -> float:
-        """Return the median of these times."""
+        """Return the median response time."""
         times = self.seconds(start, end)
         return times[len(times) // 2]
 
 
 class Burst(unittest.TestCase):
     def loaded(self, seed: int) -> tuple[Load, float]:
-        """Play five seconds of load, three of a burst and six of the load as before."""
+        """Run five seconds of load, three of a burst and eight of the original load."""
         cluster = Cluster(3, seed)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
         cluster.run(0.5)
@@ -137,7 +134,7 @@
             self.assertLess(after, 3 * before + 0.05, f"seed {seed}: {before:.3f} before")
 
     def test_no_running_turns_are_reported_once_all_have_ended(self) -> None:
-        """Else nodes refuse calls for want of room while the engines are idle."""
+        """Nodes would otherwise refuse calls while the engines are idle."""
         for seed in range(3):
             load, start = self.loaded(seed)
             load.cluster.run(16.0)
--- a/tests/unit/ledger/test_quotas.py
+++ b/tests/unit/ledger/test_quotas.py
@@ -31,11 +31,11 @@
         )
 
     def drain(self) -> int:
-        """Draw until nothing is left; return how many there were."""
+        """Draw until the bucket is empty; return the number of draws."""
         for count in range(1000):
             if isinstance(self.draw(), QuotaSpent):
                 return count
-        raise AssertionError("it never ends")
+        raise AssertionError("the bucket never empties")
 
 
 class Buckets(Quotas):
@@ -138,10 +138,7 @@
         self.assertEqual(second.time(term=2, applied=taken_over, now=56.5), 4.5)
 
     def test_a_leader_asked_before_it_has_applied_its_log_catches_up(self) -> None:
-        """After all storage nodes had lost power, the next leader was asked before it had applied
-        anything. Its time began at 0 where the buckets stood at 45 s, so none of them refilled for
-        45 s: refusals for the limit rose from 1 to 500 a second, and stayed there.
-        """
+        """Buckets would otherwise not refill until the new leader's time had caught up."""
         clock = LeadershipClock()
         self.assertEqual(clock.time(term=3, applied=0.0, now=10.0), 0.0)
         self.assertEqual(clock.time(term=3, applied=45.0, now=10.1), 45.0)
--- a/tests/unit/ledger/test_share_messages.py
+++ b/tests/unit/ledger/test_share_messages.py
@@ -1,4 +1,4 @@
-"""Builds before and after the shares of tenants understand each other."""
+"""Compatibility of messages with the release before tenant shares."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class EarlierRequest(msgspec.Struct, frozen=True, kw_only=True, tag="request"):
-    """The fields of :class:`LedgerRequest` before the shares of tenants."""
+    """The fields of :class:`LedgerRequest` before tenant shares."""
 
     number: int
     asker: Address
@@ -34,7 +34,7 @@
 
 
 class EarlierReply(msgspec.Struct, frozen=True, kw_only=True, tag="reply"):
-    """The fields of :class:`LedgerReply` before the shares of tenants."""
+    """The fields of :class:`LedgerReply` before tenant shares."""
 
     number: int
     results: tuple[OperationResult, ...] = ()
--- a/tests/unit/ledger/test_shares_told.py
+++ b/tests/unit/ledger/test_shares_told.py
@@ -1,4 +1,4 @@
-"""Shares on their way: nodes tell the leader, it tells them, also after it was replaced."""
+"""Tenant shares between nodes and the leader, also after a leader change."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Tenants(msgspec.Struct):
-    """What a node has of tenants, as a test sets it."""
+    """Loads of a node's tenants, set by the test."""
 
     running: dict[str, int]
     waiting: dict[str, int]
@@ -40,7 +40,7 @@
 
 
 class ToldShares(unittest.TestCase):
-    """One node has the hot tenant's turns, and another one calm programs that wait."""
+    """One node runs turns of the hot tenant; the calm tenant has waiting programs at another."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3, seed=1)
@@ -60,7 +60,7 @@
         return edge
 
     def ask(self) -> tuple[PoolShares, ...] | None:
-        """Let each node reserve a turn; return what was told with the last answer."""
+        """Reserve a turn at each node; return the shares in the last answer."""
         self.received.clear()
         for edge in self.edges:
             self.reserve(edge)
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -62,7 +62,7 @@
 
 
 def is_retired(cluster: Cluster, machine: Machine) -> bool:
-    """Return whether the operator was told that a machine may be taken away."""
+    """Return whether a machine's retirement was reported as completed."""
     item = cluster.store.items.get(f"status/retire/{machine.name}")
     return item is not None and b"completed" in (item.value or b"")
 
@@ -101,7 +101,7 @@
 
 class BootstrapFaults(StorageCase):
     def test_a_founder_loses_its_disk_before_the_bootstrap(self) -> None:
-        """The key in the store names a replica that nobody will ever be again."""
+        """The founders in the key-value service include a replica that never returns."""
         for number in range(3):
             cluster = Cluster(3, number)
             self.assertTrue(cluster.run_until(lambda c=cluster: FOUNDERS_KEY in c.store.items, 5.0))
@@ -129,7 +129,7 @@
         self.assertEqual((len(founders), len(zones)), (5, 5))
 
     def test_a_vote_given_before_the_bootstrap_is_kept(self) -> None:
-        """Else the replica could vote for two leaders of one term."""
+        """A replica must not vote for two leaders of one term."""
         replica = LedgerReplica(
             replica=ReplicaId("a~1"),
             address=Address("10.0.0.1", 1),
@@ -148,7 +148,7 @@
         self.assertEqual(replica.group.hard_state, HardState(4, candidate))
 
     def test_a_replica_is_not_registered_before_its_id_is_on_disk(self) -> None:
-        """A loss of power would leave a founder that nobody ever is."""
+        """After a power loss, the founders would include a replica that never returns."""
         cluster = Cluster(0, 1)
         machine = cluster.prepare_machine(0)
         machine.disk_hangs = True
@@ -170,7 +170,7 @@
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
 
     def test_a_late_founder_receives_the_group_from_its_leader_and_keeps_its_entries(self) -> None:
-        """It does not found, since it holds entries that may be acknowledged."""
+        """It must not bootstrap, because it may hold acknowledged entries."""
         cluster = Cluster(3, 1)
         late = cluster.machines[2]
         cluster.run_until(lambda: FOUNDERS_KEY in cluster.store.items, 5.0)
@@ -226,7 +226,7 @@
 
 class Overload(StorageCase):
     def flood(self, cluster: Cluster, leader: Machine, repetitions: int) -> int:
-        """Send turns with long texts, each several times; return the entries that they took."""
+        """Send turns with long texts, each several times; return the number of new log entries."""
         assert leader.node is not None
         before = leader.node.replica.group.last_index
         for _ in range(repetitions):
@@ -242,7 +242,7 @@
         return leader.node.replica.group.last_index - before
 
     def test_the_size_of_an_entry_is_bounded(self) -> None:
-        """Heartbeats wait behind it: one entry with all that waits costs the leader its term."""
+        """Heartbeats queue behind an entry; a large one would cost the leader its term."""
         cluster = self.cluster()
         leader = self.leader(cluster)
         self.assertGreaterEqual(self.flood(cluster, leader, 1), 40 * 15_000 // (64 * 1024 + 15_000))
@@ -274,8 +274,7 @@
         self.assertEqual(answered, {ReplicaId("edge~2"), ReplicaId("edge~3")})
 
     def test_a_duplicate_of_an_answered_draw_takes_no_token(self) -> None:
-        """Nodes repeat what they hear no answer to; on a busy machine a limit of three requests let
-        two in, since one of them was drawn twice."""
+        """Nodes retry draws whose answer is lost."""
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -344,14 +343,14 @@
         return replica
 
     def finish(self, replica: LedgerReplica, effects: list[Effect]) -> list[SyncFile]:
-        """Carry writes out at once; return all of them."""
+        """Complete all writes immediately, and return them."""
         writes = [effect for effect in effects if isinstance(effect, SyncFile)]
         for effect in list(writes):
             writes.extend(self.finish(replica, replica.synced(effect.ticket)))
         return writes
 
     def test_a_state_above_the_minimum_size_is_not_compacted_at_every_sync(self) -> None:
-        """Else the replica does nothing but write its state, and the ledger stands still."""
+        """The replica would otherwise do nothing but write its state."""
         replica = self.replica(compact_bytes=20_000)
         replaced = 0
         for number in range(100):
@@ -362,7 +361,7 @@
         self.assertLessEqual(replaced, 4)
 
     def test_many_committed_entries_are_applied_over_several_ticks(self) -> None:
-        """A leader that applied them in one go would send no heartbeat meanwhile."""
+        """Heartbeats would otherwise be delayed."""
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
@@ -390,7 +389,7 @@
         self.assertIsInstance(reserve("a"), Granted)
         self.assertIsInstance(reserve("b"), Granted)
         self.assertEqual(reserve("c"), BudgetSpent(spent=800))
-        self.assertIsInstance(reserve("a"), Granted)  # repeated, not counted twice
+        self.assertIsInstance(reserve("a"), Granted)  # a duplicate, not counted twice
         self.assertEqual(cluster.ask(Settle(request_id="a", program="p", tokens=100)), Settled())
         self.assertEqual(reserve("c"), Granted(spent=500))
 
@@ -546,7 +545,7 @@
         cluster.wipe(gone)
         cluster.machines.remove(gone)
         cluster.run(1.0)
-        cluster.machines.append(gone)  # keeps its number; it never starts again
+        cluster.machines.append(gone)  # keeps its number, but never starts again
         cluster.add_machine()
         self.assertTrue(cluster.run_until(cluster.all_members, 6.0))
         self.assert_kept(cluster, "t1")
@@ -561,7 +560,7 @@
         self.assertTrue(cluster.run_until(cluster.all_members, CATCH_UP_SECONDS))
 
     def retire(self, cluster: Cluster, machine: Machine) -> None:
-        """Let a machine be emptied, and take it away."""
+        """Retire a machine, and remove it once this is reported as completed."""
         cluster.store.put(f"op/retire/{machine.name}", json.dumps({"duration-s": 8}).encode())
         status = f"status/retire/{machine.name}"
 
@@ -610,7 +609,7 @@
                 name = f"c{number}"
                 if cluster.ask(turn(name), 3.0) is not None:
                     names.append(name)
-            self.assertTrue(names, f"seed {seed}: neither went on")
+            self.assertTrue(names, f"seed {seed}: neither continued")
             cluster.run(1.0)
             sizes = [len(item.node.replica.group.members) for item in cluster.machines if item.node]
             self.assertEqual(sizes.count(1), 1, f"seed {seed}: {sizes}")
@@ -647,23 +646,18 @@
 
 
 SETTLING_SECONDS = 8.0
-"""Until only the leader watches the key-value service."""
+"""Time until only the leader watches the key-value service."""
 
 
 class RetirementAndNewLeader(StorageCase):
-    """A leader that did not read the operator's orders took an emptied machine in again.
+    """A new leader that has not read the operator's orders must not add a retired machine again.
 
-    The order to empty it had gone to the leader before, whose disk was lost; the service that keeps
-    the orders was away. The machine had asked to join just before it was taken away for good, so
-    of four members two were gone, and no turn was served for 4 s. The lines that showed it:
-
-        retire_step node=storage-hall-b-1 completed=true term=2
-        ledger_role_changed role=leader term=3
-        membership_step step=AddMember replica=storage-hall-b-1~1261b57551b638ba
+    The machine asked to join just before it was removed; as a member, it would count in each
+    majority.
     """
 
     def retired_machine(self, cluster: Cluster) -> Machine:
-        """Empty a machine that does not lead, at the operator's order, and return it."""
+        """Retire a machine that does not lead, and return it."""
         cluster.run(SETTLING_SECONDS)
         leader = self.leader(cluster)
         retired = next(machine for machine in cluster.machines if machine is not leader)
@@ -711,14 +705,14 @@
 
 class Standbys(StorageCase):
     def settled(self, count: int, seed: int) -> Cluster:
-        """Return a cluster whose members are chosen, and whose other nodes stand by."""
+        """Return a cluster with five members, whose other nodes are standbys."""
         cluster = Cluster(count, seed)
         self.assertTrue(cluster.run_until(lambda: len(cluster.members()) == 5, 10.0))
         cluster.run(8.0)
         return cluster
 
     def test_only_the_leader_watches_the_key_value_service(self) -> None:
-        """Each call is paid for."""
+        """Calls to the service are billed."""
         cluster = self.settled(8, 1)
         before = {machine.name: machine.watch_calls for machine in cluster.machines}
         leader = self.leader(cluster)
@@ -759,15 +753,10 @@
             self.assert_kept(cluster, "t1")
 
     def test_two_disks_are_lost_right_after_a_retirement(self) -> None:
-        """The group must bear two losses at each moment of an emptying.
-
-        The leader was emptied by taking its replica out first, and its successor knew of no node
-        that stood by. Of the four members that were left two lost their disks a quarter of a second
-        later, and no turn was served until both were back:
+        """The group must tolerate two losses at any time during a retirement.
 
-            9.79 membership_step step=RemoveMember replica=storage-krg-a-1~4a386ea37ef92b4a
-            10.65 ledger_role_changed role=follower leader=null
-            12.59 ledger_role_changed role=leader term=4
+        If the retiring leader left before its successor joined, two lost disks would stop the
+        ledger.
         """
         for seed in range(6):
             cluster = self.settled(8, seed)
--- a/tests/unit/ledger/test_tenant_places.py
+++ b/tests/unit/ledger/test_tenant_places.py
@@ -1,4 +1,4 @@
-"""What the ledger's leader knows of tenants' places, from the reports of several nodes."""
+"""Tenant shares computed from the reports of several nodes."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 class Shares(ReportedLoads):
     def test_loads_of_all_nodes_add_up(self) -> None:
-        """No node alone holds more of the hot tenant than of the other one."""
+        """Neither node alone runs more turns of the hot tenant than of the calm one."""
         self.report("n", TenantLoad("hot", 1.0, 5, 0), TenantLoad("calm", 1.0, 1, 3))
         self.report("m", TenantLoad("hot", 1.0, 6, 2))
         self.assertEqual(self.shares(), (PoolShares("models", 8.0, ("hot",)),))
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -1,4 +1,4 @@
-"""Texts that followers get from the nodes that have them: the log is the same in every case."""
+"""Texts sent to followers by nodes; the replicated log is the same with and without them."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
     @given(st.lists(st.tuples(st.binary(max_size=40), st.booleans()), min_size=1, max_size=6))
     def test_a_restored_message_equals_the_original(self, texts: list[tuple[bytes, bool]]) -> None:
-        """Also with texts that are empty, equal, or parts of each other."""
+        """Also with texts that are empty, equal, or contained in each other."""
         settlements = [turn(f"t{n}", text=text) for n, (text, _) in enumerate(texts)]
         entry = self.entry(*settlements)
         copied = [
@@ -114,7 +114,7 @@
 
 class Utilization(unittest.TestCase):
     def test_utilization_follows_the_bytes_with_hysteresis(self) -> None:
-        link = LinkUtilization(8.0)  # a million bytes a second
+        link = LinkUtilization(8.0)  # one million bytes per second
         now = 0.0
         states = []
         for per_second in (100_000, 400_000, 180_000, 60_000):
@@ -132,7 +132,7 @@
 
 class Replicated(StorageCase):
     def with_high_utilization(self, seed: int) -> tuple[Cluster, Load]:
-        """Return a cluster under load whose leader asks for copies."""
+        """Return a cluster under load whose leader requests text copies."""
         cluster = Cluster(3, seed, link_mbps=LINK_MBPS)
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
         cluster.run(0.5)
--- a/tests/unit/ledger/test_turns_under_way.py
+++ b/tests/unit/ledger/test_turns_under_way.py
@@ -28,7 +28,7 @@
         self.nodes = {name: OwnTurns() for name in ("n", "m")}
 
     def report(self, node: str = "n") -> NodeTurns:
-        """Let a node report, and return what it said."""
+        """Let a node report, and return the report."""
         report = self.nodes[node].take_report(self.now)
         assert report is not None
         self.turns.take(ReplicaId(node), report, self.now)
@@ -70,7 +70,7 @@
         for request_id in ("a", "b", "c"):
             self.begin(request_id, "e")
         self.nodes["n"].end("a", TurnServed("e", False, 0.0))
-        self.nodes["n"].take_report(self.now)  # lost on the way
+        self.nodes["n"].take_report(self.now)  # the message is lost
         self.end("b", "e")
         self.assertEqual(self.engine("e").running, 1)
 
@@ -131,7 +131,7 @@
         self.assertLess(self.engine("slow").slowness_percent, 120)
 
     def serve(self, engine_id: str, seconds: float, turns: int) -> None:
-        """Let turns end at an engine, a second after each other."""
+        """Let turns end at an engine, one per second."""
         for number in range(turns):
             self.now += 1.0
             pace = round(seconds / PACE_UNIT_SECONDS)
