--- a/tests/property/test_ledger_founding.py
+++ b/tests/property/test_ledger_founding.py
@@ -74,7 +74,7 @@
 
 def random_plan(source: random.Random) -> Plan:
     """Return a random plan with the distribution of ``plans``."""
-    drawn = tuple(
+    drawn_faults = tuple(
         Fault(
             at=source.uniform(0.0, FAULTS_UNTIL_SECONDS),
             kind=source.choice(FAULT_KINDS),
@@ -86,7 +86,7 @@
     return Plan(
         seed=source.randrange(10_000),
         starts=tuple(source.uniform(0.0, 1.2) for _ in range(source.randint(3, 5))),
-        faults=drawn,
+        faults=drawn_faults,
         lost_at=source.uniform(0.0, FAULTS_UNTIL_SECONDS),
         lost_machine=source.randrange(5),
         comes_back=source.random() < 0.5,
@@ -101,7 +101,7 @@
         self.plan = plan
         self.cluster = Cluster(0, plan.seed)
         self.cluster.store_seconds = plan.store_seconds
-        self.gone: set[str] = set()
+        self.lost_machines: set[str] = set()
         for number, start in enumerate(plan.starts):
             machine = self.cluster.prepare_machine(number)
             self.cluster.at(start, lambda m=machine: self.start(m))
@@ -113,14 +113,14 @@
         return self.cluster.machines[number % len(self.cluster.machines)]
 
     def start(self, machine: Machine) -> None:
-        if machine.node is None and machine.name not in self.gone:
+        if machine.node is None and machine.name not in self.lost_machines:
             self.cluster.start(machine)
 
     def begin(self, fault: Fault) -> None:
         machine = self.machine(fault.machine)
         if fault.kind in ("kill", "power", "all_power"):
-            struck = self.cluster.machines if fault.kind == "all_power" else [machine]
-            for item in struck:
+            affected = self.cluster.machines if fault.kind == "all_power" else [machine]
+            for item in affected:
                 end = self.cluster.kill if fault.kind == "kill" else self.cluster.power_off
                 end(item)
                 self.cluster.at(
@@ -140,12 +140,12 @@
         if self.plan.comes_back:
             self.cluster.at(self.cluster.now + 0.5, lambda: self.start(machine))
         else:
-            self.gone.add(machine.name)
+            self.lost_machines.add(machine.name)
 
     def broken(self) -> str | None:
         """Run the plan; return the violation, if any."""
         self.cluster.run(FAULTS_UNTIL_SECONDS + 2.0)
-        if not self.cluster.run_until(self.is_whole, QUIET_SECONDS):
+        if not self.cluster.run_until(self.all_running_are_members, QUIET_SECONDS):
             return f"not all are members: {sorted(self.cluster.members())}"
         kept = Settle(
             request_id="t", turn=KeptTurn(turn_id="t", previous="", text=b"x", retention=60.0)
@@ -155,9 +155,9 @@
         found = self.cluster.ask(Reserve(request_id="look", previous="t", missing_from="t"))
         if not isinstance(found, Granted):
             return "the turn is lost"
-        return self.groups_broken()
+        return self.group_violation()
 
-    def is_whole(self) -> bool:
+    def all_running_are_members(self) -> bool:
         """Return whether all running machines are members that have caught up.
 
         A machine that is gone may still be a member.
@@ -171,7 +171,7 @@
         is_caught_up = all(group.has_caught_up(other) for other in others)
         return is_caught_up and running <= self.cluster.members()
 
-    def groups_broken(self) -> str | None:
+    def group_violation(self) -> str | None:
         """Check for a second group, and for two leaders of one term."""
         chosen = decode_founders(self.cluster.store.items[FOUNDERS_KEY].value or b"")
         for record in self.cluster.log:
--- a/tests/property/test_quotas.py
+++ b/tests/property/test_quotas.py
@@ -39,13 +39,13 @@
             self.state.transition_apply(command)
         self.applied = applied
 
-    def apply(self, upto: int) -> None:
-        for command in self.log[self.applied : upto]:
+    def apply(self, end_index: int) -> None:
+        for command in self.log[self.applied : end_index]:
             self.state.transition_apply(command)
-        self.applied = upto
+        self.applied = end_index
 
 
-class _World:
+class _Simulation:
     def __init__(self, seed: int, limit: RateLimit) -> None:
         self.random = random.Random(seed)
         self.limit = limit
@@ -53,7 +53,7 @@
         self.log: list[LedgerCommand] = []
         self.proposed_at: list[float] = []
         self.leader = self.elect(1)
-        self.old: list[_Leader] = []
+        self.old_leaders: list[_Leader] = []
 
     def elect(self, term: int) -> _Leader:
         applied = self.random.randint(max(0, len(self.log) - 5), len(self.log))
@@ -71,11 +71,11 @@
         pause = self.random.expovariate(2 * self.limit.rate)
         self.now += LONGEST_PAUSE * 10 if self.random.random() < 0.01 else min(LONGEST_PAUSE, pause)
         if self.random.random() < 0.02:
-            self.old.append(self.leader)
+            self.old_leaders.append(self.leader)
             self.leader = self.elect(self.leader.term + 1)
-        if self.old and self.random.random() < 0.2:
+        if self.old_leaders and self.random.random() < 0.2:
             self.leader_time(
-                self.random.choice(self.old)
+                self.random.choice(self.old_leaders)
             )  # the old leader proposes, but nothing is committed
         self.propose()
 
@@ -100,10 +100,10 @@
 
 def worst_excess(seed: int, limit: RateLimit) -> float:
     """Return by how much the worst window exceeds the limit; negative if none does."""
-    world = _World(seed, limit)
+    simulation = _Simulation(seed, limit)
     for _ in range(STEPS):
-        world.step()
-    times = world.granted_at()
+        simulation.step()
+    times = simulation.granted_at()
     worst = -float("inf")
     end = 0
     for begin, first in enumerate(times):
@@ -129,11 +129,11 @@
         self.assertLessEqual(worst_excess(seed, limit), ROUNDING)
 
     def test_a_tenant_gets_most_of_what_its_limit_gives(self) -> None:
-        world = _World(1, RateLimit("hule", 6.0, 6.0, 1))
+        simulation = _Simulation(1, RateLimit("hule", 6.0, 6.0, 1))
         for _ in range(STEPS):
-            world.step()
+            simulation.step()
         # Pauses without requests and the lost time of new leaders account for the rest.
-        self.assertGreater(len(world.granted_at()), 0.6 * 6.0 * world.now)
+        self.assertGreater(len(simulation.granted_at()), 0.6 * 6.0 * simulation.now)
 
 
 class PlantedFaults(unittest.TestCase):
--- a/tests/unit/ledger/test_admission_controller.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -79,23 +79,23 @@
         for number in range(1, SIZE):
             self.ask(Draw(request_id=f"{name}/{number}", limit=limit, program=name))
 
-    def learn(self) -> None:
+    def learn_size(self) -> None:
         """Let programs of 20 requests end under a wider limit."""
         for number in range(LEAST_PROGRAMS):
             self.run_program(f"earlier{number}", WIDE)
         self.now += MAX_IDLE_SECONDS
 
-    def begin(self, count: int) -> list[OperationResult]:
+    def begin_programs(self, count: int) -> list[OperationResult]:
         return [self.ask(first_turn(f"new{number}")) for number in range(count)]
 
 
 class Admission(AdmissionCase):
     def test_new_programs_are_admitted_while_their_size_is_unknown(self) -> None:
-        self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
+        self.assertTrue(all(isinstance(item, Granted) for item in self.begin_programs(50)))
 
     def test_admits_as_many_programs_as_the_limit_carries_to_the_end(self) -> None:
-        self.learn()
-        results = self.begin(50)
+        self.learn_size()
+        results = self.begin_programs(50)
         admitted = sum(isinstance(item, Granted) for item in results)
         self.assertEqual(admitted, 200 // SIZE)
         refused = next(item for item in results if isinstance(item, QuotaSpent))
@@ -107,8 +107,8 @@
                 self.assertNotIsInstance(self.ask(draw), QuotaSpent)
 
     def test_begun_programs_and_tenants_without_a_limit_are_never_refused(self) -> None:
-        self.learn()
-        self.begin(50)
+        self.learn_size()
+        self.begin_programs(50)
         self.assertIsInstance(self.ask(first_turn("new0", request="sub-agent")), Granted)
         self.assertIsInstance(self.ask(first_turn("free", limit=None)), Granted)
 
@@ -123,25 +123,25 @@
             self.assertIsInstance(self.ask(more), BudgetSpent)
         self.assertEqual(self.controller.claims, 0)
         self.now += MAX_IDLE_SECONDS
-        self.assertTrue(all(isinstance(item, Granted) for item in self.begin(50)))
+        self.assertTrue(all(isinstance(item, Granted) for item in self.begin_programs(50)))
 
     def test_a_program_whose_first_turn_is_in_flight_is_not_new(self) -> None:
-        self.learn()
+        self.learn_size()
         self.assertIsNone(self.controller.refusal(first_turn("a"), self.state, TERM, self.now)[0])
-        self.begin(50)
+        self.begin_programs(50)
         sub_agent = first_turn("a", request="sub-agent")
         self.assertIsNone(self.controller.refusal(sub_agent, self.state, TERM, self.now)[0])
 
     def test_idle_programs_release_their_claims(self) -> None:
-        self.learn()
-        self.begin(50)
+        self.learn_size()
+        self.begin_programs(50)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
         self.now += MAX_TURN_SECONDS
         self.assertIsInstance(self.ask(first_turn("late")), Granted)
 
     def test_a_lowered_limit_admits_no_program_until_the_claims_fit(self) -> None:
-        self.learn()
-        self.begin(5)
+        self.learn_size()
+        self.begin_programs(5)
         lowered = RateLimit("hule", rate=0.5, burst=100.0, version=3)
         self.assertIsInstance(self.ask(first_turn("late", lowered)), QuotaSpent)
         for number in range(5):
@@ -150,15 +150,15 @@
         self.assertIsInstance(self.ask(first_turn("late", lowered)), Granted)
 
     def test_a_refusal_leaves_the_state_unchanged(self) -> None:
-        self.learn()
-        self.begin(10)
+        self.learn_size()
+        self.begin_programs(10)
         before = encode_state(self.state)
         self.assertIsInstance(self.ask(first_turn("late")), QuotaSpent)
         self.assertEqual(encode_state(self.state), before)
 
     def test_refusals_are_counted_and_logged_at_a_limited_rate(self) -> None:
-        self.learn()
-        results = self.begin(300)
+        self.learn_size()
+        results = self.begin_programs(300)
         refused = sum(isinstance(item, QuotaSpent) for item in results)
         self.assertEqual(self.controller.refused[CAUSE_CLAIMS], refused)
         self.assertEqual(len(self.lines), MAX_LOG_RECORDS_PER_SECOND)
@@ -183,8 +183,8 @@
         return controller
 
     def test_a_new_leader_rebuilds_sizes_and_claims_from_the_state(self) -> None:
-        self.learn()
-        self.begin(10)
+        self.learn_size()
+        self.begin_programs(10)
         controller = self.successor(has_committed=True)
         self.assertEqual(controller.claims, self.controller.claims)
         spent, _lines = controller.refusal(first_turn("late"), self.state, TERM + 1, self.now)
@@ -192,22 +192,22 @@
 
     def test_a_new_leader_refuses_nothing_before_it_has_applied_an_entry_of_its_term(self) -> None:
         """Entries of the previous leader may be in flight, also if the same replica led before."""
-        self.learn()
-        self.begin(10)
+        self.learn_size()
+        self.begin_programs(10)
         late = first_turn("late")
         for controller in (self.successor(has_committed=False), self.controller):
             spent, _lines = controller.refusal(late, self.state, TERM + 1, self.now)
             self.assertIsNone(spent)
 
     def test_a_replica_that_no_longer_leads_has_no_claims(self) -> None:
-        self.learn()
-        self.begin(10)
+        self.learn_size()
+        self.begin_programs(10)
         self.controller.reset()
         self.assertEqual(self.controller.claims, 0)
 
 
 class Wiring(StorageCase):
-    def learn(self, cluster: Cluster) -> None:
+    def learn_size(self, cluster: Cluster) -> None:
         for program in range(LEAST_PROGRAMS):
             name = f"earlier{program}"
             cluster.ask(first_turn(name, WIDE))
@@ -216,15 +216,15 @@
                 cluster.ask(Draw(request_id=f"{name}/{number}", limit=WIDE, program=name))
         cluster.run(MAX_IDLE_SECONDS + 0.1)
 
-    def begin(self, cluster: Cluster, count: int) -> list[OperationResult | None]:
+    def begin_programs(self, cluster: Cluster, count: int) -> list[OperationResult | None]:
         return [cluster.ask(first_turn(f"new{number}")) for number in range(count)]
 
     def test_a_refusal_needs_no_log_entry(self) -> None:
         cluster = self.cluster()
         leader = self.leader(cluster)
         assert leader.node is not None
-        self.learn(cluster)
-        results = self.begin(cluster, 20)
+        self.learn_size(cluster)
+        results = self.begin_programs(cluster, 20)
         before = leader.node.replica.group.last_index
         spent = cluster.ask(first_turn("late"))
         assert isinstance(spent, QuotaSpent)
@@ -240,8 +240,8 @@
 
     def test_a_duplicate_of_an_applied_operation_gets_the_same_result(self) -> None:
         cluster = self.cluster()
-        self.learn(cluster)
-        results = self.begin(cluster, 20)
+        self.learn_size(cluster)
+        results = self.begin_programs(cluster, 20)
         admitted = [number for number, item in enumerate(results) if isinstance(item, Granted)]
         for number in admitted:
             self.assertIsInstance(cluster.ask(first_turn(f"new{number}")), Granted)
@@ -251,31 +251,33 @@
     ) -> None:
         for seed in range(6):
             cluster = self.cluster(seed=seed)
-            self.learn(cluster)
-            self.begin(cluster, 3)
+            self.learn_size(cluster)
+            self.begin_programs(cluster, 3)
             leader = self.leader(cluster)
             asked = first_turn("asked")
-            self.hand(cluster, leader, asked)
+            self.send_request(cluster, leader, asked)
             if seed % 2:
                 cluster.run(0.002 * seed)
                 cluster.kill(leader)
                 leader = self.leader(cluster)
             assert leader.node is not None
             refused = leader.node.batches.admission.refused[CAUSE_CLAIMS]
-            self.hand(cluster, leader, asked, number=2)
+            self.send_request(cluster, leader, asked, number=2)
             self.assertEqual(leader.node.batches.admission.refused[CAUSE_CLAIMS], refused)
             self.assertIsInstance(cluster.ask(asked), Granted)
 
     def test_a_new_leader_keeps_the_claims(self) -> None:
         cluster = self.cluster()
-        self.learn(cluster)
-        self.begin(cluster, 20)
+        self.learn_size(cluster)
+        self.begin_programs(cluster, 20)
         cluster.kill(self.leader(cluster))
         cluster.run_until(lambda: cluster.leader() is not None, 5.0)
         cluster.ask(Settle(request_id="z", program="z"))
         self.assertIsInstance(cluster.ask(first_turn("late")), QuotaSpent)
 
-    def hand(self, cluster: Cluster, leader: Machine, operation: Reserve, number: int = 1) -> None:
+    def send_request(
+        self, cluster: Cluster, leader: Machine, operation: Reserve, number: int = 1
+    ) -> None:
         request = LedgerRequest(
             number=number, asker=Address("10.0.9.8", 1), operations=(operation,)
         )
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -47,7 +47,9 @@
         self.claims = ClaimTracker()
         self.now = 0.0
 
-    def learn(self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS) -> None:
+    def run_programs(
+        self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS
+    ) -> None:
         """Let programs of a kind run and become idle."""
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
@@ -69,18 +71,18 @@
 
 class ProgramSizes(ClaimCase):
     def test_no_decision_before_enough_programs_have_ended(self) -> None:
-        self.learn(count=LEAST_PROGRAMS - 1)
+        self.run_programs(count=LEAST_PROGRAMS - 1)
         self.assertIsNone(self.decide(LITTLE))
 
     def test_each_kind_of_a_tenant_has_its_own_size(self) -> None:
-        self.learn(4, "short")
-        self.learn(20, "long")
+        self.run_programs(4, "short")
+        self.run_programs(20, "long")
         self.assertEqual((self.expected("short"), self.expected("long")), (4.0, 20.0))
 
     def test_sizes_over_all_tenants_apply_until_enough_programs_of_the_tenant_have_ended(
         self,
     ) -> None:
-        self.learn(20, "long")
+        self.run_programs(20, "long")
         self.assertIsNone(self.claims.size_of("other", "short"))
         first = self.claims.size_of("other", "long")
         assert first is not None
@@ -96,7 +98,7 @@
         self.assertEqual(learned.requests, 4.0)
 
     def test_the_size_of_a_program_refused_halfway_is_ignored(self) -> None:
-        self.learn(10)
+        self.run_programs(10)
         for number in range(20):
             self.update(f"cut{number}", account(2, self.now, self.now))
             self.claims.note_refused(f"cut{number}")
@@ -105,7 +107,7 @@
         self.assertEqual(self.expected(), 10.0)
 
     def test_the_size_of_a_program_that_continues_after_a_refusal_counts(self) -> None:
-        self.learn(10)
+        self.run_programs(10)
         self.update("p", account(2, self.now, self.now))
         self.claims.note_refused("p")
         self.update("p", account(30, self.now, self.now))
@@ -124,7 +126,7 @@
 
     def test_a_program_of_a_fast_kind_releases_its_claim_sooner(self) -> None:
         """Claims of ended programs must not keep others out of a partly unused limit."""
-        self.learn(40, "fast")
+        self.run_programs(40, "fast")
         self.update("p", account(39, self.now - 2.0, self.now, kind="fast"))
         self.update("slow", account(3, self.now, self.now, kind="unknown"))
         self.now += MIN_IDLE_SECONDS
@@ -142,7 +144,7 @@
         self.assertEqual(len(self.claims), 0)
 
     def test_a_program_that_continues_claims_again_and_its_size_counts_once(self) -> None:
-        self.learn(10)
+        self.run_programs(10)
         self.update("p", account(10, self.now, self.now))
         self.now += MAX_IDLE_SECONDS
         self.claims.sweep(self.now)
@@ -154,7 +156,7 @@
         self.assertEqual((len(self.claims), self.expected()), (0, before))
 
     def test_an_admitted_program_has_a_claim_before_its_turn_is_committed(self) -> None:
-        self.learn(10)
+        self.run_programs(10)
         admitted = 0
         for number in range(50):
             decision = self.decide(Supply(level=35.0, rate=0.01))
@@ -199,7 +201,7 @@
     def test_a_refusal_is_cached_and_its_retry_time_counts_down(
         self,
     ) -> None:
-        self.learn(10)
+        self.run_programs(10)
         self.update("p", account(1, self.now, self.now))
         with patch.object(claims_module, "decide", wraps=claims_module.decide) as decision:
             first = self.decide(LITTLE)
@@ -213,8 +215,8 @@
         self.assertAlmostEqual(second.retry_after, first.retry_after - REFUSAL_CACHE_SECONDS / 2)
 
     def test_a_refused_kind_gets_priority(self) -> None:
-        self.learn(2, "small")
-        self.learn(20, "large")
+        self.run_programs(2, "small")
+        self.run_programs(20, "large")
         supply = Supply(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
@@ -234,8 +236,8 @@
         self.assertTrue(small.is_let_in)
 
     def test_a_refused_kind_loses_priority_without_retries(self) -> None:
-        self.learn(2, "small")
-        self.learn(20, "large")
+        self.run_programs(2, "small")
+        self.run_programs(20, "large")
         supply = Supply(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large = self.decide(supply, "large")
@@ -246,8 +248,8 @@
         self.assertTrue(small.is_let_in)
 
     def test_two_large_kinds_do_not_wait_for_each_other(self) -> None:
-        self.learn(200, "one")
-        self.learn(200, "two")
+        self.run_programs(200, "one")
+        self.run_programs(200, "two")
         supply = Supply(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="one"))
         for _ in range(5):
@@ -264,7 +266,7 @@
 
     time_limit = 4.0
 
-    def learn_times(self, seconds: float) -> None:
+    def run_timed_programs(self, seconds: float) -> None:
         """Let programs with a time limit of four seconds run and become idle."""
         for number in range(LEAST_PROGRAMS):
             name = f"t{number}"
@@ -278,13 +280,13 @@
         assert decision is not None
         return decision
 
-    def hold(self) -> None:
+    def exhaust_limit(self) -> None:
         """Let a program claim all tokens in the bucket."""
         self.update("held", account(1, self.now, self.now, has_open_turn=True))
 
     def test_a_late_program_yields_to_others(self) -> None:
-        self.learn_times(3.0)
-        self.hold()
+        self.run_timed_programs(3.0)
+        self.exhaust_limit()
         self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_let_in)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         late = self.ask("late", 2.0, FULL)
@@ -293,22 +295,22 @@
         self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_let_in)
 
     def test_a_retry_that_can_meet_its_deadline_is_treated_as_new(self) -> None:
-        self.learn_times(2.0)
-        self.hold()
+        self.run_timed_programs(2.0)
+        self.exhaust_limit()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
 
     def test_a_late_program_is_admitted_once_no_other_is_refused(self) -> None:
-        self.learn_times(3.0)
-        self.hold()
+        self.run_timed_programs(3.0)
+        self.exhaust_limit()
         self.ask("late", self.time_limit, LITTLE)
         self.now += LATE_YIELD_SECONDS
         self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
 
     def test_programs_without_a_deadline_are_never_late(self) -> None:
-        self.learn(10)
-        self.hold()
+        self.run_programs(10)
+        self.exhaust_limit()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
@@ -324,9 +326,9 @@
     def replay(self, *, knows_time: bool) -> tuple[int, int]:
         """Return how many programs of ten requests began in time, and how many began, in 40 s."""
         self.claims, self.now = ClaimTracker(), 0.0
-        self.learn_times(3.0)
+        self.run_timed_programs(3.0)
         rate, level, began = 20.0, 0.0, self.now
-        returning: list[tuple[float, int, str, float]] = []
+        retries: list[tuple[float, int, str, float]] = []
         """Time of the request, attempt, name, time of the first request."""
         running: list[tuple[float, str, int, float]] = []
         """Time of the next request, name, requests so far, time of the beginning."""
@@ -343,23 +345,27 @@
                     running.append((self.now + 0.3, name, used + 1, begin))
             if number * 0.25 < self.now - began:
                 number += 1
-                returning.append((self.now, 1, f"n{number}", self.now))
-            for asked in [item for item in returning if item[0] <= self.now]:
-                returning.remove(asked)
+                retries.append((self.now, 1, f"n{number}", self.now))
+            for asked in [item for item in retries if item[0] <= self.now]:
+                retries.remove(asked)
                 _, tries, name, first = asked
                 time_left = self.time_limit - (self.now - first)
-                told = time_left if knows_time else None
+                known_time_left = time_left if knows_time else None
                 supply = Supply(level=max(0.0, level), rate=rate)
-                decision = self.claims.decide(candidate(name, time_left=told), supply, self.now)
+                decision = self.claims.decide(
+                    candidate(name, time_left=known_time_left), supply, self.now
+                )
                 assert decision is not None
                 if decision.is_let_in:
-                    self.claims.add_provisional(candidate(name, time_left=told), self.now)
+                    self.claims.add_provisional(
+                        candidate(name, time_left=known_time_left), self.now
+                    )
                     running.append((self.now, name, 0, self.now))
                     let_in += 1
                     in_time += time_left >= 2.7
                 elif tries < 6:
                     wait = 0.25 + min(1.0, decision.retry_after)
-                    returning.append((self.now + wait, tries + 1, name, first))
+                    retries.append((self.now + wait, tries + 1, name, first))
         return in_time, let_in
 
 
--- a/tests/unit/ledger/test_ledger_paths.py
+++ b/tests/unit/ledger/test_ledger_paths.py
@@ -33,8 +33,8 @@
         self.address = Address(f"10.1.0.{number}", 1)
         self.client = LedgerClient(self.address)
         self.client.set_storage(STORAGE)
-        self.cut_to: set[ReplicaId] = set()
-        self.cut_from: set[ReplicaId] = set()
+        self.unreachable: set[ReplicaId] = set()
+        self.unheard: set[ReplicaId] = set()
         self.logged: list[str] = []
 
 
@@ -47,11 +47,11 @@
         self.leads = True
         self.leader = LEADER
         self.term = 1
-        self.dead: set[ReplicaId] = set()
+        self.failed_replicas: set[ReplicaId] = set()
         self.answer_seconds = STEP
         self.edges = [Edge(f"edge-{number}", number) for number in range(edges)]
-        self.arriving: list[tuple[float, Edge | None, ReplicaId, SendPeer]] = []
-        self.taken: list[Operation] = []
+        self.in_flight: list[tuple[float, Edge | None, ReplicaId, SendPeer]] = []
+        self.received_operations: list[Operation] = []
         self.turns = TurnsUnderWay()
         self.through_peers = 0
         for edge in self.edges:
@@ -73,14 +73,14 @@
             self.step()
         return answers[0]
 
-    def cut(self, edge: Edge, *replicas: ReplicaId, answers_only: bool = False) -> None:
-        edge.cut_from = set(replicas)
-        edge.cut_to = set() if answers_only else set(replicas)
+    def partition(self, edge: Edge, *replicas: ReplicaId, answers_only: bool = False) -> None:
+        edge.unheard = set(replicas)
+        edge.unreachable = set() if answers_only else set(replicas)
 
     def step(self) -> None:
         self.now += STEP
-        due = [item for item in self.arriving if item[0] <= self.now]
-        self.arriving = [item for item in self.arriving if item[0] > self.now]
+        due = [item for item in self.in_flight if item[0] <= self.now]
+        self.in_flight = [item for item in self.in_flight if item[0] > self.now]
         for _, source, sender, effect in due:
             self.deliver(source, sender, effect)
         for edge in self.edges:
@@ -94,21 +94,21 @@
         for effect in effects:
             if isinstance(effect, LogRecord):
                 edge.logged.append(effect.event)
-            if isinstance(effect, SendPeer) and effect.to not in edge.cut_to:
-                self.arriving.append((self.now + STEP, edge, edge.process, effect))
+            if isinstance(effect, SendPeer) and effect.to not in edge.unreachable:
+                self.in_flight.append((self.now + STEP, edge, edge.process, effect))
 
     def deliver(self, source: Edge | None, sender: ReplicaId, effect: SendPeer) -> None:
         message = effect.message
         if isinstance(message, LedgerRequest):
             assert source is not None
-            self.storage_takes(source, effect.to, message)
+            self.handle_request(source, effect.to, message)
             return
         if isinstance(message, LeaderQuery):
             assert source is not None
-            self.storage_tells_leader(source, effect.to)
+            self.handle_leader_query(source, effect.to)
             return
         edge = next(item for item in self.edges if item.process == effect.to)
-        if sender in edge.cut_from:
+        if sender in edge.unheard:
             return
         if isinstance(message, LeaderAnswer):
             self.carry_out(edge, edge.client.take_leader(sender, message, self.now))
@@ -127,30 +127,30 @@
 
         self.carry_out(edge, edge.client.pass_on(sender, request, answered, self.now))
 
-    def storage_tells_leader(self, asker: Edge, replica: ReplicaId) -> None:
-        if replica in self.dead:
+    def handle_leader_query(self, asker: Edge, replica: ReplicaId) -> None:
+        if replica in self.failed_replicas:
             return
         answer = LeaderAnswer(term=self.term, leader=self.leader if self.leads else None)
         effect = SendPeer(to=asker.process, address=asker.address, message=answer)
-        self.arriving.append((self.now + STEP, None, replica, effect))
+        self.in_flight.append((self.now + STEP, None, replica, effect))
 
-    def storage_takes(self, asker: Edge, replica: ReplicaId, request: LedgerRequest) -> None:
-        if replica in self.dead:
+    def handle_request(self, asker: Edge, replica: ReplicaId, request: LedgerRequest) -> None:
+        if replica in self.failed_replicas:
             return
         results: tuple[OperationResult, ...] = ()
         if replica == self.leader.replica and self.leads:
             if request.turns is not None:
                 self.turns.take(asker.process, request.turns, self.now)
-            passed = request.passed_turns
-            if isinstance(passed, PassedTurns):
-                self.turns.take(passed.process, passed.turns, self.now)
-            self.taken.extend(request.operations)
+            relayed = request.passed_turns
+            if isinstance(relayed, PassedTurns):
+                self.turns.take(relayed.process, relayed.turns, self.now)
+            self.received_operations.extend(request.operations)
             command = LedgerCommand(time=self.now, operations=request.operations)
             results = self.ledger.transition_apply(command)
         hint = self.leader if self.leads else None
         reply = LedgerReply(number=request.number, results=results, leader=hint, term=self.term)
         effect = SendPeer(to=asker.process, address=asker.address, message=reply)
-        self.arriving.append((self.now + self.answer_seconds, None, replica, effect))
+        self.in_flight.append((self.now + self.answer_seconds, None, replica, effect))
 
 
 def reserve(name: str, budget: int = 100) -> Reserve:
@@ -163,7 +163,7 @@
             fleet = Fleet()
             edge = fleet.edges[0]
             self.assertIsInstance(fleet.ask(edge, reserve("a", 1000)), Granted)
-            fleet.cut(edge, *STORAGE, answers_only=answers_only)
+            fleet.partition(edge, *STORAGE, answers_only=answers_only)
             self.assertIsInstance(fleet.ask(edge, reserve("b", 1000)), Granted)
             began = fleet.now
             self.assertIsInstance(fleet.ask(edge, reserve("c", 1000)), Granted)
@@ -175,7 +175,7 @@
         fleet = Fleet()
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("a", 1000))
-        fleet.cut(edge, *STORAGE)
+        fleet.partition(edge, *STORAGE)
         fleet.ask(edge, reserve("b", 1000))
         for number in range(8):
             edge.client.turns.begin(f"t{number}", "engine")
@@ -188,13 +188,13 @@
     def test_a_node_partitioned_from_the_leader_uses_a_relay(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
-        fleet.cut(edge, LEADER.replica)
+        fleet.partition(edge, LEADER.replica)
         self.assertIsInstance(fleet.ask(edge, reserve("a")), Granted)
 
     def test_the_budget_holds_over_direct_and_relayed_operations(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
-        fleet.cut(edge, *STORAGE)
+        fleet.partition(edge, *STORAGE)
         self.assertIsInstance(fleet.ask(edge, reserve("a")), Granted)
         self.assertIsInstance(
             fleet.ask(edge, Settle(request_id="a", program="p", tokens=50)), Settled
@@ -206,12 +206,12 @@
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("before"))  # so that operations are sent to a known leader
         fleet.ask(edge, Settle(request_id="before", program="p", tokens=0))
-        fleet.cut(edge, *STORAGE, answers_only=True)
+        fleet.partition(edge, *STORAGE, answers_only=True)
         fleet.ask(edge, reserve("a"))
         settle = Settle(request_id="a", program="p", tokens=40)
         self.assertIsInstance(fleet.ask(edge, settle), Settled)
         fleet.run(1.0)
-        self.assertGreater(fleet.taken.count(settle), 1, "sent directly and relayed")
+        self.assertGreater(fleet.received_operations.count(settle), 1, "sent directly and relayed")
         self.assertEqual(fleet.ledger.programs["p"].committed_tokens(), 40)
 
     def test_a_reservation_that_arrives_after_its_release_reserves_nothing(self) -> None:
@@ -224,9 +224,9 @@
     def test_a_direct_answer_ends_relaying(self) -> None:
         fleet = Fleet()
         edge = fleet.edges[0]
-        fleet.cut(edge, *STORAGE)
+        fleet.partition(edge, *STORAGE)
         fleet.ask(edge, reserve("a", 1000))
-        fleet.cut(edge)
+        fleet.partition(edge)
         fleet.ask(edge, reserve("b", 1000))
         fleet.run(0.5)
         before = fleet.through_peers
@@ -242,7 +242,7 @@
         edge = fleet.edges[0]
         fleet.ask(edge, reserve("first", 10_000))
         fleet.leads = False
-        fleet.dead = {LEADER.replica}
+        fleet.failed_replicas = {LEADER.replica}
         answers: list[OperationResult | None] = []
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
@@ -274,14 +274,14 @@
             fleet.carry_out(edge, effects)
             fleet.run(0.05)
         fleet.run(2.0)
-        self.assertLess(len(fleet.taken), 3.5 * 40)
+        self.assertLess(len(fleet.received_operations), 3.5 * 40)
 
 
 class Relaying(unittest.TestCase):
     def test_an_operation_is_relayed_only_once(self) -> None:
         fleet = Fleet()
         for edge in fleet.edges:
-            fleet.cut(edge, *STORAGE)
+            fleet.partition(edge, *STORAGE)
             edge.client.helpful_peers = lambda own=edge: [
                 PeerNode(other.process, other.address) for other in fleet.edges if other is not own
             ]
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -13,12 +13,12 @@
 LINK_BYTES_PER_SECOND = 400_000.0
 TEXT_BYTES = 5_000
 TURN_SECONDS = 0.2
-TURNS = 5
+TURNS_PER_PROGRAM = 5
 PROGRAMS_PER_SECOND = 5.0
 """25 turns per second; their texts, the answers and the heartbeats fill three quarters of the
 link."""
-BURST = 1.6
-ANSWER_LIMIT = 2.0
+BURST_FACTOR = 1.6
+RESERVATION_TIMEOUT_SECONDS = 2.0
 """Timeout of a reservation at a forwarding node."""
 ENGINES = 4
 
@@ -31,7 +31,7 @@
         self.edges = edges
         self.answers: list[tuple[float, float, bool]] = []
         """For each operation: submission time, time to the result, whether there was a result."""
-        self.kept: list[str] = []
+        self.retained: list[str] = []
         """Turns acknowledged as retained."""
         self.under_way = 0
         self._programs = 0
@@ -44,7 +44,7 @@
 
     def _begin(self) -> None:
         self._programs += 1
-        self._reserve(f"p{self._programs}", "", TURNS)
+        self._reserve(f"p{self._programs}", "", TURNS_PER_PROGRAM)
 
     def _next_edge(self) -> EdgeClient:
         self._turns += 1
@@ -70,13 +70,13 @@
                 self.under_way += 1
                 self.cluster.at(
                     now + TURN_SECONDS * (0.5 + self.cluster.random.random()),
-                    lambda: self._keep(edge, engine, program, name, previous, turns_left),
+                    lambda: self._settle(edge, engine, program, name, previous, turns_left),
                 )
             return []
 
         self._ask(edge, operation, done)
 
-    def _keep(
+    def _settle(
         self, edge: EdgeClient, engine: str, program: str, name: str, previous: str, turns_left: int
     ) -> None:
         turn = KeptTurn(turn_id=name, previous=previous, text=b"x" * TEXT_BYTES, retention=60.0)
@@ -88,7 +88,7 @@
         def done(result: OperationResult | None, now: float) -> list[Effect]:
             self.answers.append((asked_at, now - asked_at, result is not None))
             if result is not None:
-                self.kept.append(name)
+                self.retained.append(name)
             if result is not None and turns_left > 1:
                 self._reserve(program, name, turns_left - 1)
             return []
@@ -97,7 +97,7 @@
 
     def _ask(self, edge: EdgeClient, operation: Reserve | Settle, done: OperationCallback) -> None:
         now = self.cluster.now
-        effects = edge.client.ask(operation, done, now, now + ANSWER_LIMIT)
+        effects = edge.client.ask(operation, done, now, now + RESERVATION_TIMEOUT_SECONDS)
         self.cluster.carry_out_edge(edge.process, effects)
 
     def seconds(self, start: float, end: float) -> list[float]:
@@ -121,7 +121,7 @@
         load = Load(cluster, [cluster.add_edge(f"edge-{number}~1") for number in range(8)])
         start = cluster.now
         load.arrive(start, start + 5.0, PROGRAMS_PER_SECOND)
-        load.arrive(start + 5.0, start + 8.0, PROGRAMS_PER_SECOND * BURST)
+        load.arrive(start + 5.0, start + 8.0, PROGRAMS_PER_SECOND * BURST_FACTOR)
         load.arrive(start + 8.0, start + 16.0, PROGRAMS_PER_SECOND)
         return load, start
 
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -577,8 +577,12 @@
             self.retire(cluster, cluster.machines[seed % 3])
             cluster.ask(turn("t1"))
             leader = self.leader(cluster)
-            two = [item for item in cluster.machines if item.node is not None]
-            gone = leader if seed % 2 else next(item for item in two if item is not leader)
+            running_machines = [item for item in cluster.machines if item.node is not None]
+            gone = (
+                leader
+                if seed % 2
+                else next(item for item in running_machines if item is not leader)
+            )
             cluster.wipe(gone)
             cluster.run(1.0)
             cluster.add_machine()
@@ -590,11 +594,11 @@
         for seed in range(6):
             cluster = self.cluster(2, seed=seed)
             cluster.ask(turn("t1"))
-            sleeper = cluster.machines[seed % 2]
-            sleeper.frozen = True
+            frozen_machine = cluster.machines[seed % 2]
+            frozen_machine.frozen = True
             self.assertEqual(cluster.ask(turn("t2"), 8.0), Settled(), f"seed {seed}")
             cluster.run(2.0)
-            sleeper.frozen = False
+            frozen_machine.frozen = False
             self.assertTrue(cluster.run_until(cluster.all_members, 6.0), f"seed {seed}")
             self.assert_kept(cluster, "t1", "t2")
 
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -62,9 +62,9 @@
             assert item is not None
             follower.texts.put(item.turn_id, item.text)
         follower.take(LEADER, over_the_wire(stripper.strip(FOLLOWER, message((entry,)), 0.0)), 0.0)
-        whole, dropped_senders = follower.ready(0.0)
+        complete, dropped_senders = follower.ready(0.0)
         self.assertEqual(dropped_senders, [])
-        self.assertEqual(whole, [(LEADER, message((entry,)))])
+        self.assertEqual(complete, [(LEADER, message((entry,)))])
 
     def stripped_message(self, stripper: TextStripper, text: bytes = b"x" * 1000) -> ReplicaMessage:
         settlement = turn("t1", text=text)
@@ -83,9 +83,9 @@
         follower.take(LEADER, message(()), 0.0)
         self.assertEqual(follower.ready(MISSING_TEXT_WAIT_SECONDS / 2), ([], []))
         follower.texts.put("t1", b"x" * 1000)
-        whole, _ = follower.ready(MISSING_TEXT_WAIT_SECONDS / 2)
-        self.assertEqual(len(whole), 2)
-        self.assertEqual(whole[1], (LEADER, message(())))
+        complete, _ = follower.ready(MISSING_TEXT_WAIT_SECONDS / 2)
+        self.assertEqual(len(complete), 2)
+        self.assertEqual(complete[1], (LEADER, message(())))
 
     def test_a_missing_or_different_text_is_reported(self) -> None:
         for text in (b"", b"y" * 1000, b"x" * 999):
@@ -178,7 +178,7 @@
             cluster, load = self.with_high_utilization(seed)
             cluster.kill(self.leader(cluster))
             cluster.run(8.0)
-            for name in load.kept:
+            for name in load.retained:
                 self.assert_kept(cluster, name)
 
     def test_acknowledged_turns_survive_a_power_loss(self) -> None:
@@ -193,12 +193,12 @@
             cluster.run(1.0)
             leader = self.leader(cluster)
             assert leader.node is not None
-            missing = set(load.kept) - set(leader.node.replica.state().turns)
+            missing = set(load.retained) - set(leader.node.replica.state().turns)
             self.assertEqual(missing, set())
 
     def test_a_short_text_is_sent_with_its_entry(self) -> None:
         cluster, _ = self.with_high_utilization(3)
         self.assertGreater(len(cluster.text_copies_sent), 0)
-        kept = KeptTurn(turn_id="short", previous="", text=b"short", retention=60.0)
-        self.assertEqual(cluster.ask(Settle(request_id="short", turn=kept)), Settled())
+        retained = KeptTurn(turn_id="short", previous="", text=b"short", retention=60.0)
+        self.assertEqual(cluster.ask(Settle(request_id="short", turn=retained)), Settled())
         self.assertNotIn("short", cluster.text_copies_sent)
