--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -61,7 +61,7 @@
     """The claim of one program.
 
     Attributes:
-        requests: Requests that the program has sent.
+        requests_sent: Requests that the program has sent.
         has_open_turn: One of its turns is at an engine.
         was_refused: One of its requests was refused, so its size is not typical of its kind.
         is_size_observed: Its size was observed when it was idle earlier.
@@ -70,7 +70,7 @@
 
     tenant: str
     kind: str
-    requests: int
+    requests_sent: int
     began_at: float
     active_at: float
     has_open_turn: bool
@@ -125,7 +125,7 @@
     def observe_size(self, claim: _Claim) -> None:
         estimate = self._sizes.setdefault(claim.kind, SizeEstimate())
         self._sizes.move_to_end(claim.kind)
-        estimate.observe(claim.requests, claim.active_at - claim.began_at)
+        estimate.observe(claim.requests_sent, claim.active_at - claim.began_at)
         if len(self._sizes) > self._bound:
             self._sizes.popitem(last=False)
 
@@ -136,8 +136,8 @@
     Until enough programs of a kind have ended, the size over all tenants is used.
     """
 
-    def __init__(self, shared_sizes: _KindSizes) -> None:
-        self._shared_sizes = shared_sizes
+    def __init__(self, fallback_sizes: _KindSizes) -> None:
+        self._fallback_sizes = fallback_sizes
         self.sizes = _KindSizes(MAX_KINDS_PER_TENANT)
         self.held: Counter[tuple[str, int]] = Counter()
         """Number of claims by kind and requests sent; equal claims are evaluated together."""
@@ -147,11 +147,11 @@
         """Time of the latest refusal of a program that could meet its deadline."""
 
     def size(self, kind: str) -> ProgramSize | None:
-        return self.sizes.size(kind) or self._shared_sizes.size(kind)
+        return self.sizes.size(kind) or self._fallback_sizes.size(kind)
 
     def observe_size(self, claim: _Claim) -> None:
         self.sizes.observe_size(claim)
-        self._shared_sizes.observe_size(claim)
+        self._fallback_sizes.observe_size(claim)
         share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
         share.observe(claim.active_at - claim.began_at, claim.time_limit)
         self.time_shares[claim.kind] = share
@@ -159,10 +159,10 @@
             del self.time_shares[next(iter(self.time_shares))]
 
     def add(self, claim: _Claim) -> None:
-        self.held[claim.kind, claim.requests] += 1
+        self.held[claim.kind, claim.requests_sent] += 1
 
     def remove(self, claim: _Claim) -> None:
-        key = (claim.kind, claim.requests)
+        key = (claim.kind, claim.requests_sent)
         self.held[key] -= 1
         if self.held[key] <= 0:
             del self.held[key]
@@ -323,7 +323,7 @@
     def cancel_provisional(self, name: str) -> None:
         """Remove the claim of a program whose first turn was not committed."""
         claim = self._claims.get(name) or self._idle_with_open_turn.get(name)
-        if claim is not None and not claim.requests:
+        if claim is not None and not claim.requests_sent:
             self._remove(name)
 
     def update(self, name: str, account: Program, *, is_complete: bool) -> None:
@@ -337,7 +337,7 @@
         if not account.requests:
             return
         known = self._remove(name)
-        is_active_again = known is None or account.requests > known.requests
+        is_active_again = known is None or account.requests > known.requests_sent
         is_resumed = known is None and is_complete and account.requests > 1
         claim = _Claim(
             account.tenant,
@@ -397,7 +397,7 @@
         claim = self._remove(name)
         if (
             claim is not None
-            and claim.requests
+            and claim.requests_sent
             and not claim.was_refused
             and not claim.is_size_observed
         ):
