--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -55,7 +55,7 @@
 MAX_RELAYED_OPERATIONS = 256
 """Pending operations of other nodes; further ones are dropped, and their nodes retry."""
 
-OperationCallback = Callable[[OperationResult | None, float], list[Effect]]
+OperationDone = Callable[[OperationResult | None, float], list[Effect]]
 """Called with the result of an operation and the time. The result is None if the operation was
 given up; it may still have been applied."""
 
@@ -89,7 +89,7 @@
     """
 
     operation: Operation
-    done: OperationCallback
+    done: OperationDone
     give_up_at: float
     submitted_at: float
     sent_to: ReplicaId | None = None
@@ -160,7 +160,7 @@
     # ------------------------------------------------------------ operations
 
     def ask(
-        self, operation: Operation, done: OperationCallback, now: float, give_up_at: float
+        self, operation: Operation, done: OperationDone, now: float, give_up_at: float
     ) -> list[Effect]:
         """Submit an operation; ``done`` is called once, unless the operation is forgotten."""
         pending = _PendingOperation(
@@ -169,7 +169,7 @@
         return self._add(pending, now)
 
     def pass_on(
-        self, sender: ReplicaId, request: PassedOnRequest, done: OperationCallback, now: float
+        self, sender: ReplicaId, request: PassedOnRequest, done: OperationDone, now: float
     ) -> list[Effect]:
         """Submit an operation of another node; a duplicate of a pending one is ignored.
 
--- a/src/yokeline/ledger/history_fetches.py
+++ b/src/yokeline/ledger/history_fetches.py
@@ -27,7 +27,7 @@
 """Time for which a replica outside the group is not asked again; members change when a machine is
 lost."""
 
-HistoryCallback = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
+HistoryDone = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
 """Called with the turns, the oldest first, and the time. Without turns the replica could not
 help."""
 
@@ -46,7 +46,7 @@
 
 class _Fetch(msgspec.Struct):
     replica: ReplicaId
-    done: HistoryCallback
+    done: HistoryDone
     give_up_at: float
 
 
@@ -83,7 +83,7 @@
         last: str,
         known: str,
         leader: ReplicaId | None,
-        done: HistoryCallback,
+        done: HistoryDone,
         now: float,
     ) -> list[Effect] | None:
         """Request the chain after ``known`` up to ``last``; None if there is no replica to ask."""
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -321,7 +321,7 @@
         """Remove a member, if this replica leads and no other change is pending."""
         return self._persist(list(self.group.remove_member(member, now).effects))
 
-    def transfer_leadership(self, member: ReplicaId, now: float) -> list[Effect]:
+    def hand_over(self, member: ReplicaId, now: float) -> list[Effect]:
         """Transfer leadership to a member."""
         return self._persist(self.group.transfer_leadership(member, now))
 
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -190,7 +190,7 @@
         if self.replica.leads and others:
             silence = self.replica.group.follower_silence(now)
             target = min(others, key=lambda item: silence.get(item, 0.0))
-            effects.extend(self.replica.transfer_leadership(target, now))
+            effects.extend(self.replica.hand_over(target, now))
         return effects
 
     # ------------------------------------------------------------ bootstrap, joining, sole survivor
@@ -348,13 +348,13 @@
             "reason": "log compaction",
         }
         log = LogRecord(event="leadership_handed_over", fields=fields)
-        return [log, *self.replica.transfer_leadership(successor, now)]
+        return [log, *self.replica.hand_over(successor, now)]
 
     def _apply_step(self, step: MembershipStep, now: float) -> list[Effect]:
         if isinstance(step, AddMember):
             return self.replica.add_member(step.replica, now)
         if isinstance(step, HandOver):
-            return self.replica.transfer_leadership(step.replica, now)
+            return self.replica.hand_over(step.replica, now)
         return self.replica.remove_member(step.replica, now)
 
     def _retiring(self) -> set[NodeName]:
--- a/tests/unit/ledger/test_overload.py
+++ b/tests/unit/ledger/test_overload.py
@@ -6,7 +6,7 @@
 
 from tests.unit.ledger.cluster import Cluster, EdgeClient
 from yokeline.effects import Effect
-from yokeline.ledger.client import OperationCallback
+from yokeline.ledger.client import OperationDone
 from yokeline.ledger.messages import TurnServed
 from yokeline.ledger.operations import Granted, KeptTurn, OperationResult, Reserve, Settle
 
@@ -95,7 +95,7 @@
 
         self._ask(edge, operation, done)
 
-    def _ask(self, edge: EdgeClient, operation: Reserve | Settle, done: OperationCallback) -> None:
+    def _ask(self, edge: EdgeClient, operation: Reserve | Settle, done: OperationDone) -> None:
         now = self.cluster.now
         effects = edge.client.ask(operation, done, now, now + RESERVATION_TIMEOUT_SECONDS)
         self.cluster.carry_out_edge(edge.process, effects)
