--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -170,9 +170,9 @@
     def claims(self) -> list[Claims]:
         """Return the claims of the programs whose size is known."""
         found = []
-        for (kind, requests), count in self.held.items():
+        for (kind, requests_sent), count in self.held.items():
             size = self.size(kind)
-            claims = claims_of(size, requests, count) if size is not None else None
+            claims = claims_of(size, requests_sent, count) if size is not None else None
             if claims is not None:
                 found.append(claims)
         return found
