--- a/tests/unit/ledger/test_shares_told.py
+++ b/tests/unit/ledger/test_shares_told.py
@@ -40,8 +40,7 @@
 
 
 class ToldShares(unittest.TestCase):
-    """One node runs turns of the hot tenant, and another has waiting programs of the calm tenant.
-    """
+    """One node runs turns of the hot tenant; the calm tenant has waiting programs at another."""
 
     def setUp(self) -> None:
         self.cluster = Cluster(3, seed=1)
