--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -171,7 +171,7 @@
         ),
         call=call,
         route=_route(),
-        attempts=Attempts(allowed=1),
+        attempts=Attempts(max_engines=1),
         due=now + PATIENT_SECONDS,
         started=now,
         names=StateNames(
--- a/src/yokeline/forwarding/attempts.py
+++ b/src/yokeline/forwarding/attempts.py
@@ -20,35 +20,35 @@
         returns: How often it went back to one of them.
     """
 
-    allowed: int
-    engines: list[str] = msgspec.field(default_factory=list)
-    returns: int = 0
+    max_engines: int
+    engine_ids: list[str] = msgspec.field(default_factory=list)
+    same_engine_retries: int = 0
 
-    def note_left(self, engine_id: str) -> None:
+    def record_attempt(self, engine_id: str) -> None:
         """Count an engine that answered, broke off or fell silent, or was given up."""
-        self.note_gone(engine_id)
-        self.engines.append(engine_id)
+        self.discard(engine_id)
+        self.engine_ids.append(engine_id)
 
-    def note_gone(self, engine_id: str) -> None:
+    def discard(self, engine_id: str) -> None:
         """Count an engine no more: another one answers at its address, so it runs nothing."""
-        if engine_id in self.engines:
-            self.engines.remove(engine_id)
+        if engine_id in self.engine_ids:
+            self.engine_ids.remove(engine_id)
 
-    def note_sent(self, engine_id: str) -> None:
+    def record_send(self, engine_id: str) -> None:
         """Note that it is sent to an engine, which may have had it before."""
-        if engine_id in self.engines:
-            self.returns += 1
+        if engine_id in self.engine_ids:
+            self.same_engine_retries += 1
 
     @property
-    def are_used_up(self) -> bool:
+    def are_exhausted(self) -> bool:
         """Whether it may go to no further engine, but back to those that had it."""
-        return bool(self.engines) and len(self.engines) >= self.allowed
+        return bool(self.engine_ids) and len(self.engine_ids) >= self.max_engines
 
-    def allow_leaving(self, engine_id: str) -> bool:
+    def allow_another_after(self, engine_id: str) -> bool:
         """Return whether it may go elsewhere once this engine is left with it as well."""
-        return len({*self.engines, engine_id}) < self.allowed
+        return len({*self.engine_ids, engine_id}) < self.max_engines
 
     @property
-    def latest(self) -> str:
+    def latest_engine_id(self) -> str:
         """The engine that was left with it last; empty if there is none."""
-        return self.engines[-1] if self.engines else ""
+        return self.engine_ids[-1] if self.engine_ids else ""
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatch.py
@@ -173,14 +173,14 @@
 
     def note(self, exchange: Exchange, *, is_new_program: bool) -> None:
         """Note that no engine had room for a request."""
-        if exchange.attempts.are_used_up:
+        if exchange.attempts.are_exhausted:
             return
         self._for_new_programs = True
         self._for_any = self._for_any or not is_new_program
 
     def has_no_room(self, exchange: Exchange, *, is_new_program: bool) -> bool:
         """Return whether it is known that no engine has room for a request."""
-        if exchange.attempts.are_used_up:
+        if exchange.attempts.are_exhausted:
             return False
         return self._for_any or (is_new_program and self._for_new_programs)
 
--- a/src/yokeline/forwarding/engine_request.py
+++ b/src/yokeline/forwarding/engine_request.py
@@ -33,7 +33,7 @@
     )
     headers = dialect.engine_headers(arrived, exchange.call, order)
     streaming = exchange.route.kind is RouteKind.STREAMING
-    has_returned = exchange.attempts.returns > 0
+    has_returned = exchange.attempts.same_engine_retries > 0
     # One that has returned on a fresh connection gains nothing by leaving it for a silence.
     leaves_silence = streaming and exchange.route.is_retryable and not has_returned
     return HttpRequest(
--- a/src/yokeline/forwarding/engine_sends.py
+++ b/src/yokeline/forwarding/engine_sends.py
@@ -33,7 +33,7 @@
         exchange.sends += 1
         if not engine.is_preferred:
             state.outcomes.counters["yokeline_forwarding_sends_beyond_subset_total"] += 1
-        exchange.attempts.note_sent(engine.engine.engine_id)
+        exchange.attempts.record_send(engine.engine.engine_id)
         exchange.sent_at = state.now
         exchange.item_at = state.now
         exchange.beside = choice.load
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -221,7 +221,7 @@
             for exchange in self._state.by_request.values()
             if exchange.engine is not None
             and exchange.engine.engine.engine_id == engine_id
-            and (engine_id in exchange.attempts.engines or self._is_quiet(exchange))
+            and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
         ]
         for exchange in lost:
             self._repeats.break_off(exchange, "engine restarted")
@@ -413,7 +413,7 @@
             arrived=event,
             call=call,
             route=route,
-            attempts=Attempts(allowed=route.max_attempts),
+            attempts=Attempts(max_engines=route.max_attempts),
             due=arrived_at + min(call.deadline, route.timeout),
             started=arrived_at,
             names=admitted.names,
@@ -455,7 +455,7 @@
         engine = exchange.engine
         self._sends.leave(exchange, failed=has_failed and not is_over)
         if engine is not None and has_failed:
-            exchange.attempts.note_left(engine.engine.engine_id)
+            exchange.attempts.record_attempt(engine.engine.engine_id)
             if not is_over:
                 engine.record_outcome(self._state.now, failed=True)
         elif engine is not None:
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -55,7 +55,7 @@
 
         One that has used up the attempts of its route goes back to the latest that is listed.
         """
-        if exchange.attempts.are_used_up:
+        if exchange.attempts.are_exhausted:
             own = self._own_engines(exchange)[:1]
             return choose_engine(
                 own, self.prefix_cache, self._inputs(exchange, pool, tried=()), now
@@ -80,7 +80,7 @@
 
         An engine whose entry went may serve on, so it still counts.
         """
-        return exchange.attempts.are_used_up and not self._own_engines(exchange)
+        return exchange.attempts.are_exhausted and not self._own_engines(exchange)
 
     def place_seconds(self, pool: str) -> float | None:
         """Return for how many seconds a request keeps a place of a pool; None if not known."""
@@ -131,7 +131,7 @@
 
     def _own_engines(self, exchange: Exchange) -> list[EngineState]:
         """Return the engines that were left with a request and take work, the latest first."""
-        known = (self._engines.get(name) for name in reversed(exchange.attempts.engines))
+        known = (self._engines.get(name) for name in reversed(exchange.attempts.engine_ids))
         return [state for state in known if state is not None and not state.engine.draining]
 
     def _model(self, pool: str) -> EngineModel:
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -58,7 +58,7 @@
 
     def may_go_elsewhere(self, exchange: Exchange) -> bool:
         """Return whether another engine may run it, by its route and the retry budget."""
-        if exchange.attempts.are_used_up or exchange.runs >= MAX_RUNS:
+        if exchange.attempts.are_exhausted or exchange.runs >= MAX_RUNS:
             return False
         return self._may_repeat(exchange)
 
@@ -72,7 +72,7 @@
             reason=reason,
             runs=exchange.runs,
             after_event=exchange.last_event_id,
-            back_to=exchange.attempts.latest if exchange.attempts.are_used_up else "",
+            back_to=exchange.attempts.latest_engine_id if exchange.attempts.are_exhausted else "",
             budget_left=round(self._retries.left, 1),
         )
         self._wait(exchange, self._pause(exchange))
@@ -103,7 +103,7 @@
         """Charge a refusal, and write whom with what speaks for it."""
         is_misdirected = response.status == MISDIRECTED
         if is_misdirected:
-            exchange.attempts.note_gone(engine.engine.engine_id)
+            exchange.attempts.discard(engine.engine.engine_id)
         load = engine.load
         cause = self._judge.judge(exchange, engine, self._state.now, misdirected=is_misdirected)
         name = f'yokeline_forwarding_engine_refusals_total{{cause="{cause.value}"}}'
@@ -136,7 +136,7 @@
             if not failure.stale:
                 engine.record_failure(self._state.now)
             if failure.sent:
-                exchange.attempts.note_left(engine.engine.engine_id)
+                exchange.attempts.record_attempt(engine.engine.engine_id)
         if not failure.sent:
             self._send_again_unsent(exchange, failure)
             return
@@ -152,7 +152,7 @@
             engine_id = engine.engine.engine_id
             exchange.tried.add(engine_id)
             engine.record_failure(self._state.now)
-            exchange.attempts.note_left(engine_id)
+            exchange.attempts.record_attempt(engine_id)
         self._repeat_or_fail(exchange, reason)
 
     def break_off(self, exchange: Exchange, reason: str) -> None:
@@ -191,7 +191,7 @@
             at_engine=round(self._state.now - exchange.sent_at, 4),
             after_event=exchange.last_event_id,
             send=exchange.sends,
-            may_run_at=" ".join(exchange.attempts.engines),
+            may_run_at=" ".join(exchange.attempts.engine_ids),
             attempts_allowed=exchange.route.max_attempts,
         )
 
@@ -206,16 +206,18 @@
     def _may_return(self, exchange: Exchange) -> bool:
         """Return whether it may go back once more to an engine that was left with it."""
         attempts = exchange.attempts
-        if not attempts.are_used_up or attempts.returns >= len(RETURN_PAUSES_SECONDS):
+        if not attempts.are_exhausted or attempts.same_engine_retries >= len(RETURN_PAUSES_SECONDS):
             return False
         return self._may_repeat(exchange)
 
     def _pause(self, exchange: Exchange) -> float:
         """Return for how many seconds a request waits before it is sent again."""
         attempts = exchange.attempts
-        if not attempts.are_used_up:
+        if not attempts.are_exhausted:
             return 0.0
-        return RETURN_PAUSES_SECONDS[min(attempts.returns, len(RETURN_PAUSES_SECONDS) - 1)]
+        return RETURN_PAUSES_SECONDS[
+            min(attempts.same_engine_retries, len(RETURN_PAUSES_SECONDS) - 1)
+        ]
 
     def _repeat_or_fail(self, exchange: Exchange, reason: str) -> None:
         if self.may_go_elsewhere(exchange) or self._may_return(exchange):
@@ -224,7 +226,7 @@
             self._ends.fail(exchange, reason)
 
     def _send_again_unsent(self, exchange: Exchange, failure: HttpFailed) -> None:
-        if exchange.attempts.are_used_up:
+        if exchange.attempts.are_exhausted:
             # No other engine may take it. The caller has tries of its own, and comes back now
             # rather than when its patience ends.
             self._ends.fail(exchange, failure.reason)
@@ -269,12 +271,14 @@
         if engine is None:
             return
         engine_id = engine.engine.engine_id
-        is_allowed = exchange.attempts.allow_leaving(engine_id) and self.may_go_elsewhere(exchange)
+        is_allowed = exchange.attempts.allow_another_after(engine_id) and self.may_go_elsewhere(
+            exchange
+        )
         if not is_allowed:
             return
         exchange.runs += 1
         exchange.tried.add(engine_id)
-        exchange.attempts.note_left(engine_id)
+        exchange.attempts.record_attempt(engine_id)
         engine.record_outcome(self._state.now, failed=True)
         self._sends.cancel(exchange, failed=True)
         self.repeat(exchange, "late engine")
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -101,7 +101,7 @@
 
     def _check_silence(self, exchange: Exchange) -> None:
         at_engine = exchange.phase is Phase.STREAMING and exchange.request is not None
-        may_leave = at_engine and not exchange.attempts.returns
+        may_leave = at_engine and not exchange.attempts.same_engine_retries
         if may_leave and self._state.now - exchange.item_at >= EVENT_SECONDS:
             self._repeats.cancel_and_repeat(exchange, "silent engine")
         if exchange.phase in (Phase.STREAMING, Phase.WAITING, Phase.SENT):
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -274,7 +274,7 @@
             arrived=_NOTHING,
             call=call,
             route=ROUTE,
-            attempts=Attempts(allowed=1),
+            attempts=Attempts(max_engines=1),
             due=self.now + ROUTE.timeout,
             started=self.now,
             names=_NAMES,
