--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -159,8 +159,8 @@
         prompt_parts=(PromptPart("shared", 12_600), PromptPart(f"own{number}", 1_680)),
     )
     return Exchange(
-        exchange=ExchangeId(f"x{number}"),
-        arrived=HttpArrived(
+        exchange_id=ExchangeId(f"x{number}"),
+        incoming=HttpArrived(
             exchange=ExchangeId(f"x{number}"),
             method="POST",
             path="/turn/x",
@@ -172,8 +172,8 @@
         call=call,
         route=_route(),
         attempts=Attempts(max_engines=1),
-        due=now + PATIENT_SECONDS,
-        started=now,
+        deadline=now + PATIENT_SECONDS,
+        arrived_at=now,
         names=StateNames(
             operation=call.request_id,
             turn=call.request_id,
@@ -182,7 +182,7 @@
             previous_turn="",
         ),
         pool=POOL,
-        spent=1,
+        spent_tokens=1,
     )
 
 
--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -30,7 +30,7 @@
     if judge.suspects(exchange, now):
         full = 0.0
     engine.full_until = max(engine.full_until, now + full * FULL_BACKOFF_SECONDS)
-    exchange.refused_by.append(engine)
+    exchange.rejected_by.append(engine)
     return RefusalCause.OPEN
 
 
--- a/benchmarks/tenant_shares.py
+++ b/benchmarks/tenant_shares.py
@@ -100,7 +100,7 @@
     """Return a queue of which every second turn begins a program."""
     queue = WaitingRequests()
     for number, exchange in enumerate(Node(1, waiting).state.waiting[POOL].in_order()):
-        exchange.spent = number % 2
+        exchange.spent_tokens = number % 2
         queue.add(exchange)
     return queue
 
--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -30,7 +30,7 @@
 
     names: StateNames
     tenant: Tenant | None
-    shows_credential: bool
+    forwards_credential: bool
 
 
 class Denied(msgspec.Struct, frozen=True, kw_only=True):
@@ -60,7 +60,7 @@
     directory = table.tenants
     if directory is None:
         names = _names(call, None, operation=call.request_id)
-        return Admitted(names=names, tenant=None, shows_credential=True)
+        return Admitted(names=names, tenant=None, forwards_credential=True)
     tenant = directory.find(call.credential)
     if route.public:
         return _admitted(call, tenant if is_current else None, operation)
@@ -90,7 +90,7 @@
 def _admitted(call: Call, tenant: Tenant | None, operation: str) -> Admitted:
     name = tenant.name if tenant is not None else NO_TENANT
     names = _names(call, name, operation=operation)
-    return Admitted(names=names, tenant=tenant, shows_credential=False)
+    return Admitted(names=names, tenant=tenant, forwards_credential=False)
 
 
 def _names(call: Call, tenant: str | None, *, operation: str) -> StateNames:
--- a/src/yokeline/forwarding/dialect.py
+++ b/src/yokeline/forwarding/dialect.py
@@ -29,7 +29,7 @@
     priority: int
     last_event_id: str = ""
     tenant: str = ""
-    shows_credential: bool = True
+    forwards_credential: bool = True
 
 
 class Dialect(Protocol):
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatch.py
@@ -53,7 +53,7 @@
         self, exchange: Exchange, refusal: RoomRefusal = RoomRefusal.NO_ENGINE_LEFT
     ) -> None:
         """End a request for which no engine has room."""
-        if exchange.runs:
+        if exchange.possible_runs:
             self._ends.fail(exchange, "no_engine_to_repeat")
             return
         name = f'yokeline_forwarding_room_refusals_total{{cause="{refusal.value}"}}'
@@ -61,7 +61,7 @@
         caller = Returning(
             request_id=exchange.call.request_id,
             has_begun=would_lose_work(exchange),
-            time_left=exchange.due - self._state.now,
+            time_left=exchange.deadline - self._state.now,
         )
         expected = exchange.room_wait.expected if exchange.room_wait is not None else 0.0
         retry_after = return_after(caller, expected)
@@ -69,7 +69,7 @@
         self._ends.refuse(exchange, UNAVAILABLE, "no_engine", retry_after=retry_after, **fields)
 
     def _end_revoked(self, exchange: Exchange) -> None:
-        if exchange.runs or exchange.events:
+        if exchange.possible_runs or exchange.relayed_events:
             self._ends.fail(exchange, UNKNOWN_KEY)
         else:
             self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
@@ -120,11 +120,11 @@
 
     def _choose(self, exchange: Exchange, full: _FullEngines) -> EngineChoice | None:
         """Return the engine for a request; None if none has room, or others go first."""
-        if exchange.begins_for(full.held_back):
+        if exchange.is_unstarted_first_turn_of(full.held_back):
             exchange.was_held_back = True
             return None
         placement = self._state.placement
-        is_new_program = exchange.begins_program
+        is_new_program = exchange.is_first_turn
         if full.has_no_room(exchange, is_new_program=is_new_program):
             return None
         choice = placement.choose(exchange, self._state.pool_of(exchange), self._state.now)
@@ -151,7 +151,7 @@
     def _waited_long(self, exchange: Exchange) -> None:
         """Refuse a request whose wait is over, unless an earlier wait of it set the timer."""
         wait = exchange.room_wait
-        if exchange.phase is not Phase.WAITING or exchange.events or wait is None:
+        if exchange.phase is not Phase.WAITING or exchange.relayed_events or wait is None:
             return
         if self._state.now >= wait.until:
             self._weighing.note_in_vain(exchange)
--- a/src/yokeline/forwarding/ends.py
+++ b/src/yokeline/forwarding/ends.py
@@ -26,7 +26,7 @@
         self._settlements.settle(exchange, 0)
         self._outcomes.effects.append(
             HttpReply(
-                exchange=exchange.exchange,
+                exchange=exchange.exchange_id,
                 status=response.status,
                 headers=self._dialect.answer_headers(response),
                 body=response.body,
@@ -37,39 +37,45 @@
 
     def finish_stream(self, exchange: Exchange) -> None:
         """Pass the end of a whole stream on."""
-        self._outcomes.effects.append(HttpStreamEnd(exchange=exchange.exchange))
+        self._outcomes.effects.append(HttpStreamEnd(exchange=exchange.exchange_id))
         self.end(
             exchange,
             "streamed",
             status=OK,
-            events=exchange.events,
-            predicted=round(exchange.predicted, 4),
-            at_engine=round(exchange.item_at - exchange.sent_at, 4),
-            keeping=round(self._state.now - exchange.item_at, 4),
+            events=exchange.relayed_events,
+            predicted=round(exchange.predicted_seconds, 4),
+            at_engine=round(exchange.last_event_at - exchange.sent_at, 4),
+            keeping=round(self._state.now - exchange.last_event_at, 4),
         )
 
     def fail(self, exchange: Exchange, reason: str) -> None:
         """End a request that may have run: nothing is promised."""
         self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
         if exchange.first_event_at is not None:
-            self._outcomes.effects.append(HttpStreamEnd(exchange=exchange.exchange, aborted=True))
-            self.end(exchange, "cut", reason=reason, events=exchange.events, level="warning")
+            self._outcomes.effects.append(
+                HttpStreamEnd(exchange=exchange.exchange_id, aborted=True)
+            )
+            self.end(
+                exchange, "cut", reason=reason, events=exchange.relayed_events, level="warning"
+            )
             return
-        self._outcomes.reply_error(exchange.exchange, exchange.call.request_id, BAD_GATEWAY, reason)
+        self._outcomes.reply_error(
+            exchange.exchange_id, exchange.call.request_id, BAD_GATEWAY, reason
+        )
         self.end(exchange, "failed", status=BAD_GATEWAY, reason=reason, level="warning")
 
     def time_out(self, exchange: Exchange) -> None:
         """End a request whose time is over while it may run: nothing is promised."""
         self._settlements.settle(exchange, 0)
         self._outcomes.reply_error(
-            exchange.exchange, exchange.call.request_id, GATEWAY_TIMEOUT, "deadline"
+            exchange.exchange_id, exchange.call.request_id, GATEWAY_TIMEOUT, "deadline"
         )
         self.end(exchange, "timed_out", status=GATEWAY_TIMEOUT, level="warning")
 
     def leave(self, exchange: Exchange) -> None:
         """End a request whose caller is gone."""
         self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
-        self.end(exchange, "caller_gone", events=exchange.events)
+        self.end(exchange, "caller_gone", events=exchange.relayed_events)
 
     def refuse(
         self,
@@ -83,7 +89,7 @@
         """End a request that has not run and will not."""
         self._settlements.settle(exchange, 0)
         self._outcomes.reply_error(
-            exchange.exchange, exchange.call.request_id, status, reason, retry_after=retry_after
+            exchange.exchange_id, exchange.call.request_id, status, reason, retry_after=retry_after
         )
         self._outcomes.count_refusal(status, reason)
         if self._state.shares.is_held_back(exchange, self._state.now):
@@ -98,7 +104,7 @@
         if exchange.phase is Phase.WAITING:
             self._state.shares.note_unserved(exchange, self._state.now)
         exchange.phase = Phase.ENDED
-        self._state.exchanges.pop(exchange.exchange, None)
+        self._state.exchanges.pop(exchange.exchange_id, None)
         queue = self._state.waiting.get(exchange.pool)
         if queue is not None:
             queue.remove(exchange)
@@ -110,7 +116,7 @@
         self._outcomes.count_tenant(outcome, exchange.tenant)
         engine = exchange.engine.engine.engine_id if exchange.engine else ""
         if exchange.call.program_time_left is not None:
-            left = exchange.call.program_time_left - (self._state.now - exchange.started)
+            left = exchange.call.program_time_left - (self._state.now - exchange.arrived_at)
             fields["program_left"] = round(left, 3)
         self._outcomes.log(
             "request_ended",
@@ -119,7 +125,7 @@
             outcome=outcome,
             engine=engine,
             sends=exchange.sends,
-            runs=exchange.runs,
-            seconds=round(self._state.now - exchange.started, 4),
+            runs=exchange.possible_runs,
+            seconds=round(self._state.now - exchange.arrived_at, 4),
             **fields,
         )
--- a/src/yokeline/forwarding/engine_request.py
+++ b/src/yokeline/forwarding/engine_request.py
@@ -21,15 +21,15 @@
     exchange: Exchange, request: RequestId, state: EngineState, dialect: Dialect, now: float
 ) -> HttpRequest:
     """Return the request to send: the caller's own, with what the engine is told."""
-    arrived = exchange.arrived
-    remaining = max(_LEAST_REMAINING_SECONDS, exchange.due - now)
+    arrived = exchange.incoming
+    remaining = max(_LEAST_REMAINING_SECONDS, exchange.deadline - now)
     order = EngineOrder(
         engine=state.engine,
         remaining=remaining,
         priority=ENGINE_PRIORITY,
         last_event_id=_resume_from(exchange),
         tenant=exchange.tenant.name if exchange.tenant is not None else "",
-        shows_credential=exchange.shows_credential,
+        forwards_credential=exchange.forwards_credential,
     )
     headers = dialect.engine_headers(arrived, exchange.call, order)
     streaming = exchange.route.kind is RouteKind.STREAMING
--- a/src/yokeline/forwarding/engine_sends.py
+++ b/src/yokeline/forwarding/engine_sends.py
@@ -35,21 +35,21 @@
             state.outcomes.counters["yokeline_forwarding_sends_beyond_subset_total"] += 1
         exchange.attempts.record_send(engine.engine.engine_id)
         exchange.sent_at = state.now
-        exchange.item_at = state.now
-        exchange.beside = choice.load
-        exchange.predicted = choice.predicted_seconds
-        exchange.uncached = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
-        exchange.request = RequestId(f"call/{next(self._numbers)}")
-        state.by_request[exchange.request] = exchange
+        exchange.last_event_at = state.now
+        exchange.load_when_sent = choice.load
+        exchange.predicted_seconds = choice.predicted_seconds
+        exchange.uncached_tokens = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
+        exchange.engine_request_id = RequestId(f"call/{next(self._numbers)}")
+        state.by_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
         self._settlements.tell_of_begin(exchange, engine)
         state.placement.note_sent(exchange, choice, state.pool_of(exchange), state.now)
         state.shares.note_served(exchange, state.now)
         if exchange.sends == 1:
-            state.added_seconds.observe(state.now - exchange.started)
+            state.added_seconds.observe(state.now - exchange.arrived_at)
         self._log_choice(exchange, choice)
         state.outcomes.effects.append(
-            engine_request(exchange, exchange.request, engine, self._dialect, state.now)
+            engine_request(exchange, exchange.engine_request_id, engine, self._dialect, state.now)
         )
 
     def leave(
@@ -61,9 +61,9 @@
         pace: ObservedPace = NO_PACE,
     ) -> None:
         """Note that a request is no longer at its engine, and how the engine served it."""
-        if exchange.request is not None:
-            self._state.by_request.pop(exchange.request, None)
-            exchange.request = None
+        if exchange.engine_request_id is not None:
+            self._state.by_request.pop(exchange.engine_request_id, None)
+            exchange.engine_request_id = None
         if exchange.engine is not None:
             is_kept = not (failed or cancelled)
             self._state.engines.record_released(
@@ -73,8 +73,8 @@
 
     def cancel(self, exchange: Exchange, *, failed: bool = False) -> None:
         """Take a request back from its engine."""
-        if exchange.request is not None:
-            self._state.outcomes.effects.append(HttpCancel(exchange.request))
+        if exchange.engine_request_id is not None:
+            self._state.outcomes.effects.append(HttpCancel(exchange.engine_request_id))
         self.leave(exchange, failed=failed, cancelled=True)
 
     def _log_choice(self, exchange: Exchange, choice: EngineChoice) -> None:
@@ -87,7 +87,7 @@
             prompt=exchange.call.prompt_tokens,
             cached=choice.cached_tokens,
             predicted=round(choice.predicted_seconds, 4),
-            history=exchange.history.value,
+            history=exchange.history_source.value,
             reserving=_seconds_to_grant(exchange),
             waited=round(self._state.now - exchange.waiting_since, 4),
             send=exchange.sends,
@@ -96,4 +96,4 @@
 
 def _seconds_to_grant(exchange: Exchange) -> float:
     """Return how long the ledger took to grant the reservation; 0 if it was not asked."""
-    return round(exchange.granted_at - exchange.started, 4) if exchange.granted_at else 0.0
+    return round(exchange.granted_at - exchange.arrived_at, 4) if exchange.granted_at else 0.0
--- a/src/yokeline/forwarding/exchange.py
+++ b/src/yokeline/forwarding/exchange.py
@@ -86,16 +86,16 @@
         predicted: Seconds from the send to the end, as the choice expected.
     """
 
-    exchange: ExchangeId
-    arrived: HttpArrived
+    exchange_id: ExchangeId
+    incoming: HttpArrived
     call: Call
     route: Route
     attempts: Attempts
-    due: float
-    started: float
+    deadline: float
+    arrived_at: float
     names: StateNames
     tenant: Tenant | None = None
-    shows_credential: bool = True
+    forwards_credential: bool = True
     limit: RateLimit | None = None
     limit_waits: int = 0
     was_held_back: bool = False
@@ -103,33 +103,33 @@
     pool: str = ""
     body: bytes = b""
     phase: Phase = Phase.WAITING
-    reserved: bool = False
-    is_whole: bool = False
-    context: CachedContext | None = None
-    spent: int = 0
-    operation: Operation | None = None
+    has_reservation: bool = False
+    is_complete: bool = False
+    cached_context: CachedContext | None = None
+    spent_tokens: int = 0
+    ledger_operation: Operation | None = None
     sends: int = 0
-    runs: int = 0
+    possible_runs: int = 0
     rejections: int = 0
-    refused_by: list[EngineState] = msgspec.field(default_factory=list)
-    tried: set[str] = msgspec.field(default_factory=set)
+    rejected_by: list[EngineState] = msgspec.field(default_factory=list)
+    excluded_engine_ids: set[str] = msgspec.field(default_factory=set)
     engine: EngineState | None = None
-    uncached: int = 0
-    request: RequestId | None = None
-    head: HttpResponse | None = None
+    uncached_tokens: int = 0
+    engine_request_id: RequestId | None = None
+    response_head: HttpResponse | None = None
     last_event_id: str = ""
-    events: int = 0
-    text: list[bytes] = msgspec.field(default_factory=list)
+    relayed_events: int = 0
+    kept_text: list[bytes] = msgspec.field(default_factory=list)
     kept_event_id: str = ""
     waiting_since: float = 0.0
     room_wait: RoomWait | None = None
-    history: HistorySource = HistorySource.CACHED
-    asked_for_texts: bool = False
+    history_source: HistorySource = HistorySource.CACHED
+    asked_leader_for_history: bool = False
     granted_at: float = 0.0
     sent_at: float = 0.0
-    item_at: float = 0.0
-    beside: int = 0
-    predicted: float = 0.0
+    last_event_at: float = 0.0
+    load_when_sent: int = 0
+    predicted_seconds: float = 0.0
     first_event_at: float | None = None
     timers: list[Timer] = msgspec.field(default_factory=list)
 
@@ -145,22 +145,22 @@
         return self.tenant.name if self.tenant is not None else ""
 
     @property
-    def begins_program(self) -> bool:
+    def is_first_turn(self) -> bool:
         """Whether it is the first turn of a program, of which nothing has been passed on."""
         if self.route.kind is not RouteKind.STREAMING:
             return False
-        return bool(self.call.program) and not self.begun and not self.events
+        return bool(self.call.program) and not self.program_started and not self.relayed_events
 
     @property
-    def waits_to_begin(self) -> bool:
+    def is_unstarted_first_turn(self) -> bool:
         """Whether it begins a program, and no engine may have run it yet."""
-        return self.begins_program and not self.runs
+        return self.is_first_turn and not self.possible_runs
 
-    def begins_for(self, tenants: Collection[str]) -> bool:
+    def is_unstarted_first_turn_of(self, tenants: Collection[str]) -> bool:
         """Return whether it waits to begin a program of one of some tenants."""
-        return self.waits_to_begin and self.tenant_name in tenants
+        return self.is_unstarted_first_turn and self.tenant_name in tenants
 
     @property
-    def begun(self) -> bool:
+    def program_started(self) -> bool:
         """Whether it belongs to a program that has had a turn before."""
-        return self.spent > 0 or bool(self.call.previous_turn)
+        return self.spent_tokens > 0 or bool(self.call.previous_turn)
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -156,7 +156,11 @@
             if is_still_admitted(table, exchange.route, exchange.call):
                 continue
             exchange.is_revoked = True
-            if exchange.request is None and not exchange.runs and not exchange.events:
+            if (
+                exchange.engine_request_id is None
+                and not exchange.possible_runs
+                and not exchange.relayed_events
+            ):
                 self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
 
     @property
@@ -229,7 +233,7 @@
 
     def _is_quiet(self, exchange: Exchange) -> bool:
         """Return whether nothing was heard of a request for as long as news may take."""
-        return self._state.now - exchange.item_at >= START_NEWS_SECONDS
+        return self._state.now - exchange.last_event_at >= START_NEWS_SECONDS
 
     @property
     def has_sent(self) -> bool:
@@ -409,23 +413,23 @@
         arrived_at: float,
     ) -> Exchange:
         exchange = Exchange(
-            exchange=event.exchange,
-            arrived=event,
+            exchange_id=event.exchange,
+            incoming=event,
             call=call,
             route=route,
             attempts=Attempts(max_engines=route.max_attempts),
-            due=arrived_at + min(call.deadline, route.timeout),
-            started=arrived_at,
+            deadline=arrived_at + min(call.deadline, route.timeout),
+            arrived_at=arrived_at,
             names=admitted.names,
             tenant=admitted.tenant,
-            shows_credential=admitted.shows_credential,
+            forwards_credential=admitted.forwards_credential,
             limit=limit_of(admitted.tenant, self._outcomes.configuration, self._tolerance),
             pool=self._split.pool_of(route, call),
             body=event.body,
             last_event_id=call.last_event_id,
         )
         self._state.exchanges[event.exchange] = exchange
-        self._state.schedule(exchange, exchange.due, self._deadline_reached)
+        self._state.schedule(exchange, exchange.deadline, self._deadline_reached)
         return exchange
 
     def _wait_and_dispatch(self, exchange: Exchange) -> None:
@@ -438,12 +442,12 @@
         if self._dialect.was_not_run(response):
             self._repeats.rejected(exchange, response)
             return
-        exchange.runs += 1
+        exchange.possible_runs += 1
         self._repeats.note_taken(exchange)
         is_stream = exchange.route.kind is RouteKind.STREAMING
         if is_stream and response.status in SUCCESS and not response.body:
-            if exchange.head is None:
-                exchange.head = response
+            if exchange.response_head is None:
+                exchange.response_head = response
             return
         self._take_answer(exchange, response)
 
@@ -465,7 +469,7 @@
             self._repeats.note_answered(exchange)
         if has_failed and self._repeats.may_go_elsewhere(exchange):
             if engine is not None:
-                exchange.tried.add(engine.engine.engine_id)
+                exchange.excluded_engine_ids.add(engine.engine.engine_id)
             self._repeats.repeat(exchange, f"status {response.status}")
             return
         if exchange.phase is Phase.STREAMING:
@@ -478,20 +482,20 @@
             self._state.placement.note_call(exchange, self._state.now)
 
     def _is_due(self, exchange: Exchange) -> bool:
-        return self._state.now >= exchange.due - DUE_SLACK_SECONDS
+        return self._state.now >= exchange.deadline - DUE_SLACK_SECONDS
 
     # ------------------------------------------------------------ ends
 
     def _deadline_reached(self, exchange: Exchange) -> None:
         """Give the final answer at the deadline or the route's time-out."""
-        was_sent = exchange.request is not None
+        was_sent = exchange.engine_request_id is not None
         if was_sent:
             self._sends.cancel(exchange)
         if exchange.phase is Phase.ENDED:
             return
         if exchange.first_event_at is not None:
             self._ends.fail(exchange, "deadline")
-        elif exchange.runs or was_sent:
+        elif exchange.possible_runs or was_sent:
             self._ends.time_out(exchange)
         else:
             self._ends.refuse(
@@ -500,7 +504,7 @@
 
     def _caller_gone(self, exchange: Exchange) -> None:
         """Stop what may be stopped; a correction that is under way runs to its end."""
-        if exchange.request is not None:
+        if exchange.engine_request_id is not None:
             if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
                 return
             self._sends.cancel(exchange)
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/limits.py
@@ -114,7 +114,7 @@
         """Ask the ledger to count a request."""
         assert exchange.limit is not None
         exchange.phase = Phase.RESERVING
-        exchange.operation = Draw(
+        exchange.ledger_operation = Draw(
             request_id=exchange.names.operation,
             limit=exchange.limit,
             program=exchange.names.program,
@@ -126,8 +126,8 @@
             return self._state.outcomes.take_effects()
 
         now = self._state.now
-        give_up_at = min(exchange.due, now + LEDGER_SECONDS)
-        effects = self._ledger.ask(exchange.operation, answered, now, give_up_at)
+        give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
+        effects = self._ledger.ask(exchange.ledger_operation, answered, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
     def count_again(self, exchange: Exchange) -> None:
@@ -165,7 +165,7 @@
         assert exchange.limit is not None
         tenant, now = exchange.limit.tenant, self._state.now
         may_wait = exchange.limit_waits < MAX_WAITS and self._waiting[tenant] < MAX_WAITING
-        if not may_wait or seconds > LONGEST_WAIT_SECONDS or now + seconds >= exchange.due:
+        if not may_wait or seconds > LONGEST_WAIT_SECONDS or now + seconds >= exchange.deadline:
             self._refuse(exchange, seconds)
             return
         exchange.limit_waits += 1
@@ -185,7 +185,7 @@
     def _take_result(self, exchange: Exchange, result: OperationResult | None) -> None:
         if exchange.phase is not Phase.RESERVING:
             return
-        exchange.operation = None
+        exchange.ledger_operation = None
         if isinstance(result, Drawn):
             exchange.granted_at = self._state.now
             self._drawn(exchange)
--- a/src/yokeline/forwarding/place_shares.py
+++ b/src/yokeline/forwarding/place_shares.py
@@ -58,14 +58,14 @@
 
     def is_held_back(self, exchange: Exchange, now: float) -> bool:
         """Return whether a request gets no place now, so that other tenants do."""
-        return exchange.begins_for(self.held_back(exchange.pool, now))
+        return exchange.is_unstarted_first_turn_of(self.held_back(exchange.pool, now))
 
     def note_served(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that got a place."""
-        if exchange.begins_program and exchange.sends == 1:
+        if exchange.is_first_turn and exchange.sends == 1:
             self._passing.note(exchange.tenant_name, now, is_served=True)
 
     def note_unserved(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that ceased to wait without a place."""
-        if exchange.begins_program and not exchange.sends:
+        if exchange.is_first_turn and not exchange.sends:
             self._passing.note(exchange.tenant_name, now, is_served=False)
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -61,17 +61,17 @@
                 own, self.prefix_cache, self._inputs(exchange, pool, tried=()), now
             )
         choice = self._choose(exchange, pool, now)
-        if choice is None and exchange.tried:
-            exchange.tried.clear()
+        if choice is None and exchange.excluded_engine_ids:
+            exchange.excluded_engine_ids.clear()
             choice = self._choose(exchange, pool, now)
         return choice
 
     def lacks_time(self, exchange: Exchange, now: float) -> bool:
         """Return whether too little time is left to serve a request before it is due."""
-        left = exchange.due - now
+        left = exchange.deadline - now
         if left <= LEAST_SECONDS:
             return True
-        if exchange.route.kind is not RouteKind.STREAMING or exchange.events:
+        if exchange.route.kind is not RouteKind.STREAMING or exchange.relayed_events:
             return False
         return left < HOPELESS_SHARE * self._turn_seconds.get(exchange.pool, 0.0)
 
@@ -115,17 +115,17 @@
             # Gone meanwhile; what is learnt of it would be kept for ever.
             return NO_PACE
         self._note_turn_seconds(exchange, now)
-        if exchange.first_event_at is None or not exchange.events:
+        if exchange.first_event_at is None or not exchange.relayed_events:
             return NO_PACE
-        gaps = exchange.events - 1
-        event_seconds = (exchange.item_at - exchange.first_event_at) / gaps if gaps else 0.0
+        gaps = exchange.relayed_events - 1
+        event_seconds = (exchange.last_event_at - exchange.first_event_at) / gaps if gaps else 0.0
         turn = ServedTurn(
             engine_id=exchange.engine.engine.engine_id,
-            unread=exchange.uncached,
-            beside=(exchange.beside + max(0, exchange.engine.load - 1)) / 2,
+            unread=exchange.uncached_tokens,
+            beside=(exchange.load_when_sent + max(0, exchange.engine.load - 1)) / 2,
             first_event_seconds=exchange.first_event_at - exchange.sent_at,
             event_seconds=event_seconds if gaps >= LEAST_GAPS else None,
-            events=exchange.events,
+            events=exchange.relayed_events,
         )
         return self._model(exchange.pool).observe(turn, now, exchange.engine.reported_profile)
 
@@ -148,7 +148,7 @@
 
     def _note_begin(self, exchange: Exchange, now: float) -> None:
         """Note whether a place went to a program that begins, and follow that program."""
-        begins = exchange.begins_program
+        begins = exchange.is_first_turn
         share = self._begin_shares.get(exchange.pool, START_BEGIN_SHARE)
         self._begin_shares[exchange.pool] = share + BEGIN_WEIGHT * (float(begins) - share)
         given = exchange.call.program_time_left
@@ -162,7 +162,7 @@
 
     def _choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         engines = self._engines.in_pool(exchange.pool, now)
-        inputs = self._inputs(exchange, pool, exchange.tried)
+        inputs = self._inputs(exchange, pool, exchange.excluded_engine_ids)
         return choose_engine(engines, self.prefix_cache, inputs, now)
 
     def _inputs(self, exchange: Exchange, pool: Pool, tried: Iterable[str]) -> ChoiceInputs:
@@ -176,8 +176,8 @@
             zone=self._zone,
             excluded=frozenset(tried),
             affinity_engine_id=affine,
-            cached_context=exchange.context,
-            is_new_program=exchange.begins_program,
+            cached_context=exchange.cached_context,
+            is_new_program=exchange.is_first_turn,
             model=self._model(exchange.pool) if pool.model is not None else None,
             is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.is_retryable,
         )
--- a/src/yokeline/forwarding/refusals.py
+++ b/src/yokeline/forwarding/refusals.py
@@ -75,27 +75,27 @@
             return RefusalCause.ENGINE_GONE
         caller = _caller(exchange)
         if self.suspects(exchange, now):
-            exchange.refused_by.append(engine)
+            exchange.rejected_by.append(engine)
             return RefusalCause.REQUEST
         if self._is_full(engine, caller, now):
             engine.full_until = now + FULL_BACKOFF_SECONDS
             return RefusalCause.ENGINE_FULL
         engine.rejected_caller, engine.rejected_at = caller, now
-        exchange.refused_by.append(engine)
-        return RefusalCause.REQUEST if len(exchange.refused_by) > 1 else RefusalCause.OPEN
+        exchange.rejected_by.append(engine)
+        return RefusalCause.REQUEST if len(exchange.rejected_by) > 1 else RefusalCause.OPEN
 
     def gives_up(self, exchange: Exchange, now: float) -> bool:
         """Return whether a request has asked enough engines with free places."""
         most = MAX_SUSPECT_REFUSALS if self.suspects(exchange, now) else MAX_FREE_REFUSALS
-        return len(exchange.refused_by) >= most
+        return len(exchange.rejected_by) >= most
 
     def note_taken(self, exchange: Exchange, now: float) -> None:
         """Note that an engine runs a request: those that refused it shed what can be served."""
-        if not exchange.refused_by:
+        if not exchange.rejected_by:
             return
-        for engine in exchange.refused_by:
+        for engine in exchange.rejected_by:
             engine.record_outcome(now, failed=True)
-        exchange.refused_by.clear()
+        exchange.rejected_by.clear()
         self._suspicion(_caller(exchange)).observe(0.0, now)
 
     def note_given_up(self, exchange: Exchange, now: float) -> None:
@@ -125,7 +125,7 @@
 
 def pause_after(exchange: Exchange) -> float:
     """Return for how many seconds a refused request waits before it asks the next engine."""
-    refusals = len(exchange.refused_by)
+    refusals = len(exchange.rejected_by)
     return REFUSAL_PAUSE_SECONDS * 2.0 ** (refusals - 2) if refusals > 1 else 0.0
 
 
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -58,7 +58,7 @@
 
     def may_go_elsewhere(self, exchange: Exchange) -> bool:
         """Return whether another engine may run it, by its route and the retry budget."""
-        if exchange.attempts.are_exhausted or exchange.runs >= MAX_RUNS:
+        if exchange.attempts.are_exhausted or exchange.possible_runs >= MAX_RUNS:
             return False
         return self._may_repeat(exchange)
 
@@ -70,7 +70,7 @@
             "request_repeated",
             exchange,
             reason=reason,
-            runs=exchange.runs,
+            runs=exchange.possible_runs,
             after_event=exchange.last_event_id,
             back_to=exchange.attempts.latest_engine_id if exchange.attempts.are_exhausted else "",
             budget_left=round(self._retries.left, 1),
@@ -86,10 +86,10 @@
         if engine is None:
             self._dispatch.give_up(exchange)
             return
-        exchange.tried.add(engine.engine.engine_id)
+        exchange.excluded_engine_ids.add(engine.engine.engine_id)
         cause = self._cause_of(exchange, engine, response)
         gives_up = self._judge.gives_up(exchange, self._state.now)
-        if gives_up and exchange.refused_by:
+        if gives_up and exchange.rejected_by:
             self._judge.note_given_up(exchange, self._state.now)
         if gives_up or exchange.rejections >= MAX_REJECTIONS:
             self._dispatch.give_up(exchange)
@@ -117,7 +117,7 @@
             cause=cause.value,
             load=load,
             slots=engine.engine.slots,
-            free_refusals=len(exchange.refused_by),
+            free_refusals=len(exchange.rejected_by),
             caller_suspected=self._judge.suspects(exchange, self._state.now),
         )
         return cause
@@ -132,7 +132,7 @@
         self._log_break(exchange, failure)
         self._sends.leave(exchange, failed=not failure.stale)
         if engine is not None:
-            exchange.tried.add(engine.engine.engine_id)
+            exchange.excluded_engine_ids.add(engine.engine.engine_id)
             if not failure.stale:
                 engine.record_failure(self._state.now)
             if failure.sent:
@@ -140,8 +140,8 @@
         if not failure.sent:
             self._send_again_unsent(exchange, failure)
             return
-        if exchange.phase is Phase.SENT and exchange.head is None:
-            exchange.runs += 1
+        if exchange.phase is Phase.SENT and exchange.response_head is None:
+            exchange.possible_runs += 1
         self._repeat_or_fail(exchange, failure.reason)
 
     def cancel_and_repeat(self, exchange: Exchange, reason: str) -> None:
@@ -150,15 +150,15 @@
         self._sends.cancel(exchange, failed=True)
         if engine is not None:
             engine_id = engine.engine.engine_id
-            exchange.tried.add(engine_id)
+            exchange.excluded_engine_ids.add(engine_id)
             engine.record_failure(self._state.now)
             exchange.attempts.record_attempt(engine_id)
         self._repeat_or_fail(exchange, reason)
 
     def break_off(self, exchange: Exchange, reason: str) -> None:
         """Take a request from an engine that is gone; it may have run there."""
-        if exchange.phase is Phase.SENT and exchange.head is None:
-            exchange.runs += 1
+        if exchange.phase is Phase.SENT and exchange.response_head is None:
+            exchange.possible_runs += 1
         self.cancel_and_repeat(exchange, reason)
 
     def note_answered(self, exchange: Exchange) -> None:
@@ -199,8 +199,8 @@
         """Return whether another send is allowed, wanted and within the retry budget."""
         if not exchange.route.is_retryable:
             return False
-        return exchange.due - self._state.now > LEAST_REPEAT_SECONDS and (
-            self._retries.allows_repeat() or exchange.events > 0
+        return exchange.deadline - self._state.now > LEAST_REPEAT_SECONDS and (
+            self._retries.allows_repeat() or exchange.relayed_events > 0
         )
 
     def _may_return(self, exchange: Exchange) -> bool:
@@ -241,7 +241,7 @@
     def _note_sent(self, exchange: Exchange) -> None:
         if exchange.sends == 1:
             self._retries.note_first_send()
-        if exchange.runs or exchange.events:
+        if exchange.possible_runs or exchange.relayed_events:
             self.runs_again(exchange)
         if exchange.route.kind is RouteKind.IDEMPOTENT:
             self._watch_call(exchange)
@@ -256,7 +256,7 @@
     def _patience_with(self, exchange: Exchange) -> float | None:
         """Return how long a call waits for the engine that has it; None if it is not known."""
         slots = exchange.engine.engine.slots if exchange.engine is not None else 1
-        queued = calls_before(exchange.beside, max(1, slots))
+        queued = calls_before(exchange.load_when_sent, max(1, slots))
         return self._patience.seconds(exchange.route.name, exchange.sends, queued)
 
     def _move_late_call(self, exchange: Exchange) -> None:
@@ -264,7 +264,7 @@
         waited = self._state.now - exchange.sent_at
         patience = self._patience_with(exchange)
         is_late = patience is not None and waited >= patience
-        if exchange.phase is not Phase.SENT or exchange.head is not None or not is_late:
+        if exchange.phase is not Phase.SENT or exchange.response_head is not None or not is_late:
             return
         self._patience.note_given_up(exchange.route.name, waited)
         engine = exchange.engine
@@ -276,8 +276,8 @@
         )
         if not is_allowed:
             return
-        exchange.runs += 1
-        exchange.tried.add(engine_id)
+        exchange.possible_runs += 1
+        exchange.excluded_engine_ids.add(engine_id)
         exchange.attempts.record_attempt(engine_id)
         engine.record_outcome(self._state.now, failed=True)
         self._sends.cancel(exchange, failed=True)
--- a/src/yokeline/forwarding/reservations.py
+++ b/src/yokeline/forwarding/reservations.py
@@ -62,12 +62,12 @@
         exchange.phase = Phase.RESERVING
         missing_from = self._turns.missing_from(exchange.names.previous_turn)
         if missing_from and self._fetch(exchange, missing_from):
-            exchange.history = HistorySource.FETCHING
+            exchange.history_source = HistorySource.FETCHING
             missing_from = ""
         elif missing_from:
-            exchange.history = HistorySource.LEADER
-        exchange.operation = reservation_of(exchange, missing_from)
-        self._ask(exchange, exchange.operation)
+            exchange.history_source = HistorySource.LEADER
+        exchange.ledger_operation = reservation_of(exchange, missing_from)
+        self._ask(exchange, exchange.ledger_operation)
 
     def _ask(self, exchange: Exchange, operation: Operation) -> None:
         def reserved(result: OperationResult | None, now: float) -> list[Effect]:
@@ -76,7 +76,7 @@
             return self._state.outcomes.take_effects()
 
         now = self._state.now
-        give_up_at = min(exchange.due, now + LEDGER_SECONDS)
+        give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
         effects = self._ledger.ask(operation, reserved, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
@@ -101,7 +101,7 @@
         if exchange.phase is not Phase.RESERVING:
             return
         missing_from = self._turns.missing_from(exchange.names.previous_turn)
-        exchange.history = HistorySource.LEADER if missing_from else HistorySource.REPLICA
+        exchange.history_source = HistorySource.LEADER if missing_from else HistorySource.REPLICA
         if not exchange.granted_at:
             return
         if missing_from:
@@ -111,7 +111,7 @@
 
     def _ask_for_texts(self, exchange: Exchange, missing_from: str) -> None:
         """Ask the leader for the granted reservation once more, with the texts."""
-        exchange.asked_for_texts = True
+        exchange.asked_leader_for_history = True
         self._ask(exchange, reservation_of(exchange, missing_from))
 
     def _take_result(self, exchange: Exchange, result: OperationResult | None) -> None:
@@ -122,12 +122,12 @@
         """
         if exchange.phase is not Phase.RESERVING:
             return
-        operation, exchange.operation = exchange.operation, None
+        operation, exchange.ledger_operation = exchange.ledger_operation, None
         if isinstance(result, Granted):
-            exchange.reserved = exchange.call.budget is not None
+            exchange.has_reservation = exchange.call.budget is not None
             exchange.granted_at = exchange.granted_at or self._state.now
-            exchange.spent = result.spent
-            exchange.context = result.context
+            exchange.spent_tokens = result.spent
+            exchange.cached_context = result.context
             self._add_history(exchange, result)
         elif isinstance(result, BudgetSpent):
             self._ends.refuse(exchange, PAYMENT_REQUIRED, "budget_spent", spent=result.spent)
@@ -138,7 +138,7 @@
         elif isinstance(result, NoSuchTurn):
             self._ends.refuse(exchange, NOT_FOUND, "no_such_turn", turn=exchange.call.previous_turn)
         else:
-            exchange.reserved = exchange.call.budget is not None
+            exchange.has_reservation = exchange.call.budget is not None
             self._ends.refuse(
                 exchange,
                 UNAVAILABLE,
@@ -149,7 +149,7 @@
     def _ask_again(self, exchange: Exchange, operation: Operation | None) -> None:
         """Ask for the same reservation once more, after a wait for the tenant's limit."""
         if operation is not None:
-            exchange.operation = operation
+            exchange.ledger_operation = operation
             self._ask(exchange, operation)
 
     def _add_history(self, exchange: Exchange, granted: Granted) -> None:
@@ -158,9 +158,12 @@
         missing_from = self._turns.missing_from(exchange.names.previous_turn)
         if not missing_from:
             self._go_on(exchange)
-        elif exchange.history is HistorySource.LEADER and not exchange.asked_for_texts:
+        elif (
+            exchange.history_source is HistorySource.LEADER
+            and not exchange.asked_leader_for_history
+        ):
             self._ask_for_texts(exchange, missing_from)
-        elif exchange.history is not HistorySource.FETCHING:
+        elif exchange.history_source is not HistorySource.FETCHING:
             self._ends.refuse(
                 exchange,
                 UNAVAILABLE,
@@ -174,5 +177,5 @@
         assert history is not None  # the callers saw that no turn of the chain is missing
         if previous:
             self._turns.note_latest(exchange.names.session, previous)
-        exchange.body = history + exchange.arrived.body
+        exchange.body = history + exchange.incoming.body
         self._granted(exchange)
--- a/src/yokeline/forwarding/room_weighing.py
+++ b/src/yokeline/forwarding/room_weighing.py
@@ -67,7 +67,7 @@
         if exchange.room_wait is None:
             return self._begin(exchange, room)
         exchange.room_wait.expected = expected_wait(room)
-        if not exchange.call.program or exchange.events or exchange.runs:
+        if not exchange.call.program or exchange.relayed_events or exchange.possible_runs:
             return None
         still = exchange.room_wait.until - self._state.now
         hopeless = is_hopeless(still, exchange.room_wait.expected)
@@ -122,7 +122,7 @@
         return decision.refusal
 
     def _room_for(self, exchange: Exchange, view: RoomView, ahead: int, waiting: int) -> PoolRoom:
-        is_first = exchange.begins_program
+        is_first = exchange.is_first_turn
         room = view.room(ahead, waiting, is_first=is_first)
         if not is_first:
             return room
@@ -131,17 +131,19 @@
     def _need_of(self, exchange: Exchange) -> RoomNeed:
         now, program_time_left = self._state.now, exchange.call.program_time_left
         program_left = (
-            program_time_left - (now - exchange.started) if program_time_left is not None else None
+            program_time_left - (now - exchange.arrived_at)
+            if program_time_left is not None
+            else None
         )
         return RoomNeed(
-            time_left=exchange.due - now,
+            time_left=exchange.deadline - now,
             own_seconds=self._state.placement.place_seconds(exchange.pool) or 0.0,
             target_latency=exchange.route.target_latency,
             has_program=bool(exchange.call.program),
             program_left=program_left,
             program_share=self._program_share(exchange),
-            has_begun=would_lose_work(exchange) or exchange.runs > 0,
-            is_interrupted=exchange.events > 0,
+            has_begun=would_lose_work(exchange) or exchange.possible_runs > 0,
+            is_interrupted=exchange.relayed_events > 0,
         )
 
     def _program_share(self, exchange: Exchange) -> float:
@@ -149,14 +151,14 @@
 
     def _learn(self, exchange: Exchange, wait: RoomWait, *, got_place: bool) -> None:
         """Learn how far the expected waits of first turns can be trusted."""
-        if exchange.begins_program and not exchange.was_held_back:
+        if exchange.is_first_turn and not exchange.was_held_back:
             waited = self._state.now - exchange.waiting_since
             self._errors.note(exchange.pool, wait.first_expected, waited, got_place=got_place)
 
 
 def would_lose_work(exchange: Exchange) -> bool:
     """Return whether the program of a request has done work that would be lost with it."""
-    return exchange.begun or continues_program(exchange.route, exchange.call)
+    return exchange.program_started or continues_program(exchange.route, exchange.call)
 
 
 def _rounded(seconds: float | None) -> float | None:
--- a/src/yokeline/forwarding/settlements.py
+++ b/src/yokeline/forwarding/settlements.py
@@ -32,9 +32,9 @@
 
     def settle(self, exchange: Exchange, tokens: int) -> None:
         """Replace a reservation, if there is one, by what was handed to the caller."""
-        if not exchange.reserved:
+        if not exchange.has_reservation:
             return
-        exchange.reserved = False
+        exchange.has_reservation = False
 
         def settled(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
@@ -51,7 +51,7 @@
     def keep(self, exchange: Exchange, kept: TurnKept) -> None:
         """Settle a whole turn and have it kept; ``kept`` is called once."""
         turn: KeptTurn = kept_turn_of(exchange)
-        exchange.reserved = False
+        exchange.has_reservation = False
 
         def settled(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
@@ -59,22 +59,22 @@
             return self._state.outcomes.take_effects()
 
         operation = settlement_of(exchange, self.tokens_of(exchange), turn)
-        self._ask(self._ledger.ask(operation, settled, self._state.now, exchange.due))
+        self._ask(self._ledger.ask(operation, settled, self._state.now, exchange.deadline))
 
     def forget_reservation(self, exchange: Exchange) -> None:
         """Stop asking for a reservation; it may stand, so it is released."""
-        if exchange.operation is None:
+        if exchange.ledger_operation is None:
             return
-        self._ledger.forget(exchange.operation)
-        if isinstance(exchange.operation, Reserve) and exchange.call.budget is not None:
-            exchange.reserved = True
+        self._ledger.forget(exchange.ledger_operation)
+        if isinstance(exchange.ledger_operation, Reserve) and exchange.call.budget is not None:
+            exchange.has_reservation = True
             self.settle(exchange, 0)
 
     def tokens_of(self, exchange: Exchange) -> int:
         """Return the tokens handed to the caller."""
         traits = self._state.pool_of(exchange).model
         per_event = 1 if traits is None else traits.tokens_per_event
-        return exchange.events * per_event
+        return exchange.relayed_events * per_event
 
     def tell_of_begin(self, exchange: Exchange, engine: EngineState) -> None:
         """Tell the ledger's leader, which knows the turns of all nodes, where a turn runs."""
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -49,15 +49,15 @@
         if exchange.phase is not Phase.STREAMING:
             return
         now = self._state.now
-        exchange.item_at = now
+        exchange.last_event_at = now
         if exchange.route.retain and is_later(item.event_id, exchange.kept_event_id):
-            exchange.text.append(event_data(item.data))
+            exchange.kept_text.append(event_data(item.data))
             exchange.kept_event_id = item.event_id
         if not is_later(item.event_id, exchange.last_event_id):
             return
         exchange.last_event_id = item.event_id or exchange.last_event_id
-        exchange.events += 1
-        self._state.outcomes.effects.append(HttpStreamData(exchange.exchange, item.data))
+        exchange.relayed_events += 1
+        self._state.outcomes.effects.append(HttpStreamData(exchange.exchange_id, item.data))
 
     def ended(self, exchange: Exchange) -> None:
         """Pass the end on; a turn that is kept is committed before."""
@@ -68,7 +68,7 @@
             engine.record_success(self._state.now)
         if exchange.phase is Phase.SENT:
             self._start(exchange)
-        exchange.is_whole = True
+        exchange.is_complete = True
         self._note_prediction(exchange)
         if not exchange.route.retain:
             self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
@@ -78,31 +78,31 @@
         self._settlements.keep(exchange, self._kept)
 
     def _start(self, exchange: Exchange) -> None:
-        assert exchange.head is not None
+        assert exchange.response_head is not None
         exchange.phase = Phase.STREAMING
         if exchange.first_event_at is not None:
             return
         exchange.first_event_at = self._state.now
-        self._state.first_event_seconds.observe(self._state.now - exchange.started)
+        self._state.first_event_seconds.observe(self._state.now - exchange.arrived_at)
         if exchange.route.is_retryable:
             self._watch_silence(exchange)
         self._state.outcomes.effects.append(
             HttpStreamStart(
-                exchange=exchange.exchange,
-                status=exchange.head.status,
-                headers=self._dialect.answer_headers(exchange.head),
+                exchange=exchange.exchange_id,
+                status=exchange.response_head.status,
+                headers=self._dialect.answer_headers(exchange.response_head),
                 last=self._state.outcomes.closing,
             )
         )
 
     def _watch_silence(self, exchange: Exchange) -> None:
-        due = max(exchange.item_at + EVENT_SECONDS, self._state.now + LEAST_WATCH_SECONDS)
+        due = max(exchange.last_event_at + EVENT_SECONDS, self._state.now + LEAST_WATCH_SECONDS)
         self._state.schedule(exchange, due, self._check_silence)
 
     def _check_silence(self, exchange: Exchange) -> None:
-        at_engine = exchange.phase is Phase.STREAMING and exchange.request is not None
+        at_engine = exchange.phase is Phase.STREAMING and exchange.engine_request_id is not None
         may_leave = at_engine and not exchange.attempts.same_engine_retries
-        if may_leave and self._state.now - exchange.item_at >= EVENT_SECONDS:
+        if may_leave and self._state.now - exchange.last_event_at >= EVENT_SECONDS:
             self._repeats.cancel_and_repeat(exchange, "silent engine")
         if exchange.phase in (Phase.STREAMING, Phase.WAITING, Phase.SENT):
             self._watch_silence(exchange)
@@ -120,6 +120,6 @@
     def _note_prediction(self, exchange: Exchange) -> None:
         """Count how far the time at the engine was from what the choice expected."""
         measured = self._state.now - exchange.sent_at
-        if exchange.predicted and measured > 0 and exchange.sends == 1:
-            error = abs(measured - exchange.predicted) / measured
+        if exchange.predicted_seconds and measured > 0 and exchange.sends == 1:
+            error = abs(measured - exchange.predicted_seconds) / measured
             self._state.prediction_error.observe(error)
--- a/src/yokeline/forwarding/turn_operations.py
+++ b/src/yokeline/forwarding/turn_operations.py
@@ -29,7 +29,9 @@
         missing_from=missing_from,
         limit=exchange.limit,
         kind=exchange.route.name if exchange.limit is not None else "",
-        left=call.program_time_left if exchange.limit is not None and not exchange.begun else None,
+        left=call.program_time_left
+        if exchange.limit is not None and not exchange.program_started
+        else None,
     )
 
 
@@ -50,14 +52,14 @@
     return KeptTurn(
         turn_id=exchange.names.turn,
         previous=exchange.names.previous_turn,
-        text=exchange.arrived.body + b"".join(exchange.text),
+        text=exchange.incoming.body + b"".join(exchange.kept_text),
         retention=exchange.route.retention,
     )
 
 
 def _context_of(exchange: Exchange, tokens: int) -> CachedContext | None:
     """Return where a turn was generated, if it was generated whole at one engine."""
-    if not exchange.is_whole or exchange.engine is None:
+    if not exchange.is_complete or exchange.engine is None:
         return None
     engine_id = exchange.engine.engine.engine_id
     return CachedContext(engine_id=engine_id, tokens=exchange.call.prompt_tokens + tokens)
--- a/src/yokeline/forwarding/waiting.py
+++ b/src/yokeline/forwarding/waiting.py
@@ -22,12 +22,12 @@
     """
     program_time_left = exchange.call.program_time_left
     return Standing(
-        is_interrupted=exchange.events > 0,
+        is_interrupted=exchange.relayed_events > 0,
         is_late=program_time_left is not None and program_time_left <= 0,
-        has_begun=exchange.begun,
-        is_held_back=exchange.begins_for(held_back),
+        has_begun=exchange.program_started,
+        is_held_back=exchange.is_unstarted_first_turn_of(held_back),
         priority=exchange.priority,
-        over_at=exchange.started + (program_time_left or 0.0),
+        over_at=exchange.arrived_at + (program_time_left or 0.0),
     )
 
 
@@ -87,7 +87,7 @@
         return order_key(standing_of(exchange, self._held_back))
 
     def _count(self, exchange: Exchange, change: int) -> None:
-        if not exchange.waits_to_begin:
+        if not exchange.is_unstarted_first_turn:
             return
         tenant = exchange.tenant_name
         before = self.first_turns[tenant]
--- a/src/yokeline/platform/headers.py
+++ b/src/yokeline/platform/headers.py
@@ -70,7 +70,7 @@
         fields = passed_fields(
             arrived.header_items,
             _named_by_connection(arrived),
-            shows_credential=order.shows_credential,
+            shows_credential=order.forwards_credential,
         )
         remaining_ms = max(1, int(order.remaining * _MILLISECONDS))
         fields.append((DEADLINE_MS, str(remaining_ms)))
--- a/tests/property/test_request_fields.py
+++ b/tests/property/test_request_fields.py
@@ -64,7 +64,7 @@
             remaining=1.0,
             priority=5,
             tenant="mine" if has_tenant else "",
-            shows_credential=False,
+            forwards_credential=False,
         )
         fields = list(dialect.engine_headers(event, read.unwrap(), order))
         rules = [(FIELD_RULES.get(name.replace("_", "-")), name, value) for name, value in fields]
--- a/tests/unit/platform/test_fields.py
+++ b/tests/unit/platform/test_fields.py
@@ -45,7 +45,7 @@
         remaining=1.0,
         priority=5,
         tenant=tenant,
-        shows_credential=shows_credential,
+        forwards_credential=shows_credential,
     )
     call = dialect.parse_call(event).unwrap()
     return list(dialect.engine_headers(event, call, order))
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -160,7 +160,9 @@
         """Return what waits, in the order of this way of sharing, without what is held back."""
         waiting = self.queue.in_order()
         if self.way is Way.VIRTUAL_TIME:
-            waiting.sort(key=lambda item: (not item.begun, self._start_of(item), item.started))
+            waiting.sort(
+                key=lambda item: (not item.program_started, self._start_of(item), item.arrived_at)
+            )
             return waiting
         if self.way is Way.FIRST_COME:
             return waiting
@@ -270,19 +272,19 @@
         name = f"turn-{next(self._numbers)}"
         call = Call(request_id=name, deadline=ROUTE.timeout, program=name)
         exchange = Exchange(
-            exchange=ExchangeId(name),
-            arrived=_NOTHING,
+            exchange_id=ExchangeId(name),
+            incoming=_NOTHING,
             call=call,
             route=ROUTE,
             attempts=Attempts(max_engines=1),
-            due=self.now + ROUTE.timeout,
-            started=self.now,
+            deadline=self.now + ROUTE.timeout,
+            arrived_at=self.now,
             names=_NAMES,
             tenant=program.tenant,
             pool=POOL,
-            spent=int(has_begun),
+            spent_tokens=int(has_begun),
         )
-        self._programs[exchange.exchange] = program
+        self._programs[exchange.exchange_id] = program
         return exchange
 
     # ------------------------------------------------------------ waits and turns
@@ -305,7 +307,7 @@
         """Give places to what waits at a node, as far as it believes that there are any."""
         for exchange in node.in_order(self.now):
             believed = node.told_running + node.sent_since
-            headroom = BEGUN_HEADROOM if exchange.begun else 1.0
+            headroom = BEGUN_HEADROOM if exchange.program_started else 1.0
             if believed >= self._load.places * headroom:
                 continue
             if node.may_take(exchange, self.now):
@@ -314,10 +316,10 @@
             self._report(node)
 
     def _take_place(self, node: _Node, exchange: Exchange) -> None:
-        program = self._programs.pop(exchange.exchange)
+        program = self._programs.pop(exchange.exchange_id)
         node.queue.remove(exchange)
         node.note_taken(exchange, program.tenant.rate, self.now)
-        if program.is_counted and not exchange.begun:
+        if program.is_counted and not exchange.program_started:
             self._count_begun(exchange)
         self._running += 1
         crowd = max(1.0, self._running / self._load.places)
@@ -328,7 +330,7 @@
     def _count_begun(self, exchange: Exchange) -> None:
         self.result.begun[exchange.tenant_name] += 1
         if exchange.tenant_name != HOT:
-            self.result.waits.append(self.now - exchange.started)
+            self.result.waits.append(self.now - exchange.arrived_at)
 
     def _end(self, node: _Node, program: _Program) -> None:
         self._running -= 1
