--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -41,7 +41,7 @@
     RoutingTable,
 )
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import Outcomes
+from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.room_view import REFRESH_SECONDS
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.tenants import StateNames
@@ -80,7 +80,7 @@
         """Fill all engines, and let turns wait."""
         dialect = HeaderDialect()
         self.book = EngineTable("edge")
-        self.state = NodeState("a", self.book, Outcomes(dialect))
+        self.state = NodeState("a", self.book, OutcomeRecorder(dialect))
         self.state.now = 1.0
         self.state.table = RoutingTable(version=1, routes=(_route(),), pools={POOL: _pool()})
         settlements = Settlements(self.state, LedgerClient(Address("127.0.0.1", 1)))
@@ -115,7 +115,7 @@
         self.state.by_request.clear()
         state.running = 0
         state.running_elsewhere = SLOTS * 2
-        self.state.outcomes.take_effects()
+        self.state.outcomes.drain_effects()
         self.dispatch.wait(_turn(10_000, self.state.now))
         return seconds
 
--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -381,7 +381,7 @@
         if self._stop_asked_at is None:
             return []
         elapsed = now - self._stop_asked_at
-        self.forwarder.closing = elapsed >= CLOSING_AFTER_SECONDS
+        self.forwarder.closes_connections = elapsed >= CLOSING_AFTER_SECONDS
         if self.forwarder.under_way or self.ledger.under_way:
             self._busy_at = now
         effects: list[Effect] = []
@@ -389,7 +389,7 @@
             self.forwarder.refusing = True
             effects.append(StopListening())
         wanted_quiet = REFUSING_QUIET_SECONDS if self.forwarder.refusing else QUIET_SECONDS
-        is_quiet = self.forwarder.closing and now - self._busy_at >= wanted_quiet
+        is_quiet = self.forwarder.closes_connections and now - self._busy_at >= wanted_quiet
         is_late = elapsed >= self._grace_seconds - LIMIT_MARGIN_SECONDS
         if not is_quiet and not is_late:
             return effects
--- a/src/yokeline/forwarding/ends.py
+++ b/src/yokeline/forwarding/ends.py
@@ -7,7 +7,7 @@
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import BAD_GATEWAY, GATEWAY_TIMEOUT, OK
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import LogField
+from yokeline.forwarding.outcome_recorder import LogField
 from yokeline.forwarding.settlements import Settlements
 
 
@@ -30,7 +30,7 @@
                 status=response.status,
                 headers=self._dialect.answer_headers(response),
                 body=response.body,
-                last=self._outcomes.closing,
+                last=self._outcomes.closes_connections,
             )
         )
         self.end(exchange, "answered", status=response.status)
@@ -112,7 +112,7 @@
         for timer in exchange.timers:
             timer.cancel()
         exchange.timers.clear()
-        self._outcomes.count(outcome, fields.get("status"))
+        self._outcomes.count_request(outcome, fields.get("status"))
         self._outcomes.count_tenant(outcome, exchange.tenant)
         engine = exchange.engine.engine.engine_id if exchange.engine else ""
         if exchange.call.program_time_left is not None:
--- a/src/yokeline/forwarding/engine_entries.py
+++ b/src/yokeline/forwarding/engine_entries.py
@@ -12,7 +12,7 @@
 from yokeline.forwarding.engines import EngineState, EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.model import Engine
-from yokeline.forwarding.outcomes import LogField
+from yokeline.forwarding.outcome_recorder import LogField
 from yokeline.registry.formats import DeploymentFormats
 from yokeline.registry.protocol import StoredItem
 
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -54,7 +54,7 @@
 from yokeline.forwarding.limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.model import Call, Route, RouteKind, RoutingTable
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import Outcomes
+from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.pool_split import PoolSplit
 from yokeline.forwarding.repeats import Repeats
 from yokeline.forwarding.reservations import Reservations
@@ -109,7 +109,7 @@
         self._dialect = dialect
         self._tolerance = tolerance
         self._process = process
-        self._outcomes = Outcomes(dialect)
+        self._outcomes = OutcomeRecorder(dialect)
         self._state = NodeState(zone, engines, self._outcomes)
         ledger.turns.tenants = TenantLoadReader(self._state)
         ledger.shares_told = self._state.shares.take_told
@@ -146,7 +146,7 @@
     @table.setter
     def table(self, table: RoutingTable | None) -> None:
         self._state.table = table
-        self._outcomes.configuration = table.version if table is not None else 0
+        self._outcomes.configuration_version = table.version if table is not None else 0
         if table is not None:
             self._revoke(table)
 
@@ -164,13 +164,13 @@
                 self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
 
     @property
-    def closing(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether answers ask the caller to close its connection."""
-        return self._outcomes.closing
+        return self._outcomes.closes_connections
 
-    @closing.setter
-    def closing(self, closing: bool) -> None:
-        self._outcomes.closing = closing
+    @closes_connections.setter
+    def closes_connections(self, closes_connections: bool) -> None:
+        self._outcomes.closes_connections = closes_connections
 
     @property
     def counters(self) -> Counter[str]:
@@ -285,7 +285,7 @@
         is_early = self.table is None and not self.refusing
         if not (is_early and self._held.add(event, now)):
             self._take_request(event, now, may_hold=True)
-        return self._outcomes.take_effects()
+        return self._outcomes.drain_effects()
 
     def caller_gone(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
         """Give up what nobody waits for any more."""
@@ -315,7 +315,7 @@
 
     def _finish(self) -> list[Effect]:
         self._dispatch.dispatch_all()
-        return self._outcomes.take_effects()
+        return self._outcomes.drain_effects()
 
     # ------------------------------------------------------------ requests in
 
@@ -337,18 +337,18 @@
             self._refuse_unconfigured(event)
             return
         if self.refusing:
-            self._outcomes.refuse_unparsed(event, UNAVAILABLE, "stopping", retry_after=0.0)
+            self._outcomes.refuse_unadmitted(event, UNAVAILABLE, "stopping", retry_after=0.0)
             return
         route = table.find(host_of(event), event.path)
         if route is None:
-            self._outcomes.refuse_unparsed(event, NOT_FOUND, "no_route", version=table.version)
+            self._outcomes.refuse_unadmitted(event, NOT_FOUND, "no_route", version=table.version)
             return
         if event.too_large:
-            self._outcomes.refuse_unparsed(event, TOO_LARGE, "body_too_large")
+            self._outcomes.refuse_unadmitted(event, TOO_LARGE, "body_too_large")
             return
         parsed = self._dialect.parse_call(event)
         if not isinstance(parsed, Success):
-            self._outcomes.refuse_unparsed(event, BAD_REQUEST, parsed.failure().message)
+            self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
         currency = self.currency(self._state.now)
@@ -371,7 +371,7 @@
         """Refuse what came before this node knew its configuration."""
         parsed = self._dialect.parse_call(event)
         if not isinstance(parsed, Success):
-            self._outcomes.refuse_unparsed(event, BAD_REQUEST, parsed.failure().message)
+            self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
         caller = Returning(
@@ -379,7 +379,7 @@
             has_begun=bool(call.previous_turn),
             time_left=call.deadline,
         )
-        self._outcomes.refuse_unparsed(
+        self._outcomes.refuse_unadmitted(
             event, UNAVAILABLE, "no_configuration", retry_after=return_after_outage(caller)
         )
 
@@ -395,7 +395,7 @@
             self._wait_and_dispatch(exchange)
 
     def _deny(self, event: HttpArrived, denied: Denied, table: RoutingTable) -> None:
-        self._outcomes.refuse_unparsed(
+        self._outcomes.refuse_unadmitted(
             event,
             denied.status,
             denied.reason,
@@ -423,7 +423,7 @@
             names=admitted.names,
             tenant=admitted.tenant,
             forwards_credential=admitted.forwards_credential,
-            limit=limit_of(admitted.tenant, self._outcomes.configuration, self._tolerance),
+            limit=limit_of(admitted.tenant, self._outcomes.configuration_version, self._tolerance),
             pool=self._split.pool_of(route, call),
             body=event.body,
             last_event_id=call.last_event_id,
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/limits.py
@@ -123,7 +123,7 @@
         def answered(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
             self._take_result(exchange, result)
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         now = self._state.now
         give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
--- a/src/yokeline/forwarding/node_state.py
+++ b/src/yokeline/forwarding/node_state.py
@@ -7,7 +7,7 @@
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RoutingTable
-from yokeline.forwarding.outcomes import Outcomes
+from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.placement import Placement
 from yokeline.forwarding.waiting import WaitingRequests
@@ -37,7 +37,7 @@
         room_waits: Time that those waited which then got a place.
     """
 
-    def __init__(self, zone: str, engines: EngineTable, outcomes: Outcomes) -> None:
+    def __init__(self, zone: str, engines: EngineTable, outcomes: OutcomeRecorder) -> None:
         """Begin without requests and without a configuration."""
         self.now = 0.0
         self.table: RoutingTable | None = None
--- a/src/yokeline/forwarding/outcomes.py
+++ b/src/yokeline/forwarding/outcome_recorder.py
@@ -15,7 +15,7 @@
 LogField = str | int | float | bool | None
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Collects the effects of one node's requests, in order.
 
     Attributes:
@@ -29,17 +29,17 @@
         """Spell answers in a deployment's dialect."""
         self.effects: list[Effect] = []
         self.counters: Counter[str] = Counter()
-        self.closing = False
-        self.configuration = 0
+        self.closes_connections = False
+        self.configuration_version = 0
         self._dialect = dialect
 
-    def take_effects(self) -> list[Effect]:
+    def drain_effects(self) -> list[Effect]:
         """Return what was collected, and begin anew."""
         effects = self.effects
         self.effects = []
         return effects
 
-    def count(self, outcome: str, status: LogField) -> None:
+    def count_request(self, outcome: str, status: LogField) -> None:
         """Count a request that is over."""
         series = f'yokeline_forwarding_requests_total{{outcome="{outcome}",status="{status}"}}'
         self.counters[series] += 1
@@ -64,15 +64,15 @@
     def log(self, event: str, exchange: Exchange, level: str = "info", **fields: LogField) -> None:
         """Write a line about a request."""
         call = exchange.call
-        everything: dict[str, LogField] = {
+        all_fields: dict[str, LogField] = {
             "request": call.request_id,
             "program": call.program,
             "tenant": exchange.tenant.name if exchange.tenant is not None else "",
             "route": exchange.route.name,
-            "configuration": self.configuration,
+            "configuration": self.configuration_version,
             **fields,
         }
-        self.effects.append(LogRecord(event=event, fields=everything, level=level))
+        self.effects.append(LogRecord(event=event, fields=all_fields, level=level))
 
     def reply_error(
         self,
@@ -96,11 +96,15 @@
         body = refusal_body(request_id, reason, retry_after)
         self.effects.append(
             HttpReply(
-                exchange=exchange, status=status, headers=headers, body=body, last=self.closing
+                exchange=exchange,
+                status=status,
+                headers=headers,
+                body=body,
+                last=self.closes_connections,
             )
         )
 
-    def refuse_unparsed(
+    def refuse_unadmitted(
         self,
         event: HttpArrived,
         status: int,
@@ -111,9 +115,9 @@
     ) -> None:
         """Refuse a request that no route or limit lets in."""
         request_id = event.headers.get(self._dialect.echo_header, "")
-        self.count("refused", status)
+        self.count_request("refused", status)
         self.count_refusal(status, reason)
-        everything: dict[str, LogField] = {
+        all_fields: dict[str, LogField] = {
             "request": request_id,
             "host": event.headers.get("host", ""),
             "path": event.path,
@@ -121,7 +125,7 @@
             "reason": reason,
             **fields,
         }
-        self.effects.append(LogRecord(event="request_refused", fields=everything))
+        self.effects.append(LogRecord(event="request_refused", fields=all_fields))
         self.reply_error(event.exchange, request_id, status, reason, retry_after=retry_after)
 
 
--- a/src/yokeline/forwarding/reservations.py
+++ b/src/yokeline/forwarding/reservations.py
@@ -73,7 +73,7 @@
         def reserved(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
             self._take_result(exchange, result)
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         now = self._state.now
         give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
@@ -86,7 +86,7 @@
         def fetched(turns: tuple[KeptTurn, ...], now: float) -> list[Effect]:
             self._state.now = now
             self._take_texts(exchange, turns)
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         known = self._turns.latest_of(exchange.names.session)
         leader = self._ledger.leader
--- a/src/yokeline/forwarding/room_weighing.py
+++ b/src/yokeline/forwarding/room_weighing.py
@@ -7,7 +7,7 @@
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import continues_program
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import LogField
+from yokeline.forwarding.outcome_recorder import LogField
 from yokeline.forwarding.room_view import RoomView, RoomViews
 from yokeline.scheduling.room_waits import (
     PoolRoom,
--- a/src/yokeline/forwarding/settlements.py
+++ b/src/yokeline/forwarding/settlements.py
@@ -42,7 +42,7 @@
                 self._state.outcomes.log(
                     "settlement_unknown", exchange, level="warning", tokens=tokens
                 )
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         give_up_at = self._state.now + SETTLE_SECONDS
         operation = settlement_of(exchange, tokens, None)
@@ -56,7 +56,7 @@
         def settled(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
             kept(exchange, result)
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         operation = settlement_of(exchange, self.tokens_of(exchange), turn)
         self._ask(self._ledger.ask(operation, settled, self._state.now, exchange.deadline))
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -91,7 +91,7 @@
                 exchange=exchange.exchange_id,
                 status=exchange.response_head.status,
                 headers=self._dialect.answer_headers(exchange.response_head),
-                last=self._state.outcomes.closing,
+                last=self._state.outcomes.closes_connections,
             )
         )
 
