--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -24,7 +24,6 @@
 from yokeline.effects import Address, HttpArrived
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dispatch import Dispatch
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.engines import EngineTable
@@ -42,6 +41,7 @@
 )
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.room_view import REFRESH_SECONDS
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.tenants import StateNames
@@ -84,7 +84,7 @@
         self.state.now = 1.0
         self.state.table = RoutingTable(version=1, routes=(_route(),), pools={POOL: _pool()})
         settlements = Settlements(self.state, LedgerClient(Address("127.0.0.1", 1)))
-        ends = Ends(self.state, settlements, dialect)
+        ends = Responder(self.state, settlements, dialect)
         sends = EngineSends(self.state, settlements, dialect)
         self.dispatch = Dispatch(self.state, sends, ends)
         for number in range(engines):
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatch.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 
 from yokeline.forwarding.admission import UNKNOWN_KEY
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_choice import EngineChoice
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.room_weighing import Look, RoomWeighing, would_lose_work
 from yokeline.forwarding.waiting import WaitingRequests
 from yokeline.scheduling.return_times import Returning, return_after
@@ -24,11 +24,11 @@
         sent: Called with each request that was sent; nobody unless set.
     """
 
-    def __init__(self, state: NodeState, sends: EngineSends, ends: Ends) -> None:
+    def __init__(self, state: NodeState, sends: EngineSends, responder: Responder) -> None:
         """Send with ``sends``, refuse with ``ends``."""
         self._state = state
         self._sends = sends
-        self._ends = ends
+        self._responder = responder
         self._weighing = RoomWeighing(state)
         self.sent: Callable[[Exchange], None] = tell_nobody
 
@@ -54,7 +54,7 @@
     ) -> None:
         """End a request for which no engine has room."""
         if exchange.possible_runs:
-            self._ends.fail(exchange, "no_engine_to_repeat")
+            self._responder.fail(exchange, "no_engine_to_repeat")
             return
         name = f'yokeline_forwarding_room_refusals_total{{cause="{refusal.value}"}}'
         self._state.outcomes.counters[name] += 1
@@ -66,13 +66,15 @@
         expected = exchange.room_wait.expected if exchange.room_wait is not None else 0.0
         retry_after = return_after(caller, expected)
         fields = self._weighing.refusal_fields(exchange, refusal)
-        self._ends.refuse(exchange, UNAVAILABLE, "no_engine", retry_after=retry_after, **fields)
+        self._responder.refuse(
+            exchange, UNAVAILABLE, "no_engine", retry_after=retry_after, **fields
+        )
 
     def _end_revoked(self, exchange: Exchange) -> None:
         if exchange.possible_runs or exchange.relayed_events:
-            self._ends.fail(exchange, UNKNOWN_KEY)
+            self._responder.fail(exchange, UNKNOWN_KEY)
         else:
-            self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
+            self._responder.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
 
     def dispatch_all(self) -> None:
         """Send what may be sent, in all pools."""
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -32,7 +32,6 @@
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.dispatch import Dispatch
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_figures import pace_gauges
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.engines import EngineTable
@@ -58,6 +57,7 @@
 from yokeline.forwarding.pool_split import PoolSplit
 from yokeline.forwarding.repeats import Repeats
 from yokeline.forwarding.reservations import Reservations
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.streams import Streams
 from yokeline.forwarding.tenant_loads import TenantLoadReader
@@ -117,20 +117,20 @@
         self._split = PoolSplit()
         turns = TurnCache()
         settlements = Settlements(self._state, ledger)
-        self._ends = Ends(self._state, settlements, dialect)
+        self._responder = Responder(self._state, settlements, dialect)
         self._sends = EngineSends(self._state, settlements, dialect)
-        self._dispatch = Dispatch(self._state, self._sends, self._ends)
-        self._repeats = Repeats(self._state, self._sends, self._dispatch, self._ends)
+        self._dispatch = Dispatch(self._state, self._sends, self._responder)
+        self._repeats = Repeats(self._state, self._sends, self._dispatch, self._responder)
         self._streams = Streams(
-            self._state, self._sends, settlements, self._ends, self._repeats, turns, dialect
+            self._state, self._sends, settlements, self._responder, self._repeats, turns, dialect
         )
-        self._limits = TenantLimits(self._state, ledger, self._ends, self._wait_and_dispatch)
+        self._limits = TenantLimits(self._state, ledger, self._responder, self._wait_and_dispatch)
         self._repeats.runs_again = self._limits.count_again
         self._reservations = Reservations(
             self._state,
             ledger,
             histories,
-            self._ends,
+            self._responder,
             turns,
             self._limits,
             self._wait_and_dispatch,
@@ -161,7 +161,7 @@
                 and not exchange.possible_runs
                 and not exchange.relayed_events
             ):
-                self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
+                self._responder.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
 
     @property
     def closes_connections(self) -> bool:
@@ -473,9 +473,9 @@
             self._repeats.repeat(exchange, f"status {response.status}")
             return
         if exchange.phase is Phase.STREAMING:
-            self._ends.fail(exchange, f"status {response.status} in a resumed stream")
+            self._responder.fail(exchange, f"status {response.status} in a resumed stream")
             return
-        self._ends.answer(exchange, response)
+        self._responder.send_response(exchange, response)
 
     def _note_call(self, exchange: Exchange) -> None:
         if exchange.route.kind is not RouteKind.STREAMING:
@@ -494,11 +494,11 @@
         if exchange.phase is Phase.ENDED:
             return
         if exchange.first_event_at is not None:
-            self._ends.fail(exchange, "deadline")
+            self._responder.fail(exchange, "deadline")
         elif exchange.possible_runs or was_sent:
-            self._ends.time_out(exchange)
+            self._responder.time_out(exchange)
         else:
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange, UNAVAILABLE, "deadline", retry_after=DEADLINE_RETRY_AFTER_SECONDS
             )
 
@@ -510,7 +510,7 @@
             self._sends.cancel(exchange)
         if exchange.phase is Phase.KEEPING:
             return
-        self._ends.leave(exchange)
+        self._responder.abandon(exchange)
 
 
 def _always_current(_now: float) -> Currency:
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/limits.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from yokeline.effects import Effect
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import TOO_MANY_REQUESTS, UNAVAILABLE
 from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.operations import Draw, Drawn, OperationResult, QuotaSpent, RateLimit
@@ -86,13 +86,13 @@
         self,
         state: NodeState,
         ledger: LedgerClient,
-        ends: Ends,
+        responder: Responder,
         drawn: Callable[[Exchange], None],
     ) -> None:
         """Call ``drawn`` with each request that may go on."""
         self._state = state
         self._ledger = ledger
-        self._ends = ends
+        self._responder = responder
         self._drawn = drawn
         self._spent_until: OrderedDict[str, float] = OrderedDict()
         self._waiting: Counter[str] = Counter()
@@ -192,7 +192,7 @@
         elif isinstance(result, QuotaSpent):
             self.take_spent(exchange, result, self.draw)
         else:
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange,
                 UNAVAILABLE,
                 "ledger_unavailable",
@@ -202,7 +202,7 @@
     def _refuse(self, exchange: Exchange, retry_after: float) -> None:
         limit = exchange.limit
         assert limit is not None
-        self._ends.refuse(
+        self._responder.refuse(
             exchange,
             TOO_MANY_REQUESTS,
             QUOTA_SPENT,
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -11,7 +11,6 @@
 
 from yokeline.effects import HttpFailed, HttpResponse
 from yokeline.forwarding.dispatch import Dispatch, tell_nobody
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.exchange import Exchange, Phase
@@ -20,6 +19,7 @@
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.patience import CallPatience, calls_before
 from yokeline.forwarding.refusals import RefusalCause, RefusalJudge, pause_after
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retry_budget import RetryBudget
 
 MAX_REJECTIONS = 4
@@ -42,14 +42,14 @@
     """
 
     def __init__(
-        self, state: NodeState, sends: EngineSends, dispatch: Dispatch, ends: Ends
+        self, state: NodeState, sends: EngineSends, dispatch: Dispatch, responder: Responder
     ) -> None:
         """Watch what ``dispatch`` sends."""
         self._state = state
         self._outcomes = state.outcomes
         self._sends = sends
         self._dispatch = dispatch
-        self._ends = ends
+        self._responder = responder
         self._retries = RetryBudget()
         self._patience = CallPatience()
         self._judge = RefusalJudge()
@@ -223,13 +223,13 @@
         if self.may_go_elsewhere(exchange) or self._may_return(exchange):
             self.repeat(exchange, reason)
         else:
-            self._ends.fail(exchange, reason)
+            self._responder.fail(exchange, reason)
 
     def _send_again_unsent(self, exchange: Exchange, failure: HttpFailed) -> None:
         if exchange.attempts.are_exhausted:
             # No other engine may take it. The caller has tries of its own, and comes back now
             # rather than when its patience ends.
-            self._ends.fail(exchange, failure.reason)
+            self._responder.fail(exchange, failure.reason)
             return
         exchange.rejections += 1
         if exchange.rejections >= MAX_REJECTIONS:
--- a/src/yokeline/forwarding/reservations.py
+++ b/src/yokeline/forwarding/reservations.py
@@ -9,7 +9,6 @@
 from collections.abc import Callable
 
 from yokeline.effects import Effect
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.exchange import Exchange, HistorySource, Phase
 from yokeline.forwarding.history import TurnCache
 from yokeline.forwarding.http_statuses import NOT_FOUND, PAYMENT_REQUIRED, UNAVAILABLE
@@ -19,6 +18,7 @@
     TenantLimits,
 )
 from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.turn_operations import reservation_of
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.history_fetches import HistoryFetches
@@ -43,7 +43,7 @@
         state: NodeState,
         ledger: LedgerClient,
         histories: HistoryFetches,
-        ends: Ends,
+        responder: Responder,
         turns: TurnCache,
         limits: TenantLimits,
         granted: Callable[[Exchange], None],
@@ -52,7 +52,7 @@
         self._state = state
         self._ledger = ledger
         self._histories = histories
-        self._ends = ends
+        self._responder = responder
         self._turns = turns
         self._limits = limits
         self._granted = granted
@@ -130,16 +130,18 @@
             exchange.cached_context = result.context
             self._add_history(exchange, result)
         elif isinstance(result, BudgetSpent):
-            self._ends.refuse(exchange, PAYMENT_REQUIRED, "budget_spent", spent=result.spent)
+            self._responder.refuse(exchange, PAYMENT_REQUIRED, "budget_spent", spent=result.spent)
         elif isinstance(result, QuotaSpent) and not result.is_empty:
             self._limits.refuse_program(exchange, result)
         elif isinstance(result, QuotaSpent):
             self._limits.take_spent(exchange, result, lambda item: self._ask_again(item, operation))
         elif isinstance(result, NoSuchTurn):
-            self._ends.refuse(exchange, NOT_FOUND, "no_such_turn", turn=exchange.call.previous_turn)
+            self._responder.refuse(
+                exchange, NOT_FOUND, "no_such_turn", turn=exchange.call.previous_turn
+            )
         else:
             exchange.has_reservation = exchange.call.budget is not None
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange,
                 UNAVAILABLE,
                 "ledger_unavailable",
@@ -164,7 +166,7 @@
         ):
             self._ask_for_texts(exchange, missing_from)
         elif exchange.history_source is not HistorySource.FETCHING:
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange,
                 UNAVAILABLE,
                 "history_incomplete",
--- a/src/yokeline/forwarding/ends.py
+++ b/src/yokeline/forwarding/responder.py
@@ -11,7 +11,7 @@
 from yokeline.forwarding.settlements import Settlements
 
 
-class Ends:
+class Responder:
     """Gives each request its one final answer."""
 
     def __init__(self, state: NodeState, settlements: Settlements, dialect: Dialect) -> None:
@@ -21,7 +21,7 @@
         self._settlements = settlements
         self._dialect = dialect
 
-    def answer(self, exchange: Exchange, response: HttpResponse) -> None:
+    def send_response(self, exchange: Exchange, response: HttpResponse) -> None:
         """Pass an engine's answer on."""
         self._settlements.settle(exchange, 0)
         self._outcomes.effects.append(
@@ -33,12 +33,12 @@
                 last=self._outcomes.closes_connections,
             )
         )
-        self.end(exchange, "answered", status=response.status)
+        self.finish(exchange, "answered", status=response.status)
 
     def finish_stream(self, exchange: Exchange) -> None:
         """Pass the end of a whole stream on."""
         self._outcomes.effects.append(HttpStreamEnd(exchange=exchange.exchange_id))
-        self.end(
+        self.finish(
             exchange,
             "streamed",
             status=OK,
@@ -55,14 +55,14 @@
             self._outcomes.effects.append(
                 HttpStreamEnd(exchange=exchange.exchange_id, aborted=True)
             )
-            self.end(
+            self.finish(
                 exchange, "cut", reason=reason, events=exchange.relayed_events, level="warning"
             )
             return
         self._outcomes.reply_error(
             exchange.exchange_id, exchange.call.request_id, BAD_GATEWAY, reason
         )
-        self.end(exchange, "failed", status=BAD_GATEWAY, reason=reason, level="warning")
+        self.finish(exchange, "failed", status=BAD_GATEWAY, reason=reason, level="warning")
 
     def time_out(self, exchange: Exchange) -> None:
         """End a request whose time is over while it may run: nothing is promised."""
@@ -70,12 +70,12 @@
         self._outcomes.reply_error(
             exchange.exchange_id, exchange.call.request_id, GATEWAY_TIMEOUT, "deadline"
         )
-        self.end(exchange, "timed_out", status=GATEWAY_TIMEOUT, level="warning")
+        self.finish(exchange, "timed_out", status=GATEWAY_TIMEOUT, level="warning")
 
-    def leave(self, exchange: Exchange) -> None:
+    def abandon(self, exchange: Exchange) -> None:
         """End a request whose caller is gone."""
         self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
-        self.end(exchange, "caller_gone", events=exchange.relayed_events)
+        self.finish(exchange, "caller_gone", events=exchange.relayed_events)
 
     def refuse(
         self,
@@ -95,9 +95,9 @@
         if self._state.shares.is_held_back(exchange, self._state.now):
             self._outcomes.count_held_back(exchange.tenant)
             fields["share_level"] = self._state.shares.levels.get(exchange.pool)
-        self.end(exchange, "refused", level="info", status=status, reason=reason, **fields)
+        self.finish(exchange, "refused", level="info", status=status, reason=reason, **fields)
 
-    def end(
+    def finish(
         self, exchange: Exchange, outcome: str, *, level: str = "info", **fields: LogField
     ) -> None:
         """Forget a request, with its timers and its place in a queue."""
@@ -116,8 +116,8 @@
         self._outcomes.count_tenant(outcome, exchange.tenant)
         engine = exchange.engine.engine.engine_id if exchange.engine else ""
         if exchange.call.program_time_left is not None:
-            left = exchange.call.program_time_left - (self._state.now - exchange.arrived_at)
-            fields["program_left"] = round(left, 3)
+            time_left = exchange.call.program_time_left - (self._state.now - exchange.arrived_at)
+            fields["program_left"] = round(time_left, 3)
         self._outcomes.log(
             "request_ended",
             exchange,
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -4,13 +4,13 @@
 
 from yokeline.effects import HttpStreamData, HttpStreamItem, HttpStreamStart
 from yokeline.forwarding.dialect import Dialect
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.engine_sends import EngineSends
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.history import TurnCache, event_data
 from yokeline.forwarding.http_parts import is_later
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.repeats import Repeats
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.turn_operations import kept_turn_of
 from yokeline.ledger.operations import OperationResult
@@ -28,7 +28,7 @@
         state: NodeState,
         sends: EngineSends,
         settlements: Settlements,
-        ends: Ends,
+        responder: Responder,
         repeats: Repeats,
         turns: TurnCache,
         dialect: Dialect,
@@ -37,7 +37,7 @@
         self._state = state
         self._sends = sends
         self._settlements = settlements
-        self._ends = ends
+        self._responder = responder
         self._repeats = repeats
         self._turns = turns
         self._dialect = dialect
@@ -72,7 +72,7 @@
         self._note_prediction(exchange)
         if not exchange.route.retain:
             self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
-            self._ends.finish_stream(exchange)
+            self._responder.finish_stream(exchange)
             return
         exchange.phase = Phase.KEEPING
         self._settlements.keep(exchange, self._kept)
@@ -111,11 +111,11 @@
         if exchange.phase is not Phase.KEEPING:
             return
         if result is None:
-            self._ends.fail(exchange, "turn_not_kept")
+            self._responder.fail(exchange, "turn_not_kept")
             return
         self._turns.put(kept_turn_of(exchange))
         self._turns.note_latest(exchange.names.session, exchange.names.turn)
-        self._ends.finish_stream(exchange)
+        self._responder.finish_stream(exchange)
 
     def _note_prediction(self, exchange: Exchange) -> None:
         """Count how far the time at the engine was from what the choice expected."""
