--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -25,7 +25,7 @@
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dispatch import Dispatch
 from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import (
@@ -85,7 +85,7 @@
         self.state.table = RoutingTable(version=1, routes=(_route(),), pools={POOL: _pool()})
         settlements = Settlements(self.state, LedgerClient(Address("127.0.0.1", 1)))
         ends = Responder(self.state, settlements, dialect)
-        sends = EngineSends(self.state, settlements, dialect)
+        sends = EngineSender(self.state, settlements, dialect)
         self.dispatch = Dispatch(self.state, sends, ends)
         for number in range(engines):
             self.book.put(_engine(number))
--- a/src/yokeline/forwarding/dialect.py
+++ b/src/yokeline/forwarding/dialect.py
@@ -12,7 +12,7 @@
 from yokeline.forwarding.model import Call, Engine
 
 
-class EngineOrder(msgspec.Struct, frozen=True, kw_only=True):
+class EngineRequestContext(msgspec.Struct, frozen=True, kw_only=True):
     """What an engine is told beside the caller's own request.
 
     Attributes:
@@ -25,7 +25,7 @@
     """
 
     engine: Engine
-    remaining: float
+    remaining_seconds: float
     priority: int
     last_event_id: str = ""
     tenant: str = ""
@@ -43,16 +43,16 @@
         ...
 
     def engine_headers(
-        self, arrived: HttpArrived, call: Call, order: EngineOrder
+        self, arrived: HttpArrived, call: Call, context: EngineRequestContext
     ) -> tuple[tuple[str, str], ...]:
         """Return the header fields to send to an engine, ``host`` included."""
         ...
 
-    def answer_headers(self, response: HttpResponse) -> dict[str, str]:
+    def response_headers(self, response: HttpResponse) -> dict[str, str]:
         """Return the header fields of an engine's answer that the caller gets."""
         ...
 
-    def was_not_run(self, response: HttpResponse) -> bool:
+    def was_not_executed(self, response: HttpResponse) -> bool:
         """Return whether an engine's answer promises that the request did not run."""
         ...
 
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatch.py
@@ -6,7 +6,7 @@
 
 from yokeline.forwarding.admission import UNKNOWN_KEY
 from yokeline.forwarding.engine_choice import EngineChoice
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.node_state import NodeState
@@ -24,10 +24,10 @@
         sent: Called with each request that was sent; nobody unless set.
     """
 
-    def __init__(self, state: NodeState, sends: EngineSends, responder: Responder) -> None:
+    def __init__(self, state: NodeState, sender: EngineSender, responder: Responder) -> None:
         """Send with ``sends``, refuse with ``ends``."""
         self._state = state
-        self._sends = sends
+        self._sender = sender
         self._responder = responder
         self._weighing = RoomWeighing(state)
         self.sent: Callable[[Exchange], None] = tell_nobody
@@ -137,7 +137,7 @@
     def _send(self, exchange: Exchange, choice: EngineChoice) -> None:
         self._weighing.note_place(exchange)
         exchange.room_wait = None
-        self._sends.send(exchange, choice)
+        self._sender.send(exchange, choice)
         self.sent(exchange)
 
     def _weigh(
--- a/src/yokeline/forwarding/engine_sends.py
+++ b/src/yokeline/forwarding/engine_sender.py
@@ -7,7 +7,7 @@
 from yokeline.effects import HttpCancel
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.engine_choice import EngineChoice
-from yokeline.forwarding.engine_request import engine_request
+from yokeline.forwarding.engine_request import build_engine_request
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.settlements import Settlements
@@ -15,7 +15,7 @@
 from yokeline.scheduling.engine_model import NO_PACE, ObservedPace
 
 
-class EngineSends:
+class EngineSender:
     """Sends requests to the engines chosen for them."""
 
     def __init__(self, state: NodeState, settlements: Settlements, dialect: Dialect) -> None:
@@ -23,7 +23,7 @@
         self._state = state
         self._settlements = settlements
         self._dialect = dialect
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
     def send(self, exchange: Exchange, choice: EngineChoice) -> None:
         """Send a request to the engine chosen."""
@@ -39,7 +39,7 @@
         exchange.load_when_sent = choice.load
         exchange.predicted_seconds = choice.predicted_seconds
         exchange.uncached_tokens = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
-        exchange.engine_request_id = RequestId(f"call/{next(self._numbers)}")
+        exchange.engine_request_id = RequestId(f"call/{next(self._request_numbers)}")
         state.by_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
         self._settlements.tell_of_begin(exchange, engine)
@@ -49,10 +49,12 @@
             state.added_seconds.observe(state.now - exchange.arrived_at)
         self._log_choice(exchange, choice)
         state.outcomes.effects.append(
-            engine_request(exchange, exchange.engine_request_id, engine, self._dialect, state.now)
+            build_engine_request(
+                exchange, exchange.engine_request_id, engine, self._dialect, state.now
+            )
         )
 
-    def leave(
+    def release(
         self,
         exchange: Exchange,
         *,
@@ -65,9 +67,9 @@
             self._state.by_request.pop(exchange.engine_request_id, None)
             exchange.engine_request_id = None
         if exchange.engine is not None:
-            is_kept = not (failed or cancelled)
+            connection_kept = not (failed or cancelled)
             self._state.engines.record_released(
-                exchange.engine, self._state.now, connection_kept=is_kept
+                exchange.engine, self._state.now, connection_kept=connection_kept
             )
             self._settlements.tell_of_end(exchange, exchange.engine, failed=failed, pace=pace)
 
@@ -75,7 +77,7 @@
         """Take a request back from its engine."""
         if exchange.engine_request_id is not None:
             self._state.outcomes.effects.append(HttpCancel(exchange.engine_request_id))
-        self.leave(exchange, failed=failed, cancelled=True)
+        self.release(exchange, failed=failed, cancelled=True)
 
     def _log_choice(self, exchange: Exchange, choice: EngineChoice) -> None:
         self._state.outcomes.log(
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -33,7 +33,7 @@
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.dispatch import Dispatch
 from yokeline.forwarding.engine_figures import pace_gauges
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.freshness import Currency
@@ -118,11 +118,11 @@
         turns = TurnCache()
         settlements = Settlements(self._state, ledger)
         self._responder = Responder(self._state, settlements, dialect)
-        self._sends = EngineSends(self._state, settlements, dialect)
-        self._dispatch = Dispatch(self._state, self._sends, self._responder)
-        self._repeats = Repeats(self._state, self._sends, self._dispatch, self._responder)
+        self._sender = EngineSender(self._state, settlements, dialect)
+        self._dispatch = Dispatch(self._state, self._sender, self._responder)
+        self._repeats = Repeats(self._state, self._sender, self._dispatch, self._responder)
         self._streams = Streams(
-            self._state, self._sends, settlements, self._responder, self._repeats, turns, dialect
+            self._state, self._sender, settlements, self._responder, self._repeats, turns, dialect
         )
         self._limits = TenantLimits(self._state, ledger, self._responder, self._wait_and_dispatch)
         self._repeats.runs_again = self._limits.count_again
@@ -439,7 +439,7 @@
     # ------------------------------------------------------------ answers
 
     def _take_response(self, exchange: Exchange, response: HttpResponse) -> None:
-        if self._dialect.was_not_run(response):
+        if self._dialect.was_not_executed(response):
             self._repeats.rejected(exchange, response)
             return
         exchange.possible_runs += 1
@@ -457,7 +457,7 @@
         # At the deadline that its caller set, an engine gives up what it could serve.
         is_over = response.status == GATEWAY_TIMEOUT and self._is_due(exchange)
         engine = exchange.engine
-        self._sends.leave(exchange, failed=has_failed and not is_over)
+        self._sender.release(exchange, failed=has_failed and not is_over)
         if engine is not None and has_failed:
             exchange.attempts.record_attempt(engine.engine.engine_id)
             if not is_over:
@@ -490,7 +490,7 @@
         """Give the final answer at the deadline or the route's time-out."""
         was_sent = exchange.engine_request_id is not None
         if was_sent:
-            self._sends.cancel(exchange)
+            self._sender.cancel(exchange)
         if exchange.phase is Phase.ENDED:
             return
         if exchange.first_event_at is not None:
@@ -507,7 +507,7 @@
         if exchange.engine_request_id is not None:
             if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
                 return
-            self._sends.cancel(exchange)
+            self._sender.cancel(exchange)
         if exchange.phase is Phase.KEEPING:
             return
         self._responder.abandon(exchange)
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -11,7 +11,7 @@
 
 from yokeline.effects import HttpFailed, HttpResponse
 from yokeline.forwarding.dispatch import Dispatch, tell_nobody
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import MISDIRECTED
@@ -42,12 +42,12 @@
     """
 
     def __init__(
-        self, state: NodeState, sends: EngineSends, dispatch: Dispatch, responder: Responder
+        self, state: NodeState, sender: EngineSender, dispatch: Dispatch, responder: Responder
     ) -> None:
         """Watch what ``dispatch`` sends."""
         self._state = state
         self._outcomes = state.outcomes
-        self._sends = sends
+        self._sender = sender
         self._dispatch = dispatch
         self._responder = responder
         self._retries = RetryBudget()
@@ -80,7 +80,7 @@
     def rejected(self, exchange: Exchange, response: HttpResponse) -> None:
         """Try elsewhere, unless nobody takes it: the engine has not run the request."""
         engine = exchange.engine
-        self._sends.leave(exchange)
+        self._sender.release(exchange)
         exchange.rejections += 1
         self._outcomes.counters["yokeline_forwarding_rejections_total"] += 1
         if engine is None:
@@ -130,7 +130,7 @@
         """Go on after an engine broke off, or could not be reached."""
         engine = exchange.engine
         self._log_break(exchange, failure)
-        self._sends.leave(exchange, failed=not failure.stale)
+        self._sender.release(exchange, failed=not failure.stale)
         if engine is not None:
             exchange.excluded_engine_ids.add(engine.engine.engine_id)
             if not failure.stale:
@@ -147,7 +147,7 @@
     def cancel_and_repeat(self, exchange: Exchange, reason: str) -> None:
         """Take a stream from an engine that fell silent: it may be the connection alone."""
         engine = exchange.engine
-        self._sends.cancel(exchange, failed=True)
+        self._sender.cancel(exchange, failed=True)
         if engine is not None:
             engine_id = engine.engine.engine_id
             exchange.excluded_engine_ids.add(engine_id)
@@ -280,6 +280,6 @@
         exchange.excluded_engine_ids.add(engine_id)
         exchange.attempts.record_attempt(engine_id)
         engine.record_outcome(self._state.now, failed=True)
-        self._sends.cancel(exchange, failed=True)
+        self._sender.cancel(exchange, failed=True)
         self.repeat(exchange, "late engine")
         self._dispatch.dispatch(exchange.pool)
--- a/src/yokeline/forwarding/responder.py
+++ b/src/yokeline/forwarding/responder.py
@@ -28,7 +28,7 @@
             HttpReply(
                 exchange=exchange.exchange_id,
                 status=response.status,
-                headers=self._dialect.answer_headers(response),
+                headers=self._dialect.response_headers(response),
                 body=response.body,
                 last=self._outcomes.closes_connections,
             )
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -4,7 +4,7 @@
 
 from yokeline.effects import HttpStreamData, HttpStreamItem, HttpStreamStart
 from yokeline.forwarding.dialect import Dialect
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.history import TurnCache, event_data
 from yokeline.forwarding.http_parts import is_later
@@ -26,7 +26,7 @@
     def __init__(
         self,
         state: NodeState,
-        sends: EngineSends,
+        sender: EngineSender,
         settlements: Settlements,
         responder: Responder,
         repeats: Repeats,
@@ -35,7 +35,7 @@
     ) -> None:
         """Keep whole turns in ``turns`` as well as in the ledger."""
         self._state = state
-        self._sends = sends
+        self._sender = sender
         self._settlements = settlements
         self._responder = responder
         self._repeats = repeats
@@ -63,7 +63,7 @@
         """Pass the end on; a turn that is kept is committed before."""
         engine = exchange.engine
         pace = self._state.placement.note_turn(exchange, self._state.now)
-        self._sends.leave(exchange, pace=pace)
+        self._sender.release(exchange, pace=pace)
         if engine is not None:
             engine.record_success(self._state.now)
         if exchange.phase is Phase.SENT:
@@ -90,7 +90,7 @@
             HttpStreamStart(
                 exchange=exchange.exchange_id,
                 status=exchange.response_head.status,
-                headers=self._dialect.answer_headers(exchange.response_head),
+                headers=self._dialect.response_headers(exchange.response_head),
                 last=self._state.outcomes.closes_connections,
             )
         )
--- a/src/yokeline/platform/headers.py
+++ b/src/yokeline/platform/headers.py
@@ -10,7 +10,7 @@
 from yokeline.bearer_tokens import read_bearer_token, token_digest
 from yokeline.effects import HttpArrived, HttpResponse
 from yokeline.errors import ErrorKind, YokelineError
-from yokeline.forwarding.dialect import EngineOrder
+from yokeline.forwarding.dialect import EngineRequestContext
 from yokeline.forwarding.http_statuses import MISDIRECTED
 from yokeline.forwarding.model import Call, PromptPart
 from yokeline.forwarding.tenants import Credential
@@ -64,25 +64,25 @@
             return Failure(_bad_field("a header", f"cannot be read: {error}"))
 
     def engine_headers(
-        self, arrived: HttpArrived, call: Call, order: EngineOrder
+        self, arrived: HttpArrived, call: Call, context: EngineRequestContext
     ) -> tuple[tuple[str, str], ...]:
         """Return the caller's end-to-end fields with those that the system sets."""
         fields = passed_fields(
             arrived.header_items,
             _named_by_connection(arrived),
-            shows_credential=order.forwards_credential,
+            shows_credential=context.forwards_credential,
         )
-        remaining_ms = max(1, int(order.remaining * _MILLISECONDS))
+        remaining_ms = max(1, int(context.remaining_seconds * _MILLISECONDS))
         fields.append((DEADLINE_MS, str(remaining_ms)))
-        fields.append((EXPECT_INSTANCE, order.engine.instance))
-        fields.append((REQUEST_PRIORITY, str(order.priority)))
-        if order.tenant:
-            fields.append((TENANT, order.tenant))
-        if order.last_event_id:
-            fields.append((LAST_EVENT_ID, order.last_event_id))
+        fields.append((EXPECT_INSTANCE, context.engine.instance))
+        fields.append((REQUEST_PRIORITY, str(context.priority)))
+        if context.tenant:
+            fields.append((TENANT, context.tenant))
+        if context.last_event_id:
+            fields.append((LAST_EVENT_ID, context.last_event_id))
         return tuple(fields)
 
-    def answer_headers(self, response: HttpResponse) -> dict[str, str]:
+    def response_headers(self, response: HttpResponse) -> dict[str, str]:
         """Return an answer's end-to-end fields."""
         named = response.headers.get("connection", "").lower()
         dropped = {item.strip() for item in named.split(",")} | {"date"}
@@ -92,7 +92,7 @@
             if name not in dropped and FIELD_RULES.get(name) is not FieldRule.HOP
         }
 
-    def was_not_run(self, response: HttpResponse) -> bool:
+    def was_not_executed(self, response: HttpResponse) -> bool:
         """Return whether the engine says that it did not run the request."""
         return response.status == MISDIRECTED or NOT_EXECUTED in response.headers
 
--- a/tests/property/test_request_fields.py
+++ b/tests/property/test_request_fields.py
@@ -9,7 +9,7 @@
 from returns.result import Failure
 
 from yokeline.effects import Address, HttpArrived
-from yokeline.forwarding.dialect import EngineOrder
+from yokeline.forwarding.dialect import EngineRequestContext
 from yokeline.forwarding.model import Engine
 from yokeline.identifiers import ExchangeId
 from yokeline.platform.fields import FIELD_RULES, FieldRule
@@ -59,9 +59,9 @@
         read = dialect.parse_call(event)
         if isinstance(read, Failure):
             return
-        order = EngineOrder(
+        order = EngineRequestContext(
             engine=ENGINE,
-            remaining=1.0,
+            remaining_seconds=1.0,
             priority=5,
             tenant="mine" if has_tenant else "",
             forwards_credential=False,
--- a/tests/unit/platform/test_fields.py
+++ b/tests/unit/platform/test_fields.py
@@ -13,7 +13,7 @@
 
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import Address, HttpArrived
-from yokeline.forwarding.dialect import EngineOrder
+from yokeline.forwarding.dialect import EngineRequestContext
 from yokeline.forwarding.model import Engine
 from yokeline.identifiers import ExchangeId
 from yokeline.platform.fields import FIELD_RULES, FieldRule
@@ -40,9 +40,9 @@
     """Return the fields that the engine gets of a request with ``extra``."""
     dialect = HeaderDialect()
     event = arrived(*extra)
-    order = EngineOrder(
+    order = EngineRequestContext(
         engine=ENGINE,
-        remaining=1.0,
+        remaining_seconds=1.0,
         priority=5,
         tenant=tenant,
         forwards_credential=shows_credential,
--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -5,7 +5,7 @@
 from returns.result import Failure
 
 from yokeline.effects import Address, HttpArrived, HttpResponse
-from yokeline.forwarding.dialect import EngineOrder
+from yokeline.forwarding.dialect import EngineRequestContext
 from yokeline.forwarding.model import Engine, PromptPart
 from yokeline.identifiers import ExchangeId, RequestId
 from yokeline.platform.headers import HeaderDialect
@@ -69,7 +69,9 @@
         engine = Engine(
             engine_id="i-7f3a91c2", pool="p", address=Address("10.0.0.1", 80), zone="z", slots=4
         )
-        order = EngineOrder(engine=engine, remaining=1.25, priority=5, last_event_id="14")
+        order = EngineRequestContext(
+            engine=engine, remaining_seconds=1.25, priority=5, last_event_id="14"
+        )
         headers = dialect.engine_headers(event, dialect.parse_call(event).unwrap(), order)
         fields = dict(headers)
         self.assertEqual(fields["x-yokeline-deadline-ms"], "1250")
@@ -89,10 +91,10 @@
             named = {name.replace("_", "-"): value for name, value in headers.items()}
             return HttpResponse(request=RequestId("r"), status=status, headers=named)
 
-        self.assertTrue(dialect.was_not_run(answer(503, x_yokeline_not_executed="1")))
-        self.assertTrue(dialect.was_not_run(answer(421, x_yokeline_instance_id="i-02d9e6b4")))
-        self.assertFalse(dialect.was_not_run(answer(503)))
-        self.assertFalse(dialect.was_not_run(answer(500)))
+        self.assertTrue(dialect.was_not_executed(answer(503, x_yokeline_not_executed="1")))
+        self.assertTrue(dialect.was_not_executed(answer(421, x_yokeline_instance_id="i-02d9e6b4")))
+        self.assertFalse(dialect.was_not_executed(answer(503)))
+        self.assertFalse(dialect.was_not_executed(answer(500)))
 
     def test_an_answer_keeps_its_signature_and_loses_connection_fields(self) -> None:
         response = HttpResponse(
@@ -107,7 +109,7 @@
             },
         )
         self.assertEqual(
-            HeaderDialect().answer_headers(response),
+            HeaderDialect().response_headers(response),
             {"x-yokeline-server-stamp": "3e1b.07", "content-type": "text/plain"},
         )
 
