--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -23,7 +23,7 @@
 
 from yokeline.effects import Address, HttpArrived
 from yokeline.forwarding.attempts import Attempts
-from yokeline.forwarding.dispatch import Dispatch
+from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
@@ -86,13 +86,13 @@
         settlements = Settlements(self.state, LedgerClient(Address("127.0.0.1", 1)))
         ends = Responder(self.state, settlements, dialect)
         sends = EngineSender(self.state, settlements, dialect)
-        self.dispatch = Dispatch(self.state, sends, ends)
+        self.dispatch = Dispatcher(self.state, sends, ends)
         for number in range(engines):
             self.book.put(_engine(number))
         for state in self.book.all():
             state.running_elsewhere = SLOTS * 2
         for number in range(waiting):
-            self.dispatch.wait(_turn(number, self.state.now))
+            self.dispatch.enqueue(_turn(number, self.state.now))
 
     def look(self) -> float:
         """Return the processor seconds of a look at what waits."""
@@ -116,7 +116,7 @@
         state.running = 0
         state.running_elsewhere = SLOTS * 2
         self.state.outcomes.drain_effects()
-        self.dispatch.wait(_turn(10_000, self.state.now))
+        self.dispatch.enqueue(_turn(10_000, self.state.now))
         return seconds
 
 
--- a/benchmarks/room_waits.py
+++ b/benchmarks/room_waits.py
@@ -15,7 +15,7 @@
 
 from tests.unit.forwarding.room_replay import Load, Replayed, replay
 
-from yokeline.forwarding import admission, dispatch, room_weighing
+from yokeline.forwarding import admission, dispatcher, room_weighing
 from yokeline.scheduling.return_times import Returning
 from yokeline.scheduling.room_waits import PoolRoom, RoomDecision, RoomNeed, decide, longest_wait
 
@@ -58,7 +58,7 @@
     with (
         patch.object(room_weighing, "decide", share_of_target),
         patch.object(room_weighing, "is_hopeless", lambda _still, _expected: False),
-        patch.object(dispatch, "return_after", fixed_return),
+        patch.object(dispatcher, "return_after", fixed_return),
         patch.object(admission, "return_after_outage", lambda _caller: FIXED_RETURN_SECONDS),
     ):
         yield
--- a/src/yokeline/forwarding/dispatch.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -17,7 +17,7 @@
 from yokeline.scheduling.room_waits import RoomRefusal
 
 
-class Dispatch:
+class Dispatcher:
     """Hands requests that wait to engines.
 
     Attributes:
@@ -30,9 +30,9 @@
         self._sender = sender
         self._responder = responder
         self._weighing = RoomWeighing(state)
-        self.sent: Callable[[Exchange], None] = tell_nobody
+        self.on_sent: Callable[[Exchange], None] = ignore_exchange
 
-    def wait(self, exchange: Exchange) -> None:
+    def enqueue(self, exchange: Exchange) -> None:
         """Let a request wait for an engine with room, unless its key was taken away.
 
         Whether it may wait is decided by the next look at the queue, if that finds no room.
@@ -47,9 +47,9 @@
         queue = self._state.waiting.setdefault(exchange.pool, WaitingRequests())
         displaced = queue.add(exchange)
         if displaced is not None:
-            self.give_up(displaced, RoomRefusal.QUEUE_FULL)
+            self.refuse_for_capacity(displaced, RoomRefusal.QUEUE_FULL)
 
-    def give_up(
+    def refuse_for_capacity(
         self, exchange: Exchange, refusal: RoomRefusal = RoomRefusal.NO_ENGINE_LEFT
     ) -> None:
         """End a request for which no engine has room."""
@@ -92,13 +92,13 @@
             return
         held_back = self._state.shares.held_back(pool, self._state.now)
         queue.hold_back(held_back)
-        full = _FullEngines(held_back)
+        full_engines = _FullEngineCache(held_back)
         look: Look | None = None
         ahead = 0
         for exchange in queue.in_order():
-            refusal = self._refusal_by_itself(exchange)
+            refusal = self._unservable_cause(exchange)
             if refusal is None:
-                choice = self._choose(exchange, full)
+                choice = self._choose(exchange, full_engines)
                 if choice is not None:
                     queue.remove(exchange)
                     self._send(exchange, choice)
@@ -107,11 +107,11 @@
                 refusal = self._weigh(exchange, look, ahead=ahead, waiting=len(queue))
             if refusal is not None:
                 queue.remove(exchange)
-                self.give_up(exchange, refusal)
+                self.refuse_for_capacity(exchange, refusal)
                 continue
             ahead += 1
 
-    def _refusal_by_itself(self, exchange: Exchange) -> RoomRefusal | None:
+    def _unservable_cause(self, exchange: Exchange) -> RoomRefusal | None:
         """Return why a request cannot be served whatever room there is; None if it can."""
         placement = self._state.placement
         if placement.lacks_time(exchange, self._state.now):
@@ -120,25 +120,25 @@
             return RoomRefusal.NO_ENGINE_LEFT
         return None
 
-    def _choose(self, exchange: Exchange, full: _FullEngines) -> EngineChoice | None:
+    def _choose(self, exchange: Exchange, full_engines: _FullEngineCache) -> EngineChoice | None:
         """Return the engine for a request; None if none has room, or others go first."""
-        if exchange.is_unstarted_first_turn_of(full.held_back):
+        if exchange.is_unstarted_first_turn_of(full_engines.held_back):
             exchange.was_held_back = True
             return None
         placement = self._state.placement
         is_new_program = exchange.is_first_turn
-        if full.has_no_room(exchange, is_new_program=is_new_program):
+        if full_engines.is_full_for(exchange, is_new_program=is_new_program):
             return None
         choice = placement.choose(exchange, self._state.pool_of(exchange), self._state.now)
         if choice is None:
-            full.note(exchange, is_new_program=is_new_program)
+            full_engines.record_full(exchange, is_new_program=is_new_program)
         return choice
 
     def _send(self, exchange: Exchange, choice: EngineChoice) -> None:
         self._weighing.note_place(exchange)
         exchange.room_wait = None
         self._sender.send(exchange, choice)
-        self.sent(exchange)
+        self.on_sent(exchange)
 
     def _weigh(
         self, exchange: Exchange, look: Look, *, ahead: int, waiting: int
@@ -147,20 +147,20 @@
         begins = exchange.room_wait is None
         refusal = self._weighing.weigh(exchange, look, ahead=ahead, waiting=waiting)
         if begins and refusal is None and exchange.room_wait is not None:
-            self._state.schedule(exchange, exchange.room_wait.until, self._waited_long)
+            self._state.schedule(exchange, exchange.room_wait.until, self._wait_expired)
         return refusal
 
-    def _waited_long(self, exchange: Exchange) -> None:
+    def _wait_expired(self, exchange: Exchange) -> None:
         """Refuse a request whose wait is over, unless an earlier wait of it set the timer."""
         wait = exchange.room_wait
         if exchange.phase is not Phase.WAITING or exchange.relayed_events or wait is None:
             return
         if self._state.now >= wait.until:
             self._weighing.note_in_vain(exchange)
-            self.give_up(exchange, RoomRefusal.WAITED)
+            self.refuse_for_capacity(exchange, RoomRefusal.WAITED)
 
 
-class _FullEngines:
+class _FullEngineCache:
     """For whom no engine had room in one look at a queue; the rest of the queue need not ask.
 
     Without it each event of a busy node looks at every engine for every request that waits:
@@ -170,22 +170,22 @@
     def __init__(self, held_back: frozenset[str]) -> None:
         """Know nothing of engines yet; new programs of ``held_back`` tenants get no place."""
         self.held_back = held_back
-        self._for_any = False
-        self._for_new_programs = False
+        self._full_for_any = False
+        self._full_for_new_programs = False
 
-    def note(self, exchange: Exchange, *, is_new_program: bool) -> None:
+    def record_full(self, exchange: Exchange, *, is_new_program: bool) -> None:
         """Note that no engine had room for a request."""
         if exchange.attempts.are_exhausted:
             return
-        self._for_new_programs = True
-        self._for_any = self._for_any or not is_new_program
+        self._full_for_new_programs = True
+        self._full_for_any = self._full_for_any or not is_new_program
 
-    def has_no_room(self, exchange: Exchange, *, is_new_program: bool) -> bool:
+    def is_full_for(self, exchange: Exchange, *, is_new_program: bool) -> bool:
         """Return whether it is known that no engine has room for a request."""
         if exchange.attempts.are_exhausted:
             return False
-        return self._for_any or (is_new_program and self._for_new_programs)
+        return self._full_for_any or (is_new_program and self._full_for_new_programs)
 
 
-def tell_nobody(exchange: Exchange) -> None:
+def ignore_exchange(exchange: Exchange) -> None:
     """Tell nobody."""
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -31,7 +31,7 @@
 )
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dialect import Dialect
-from yokeline.forwarding.dispatch import Dispatch
+from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_figures import pace_gauges
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
@@ -119,12 +119,14 @@
         settlements = Settlements(self._state, ledger)
         self._responder = Responder(self._state, settlements, dialect)
         self._sender = EngineSender(self._state, settlements, dialect)
-        self._dispatch = Dispatch(self._state, self._sender, self._responder)
-        self._repeats = Repeats(self._state, self._sender, self._dispatch, self._responder)
+        self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
+        self._repeats = Repeats(self._state, self._sender, self._dispatcher, self._responder)
         self._streams = Streams(
             self._state, self._sender, settlements, self._responder, self._repeats, turns, dialect
         )
-        self._limits = TenantLimits(self._state, ledger, self._responder, self._wait_and_dispatch)
+        self._limits = TenantLimits(
+            self._state, ledger, self._responder, self._enqueue_and_dispatch
+        )
         self._repeats.runs_again = self._limits.count_again
         self._reservations = Reservations(
             self._state,
@@ -133,7 +135,7 @@
             self._responder,
             turns,
             self._limits,
-            self._wait_and_dispatch,
+            self._enqueue_and_dispatch,
         )
 
     # ------------------------------------------------------------ service side
@@ -314,7 +316,7 @@
         return self._finish()
 
     def _finish(self) -> list[Effect]:
-        self._dispatch.dispatch_all()
+        self._dispatcher.dispatch_all()
         return self._outcomes.drain_effects()
 
     # ------------------------------------------------------------ requests in
@@ -392,7 +394,7 @@
         elif exchange.limit is not None:
             self._limits.draw(exchange)
         else:
-            self._wait_and_dispatch(exchange)
+            self._enqueue_and_dispatch(exchange)
 
     def _deny(self, event: HttpArrived, denied: Denied, table: RoutingTable) -> None:
         self._outcomes.refuse_unadmitted(
@@ -432,9 +434,9 @@
         self._state.schedule(exchange, exchange.deadline, self._deadline_reached)
         return exchange
 
-    def _wait_and_dispatch(self, exchange: Exchange) -> None:
-        self._dispatch.wait(exchange)
-        self._dispatch.dispatch(exchange.pool)
+    def _enqueue_and_dispatch(self, exchange: Exchange) -> None:
+        self._dispatcher.enqueue(exchange)
+        self._dispatcher.dispatch(exchange.pool)
 
     # ------------------------------------------------------------ answers
 
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/repeats.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 
 from yokeline.effects import HttpFailed, HttpResponse
-from yokeline.forwarding.dispatch import Dispatch, tell_nobody
+from yokeline.forwarding.dispatcher import Dispatcher, ignore_exchange
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.exchange import Exchange, Phase
@@ -42,19 +42,19 @@
     """
 
     def __init__(
-        self, state: NodeState, sender: EngineSender, dispatch: Dispatch, responder: Responder
+        self, state: NodeState, sender: EngineSender, dispatcher: Dispatcher, responder: Responder
     ) -> None:
         """Watch what ``dispatch`` sends."""
         self._state = state
         self._outcomes = state.outcomes
         self._sender = sender
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._responder = responder
         self._retries = RetryBudget()
         self._patience = CallPatience()
         self._judge = RefusalJudge()
-        self.runs_again: Callable[[Exchange], None] = tell_nobody
-        dispatch.sent = self._note_sent
+        self.runs_again: Callable[[Exchange], None] = ignore_exchange
+        dispatcher.on_sent = self._note_sent
 
     def may_go_elsewhere(self, exchange: Exchange) -> bool:
         """Return whether another engine may run it, by its route and the retry budget."""
@@ -84,7 +84,7 @@
         exchange.rejections += 1
         self._outcomes.counters["yokeline_forwarding_rejections_total"] += 1
         if engine is None:
-            self._dispatch.give_up(exchange)
+            self._dispatcher.refuse_for_capacity(exchange)
             return
         exchange.excluded_engine_ids.add(engine.engine.engine_id)
         cause = self._cause_of(exchange, engine, response)
@@ -92,7 +92,7 @@
         if gives_up and exchange.rejected_by:
             self._judge.note_given_up(exchange, self._state.now)
         if gives_up or exchange.rejections >= MAX_REJECTIONS:
-            self._dispatch.give_up(exchange)
+            self._dispatcher.refuse_for_capacity(exchange)
             return
         pause = pause_after(exchange) if cause in (RefusalCause.OPEN, RefusalCause.REQUEST) else 0.0
         self._wait(exchange, pause)
@@ -171,11 +171,11 @@
     def _wait(self, exchange: Exchange, pause: float) -> None:
         """Let a request wait for an engine, after a pause."""
         if not pause:
-            self._dispatch.wait(exchange)
+            self._dispatcher.enqueue(exchange)
             return
         exchange.phase = Phase.WAITING
         exchange.engine = None
-        self._state.schedule(exchange, self._state.now + pause, self._dispatch.wait)
+        self._state.schedule(exchange, self._state.now + pause, self._dispatcher.enqueue)
 
     def _log_break(self, exchange: Exchange, failure: HttpFailed) -> None:
         """Write what this node saw of a connection that failed; it cannot see the engine."""
@@ -233,10 +233,10 @@
             return
         exchange.rejections += 1
         if exchange.rejections >= MAX_REJECTIONS:
-            self._dispatch.give_up(exchange)
+            self._dispatcher.refuse_for_capacity(exchange)
             return
         self._outcomes.log("send_not_made", exchange, reason=failure.reason)
-        self._dispatch.wait(exchange)
+        self._dispatcher.enqueue(exchange)
 
     def _note_sent(self, exchange: Exchange) -> None:
         if exchange.sends == 1:
@@ -282,4 +282,4 @@
         engine.record_outcome(self._state.now, failed=True)
         self._sender.cancel(exchange, failed=True)
         self.repeat(exchange, "late engine")
-        self._dispatch.dispatch(exchange.pool)
+        self._dispatcher.dispatch(exchange.pool)
--- a/tests/unit/forwarding/test_place_shares.py
+++ b/tests/unit/forwarding/test_place_shares.py
@@ -194,7 +194,7 @@
         self.played.wait(0.02)
         self.assertEqual(len(self.played.told), before + 1)
         self.assertEqual(self.loads()[0].tenants, (TenantLoad("calm", 40.0, 0, 1),))
-        with patch.object(self.played.forwarder._dispatch, "give_up"):
+        with patch.object(self.played.forwarder._dispatcher, "refuse_for_capacity"):
             self.played.wait(1.5 * NODE_SILENCE_SECONDS)
         self.assertGreaterEqual(len(self.played.told), before + 4)
 
