--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -55,9 +55,9 @@
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.pool_split import PoolSplit
-from yokeline.forwarding.repeats import Repeats
 from yokeline.forwarding.reservations import Reservations
 from yokeline.forwarding.responder import Responder
+from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.streams import Streams
 from yokeline.forwarding.tenant_loads import TenantLoadReader
@@ -120,14 +120,14 @@
         self._responder = Responder(self._state, settlements, dialect)
         self._sender = EngineSender(self._state, settlements, dialect)
         self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
-        self._repeats = Repeats(self._state, self._sender, self._dispatcher, self._responder)
+        self._retries = RetryHandler(self._state, self._sender, self._dispatcher, self._responder)
         self._streams = Streams(
-            self._state, self._sender, settlements, self._responder, self._repeats, turns, dialect
+            self._state, self._sender, settlements, self._responder, self._retries, turns, dialect
         )
         self._limits = TenantLimits(
             self._state, ledger, self._responder, self._enqueue_and_dispatch
         )
-        self._repeats.runs_again = self._limits.count_again
+        self._retries.on_rerun = self._limits.count_again
         self._reservations = Reservations(
             self._state,
             ledger,
@@ -230,7 +230,7 @@
             and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
         ]
         for exchange in lost:
-            self._repeats.break_off(exchange, "engine restarted")
+            self._retries.abort_and_retry(exchange, "engine restarted")
         return len(lost)
 
     def _is_quiet(self, exchange: Exchange) -> bool:
@@ -312,7 +312,7 @@
             elif isinstance(event, HttpStreamEnded):
                 self._streams.ended(exchange)
             else:
-                self._repeats.send_failed(exchange, event)
+                self._retries.handle_failure(exchange, event)
         return self._finish()
 
     def _finish(self) -> list[Effect]:
@@ -442,10 +442,10 @@
 
     def _take_response(self, exchange: Exchange, response: HttpResponse) -> None:
         if self._dialect.was_not_executed(response):
-            self._repeats.rejected(exchange, response)
+            self._retries.handle_rejection(exchange, response)
             return
         exchange.possible_runs += 1
-        self._repeats.note_taken(exchange)
+        self._retries.record_accepted(exchange)
         is_stream = exchange.route.kind is RouteKind.STREAMING
         if is_stream and response.status in SUCCESS and not response.body:
             if exchange.response_head is None:
@@ -468,11 +468,11 @@
             engine.record_success(self._state.now)
             engine.record_call_seconds(self._state.now - exchange.sent_at)
             self._note_call(exchange)
-            self._repeats.note_answered(exchange)
-        if has_failed and self._repeats.may_go_elsewhere(exchange):
+            self._retries.record_answered(exchange)
+        if has_failed and self._retries.may_use_another_engine(exchange):
             if engine is not None:
                 exchange.excluded_engine_ids.add(engine.engine.engine_id)
-            self._repeats.repeat(exchange, f"status {response.status}")
+            self._retries.retry(exchange, f"status {response.status}")
             return
         if exchange.phase is Phase.STREAMING:
             self._responder.fail(exchange, f"status {response.status} in a resumed stream")
--- a/src/yokeline/forwarding/repeats.py
+++ b/src/yokeline/forwarding/retries.py
@@ -24,16 +24,16 @@
 
 MAX_REJECTIONS = 4
 """Engines that one request asks when all of them are full or not reached."""
-MAX_RUNS = 3
+MAX_POSSIBLE_RUNS = 3
 """Engines that a repeatable request may run on, whatever its route allows."""
-RETURN_PAUSES_SECONDS = (0.0, 0.05, 0.15)
+SAME_ENGINE_RETRY_DELAYS_SECONDS = (0.0, 0.05, 0.15)
 """Pauses before a request goes back to an engine that was left with it: at once, since mostly one
 connection alone has failed, then twice more within the 0.3 s that callers bear between events."""
-LEAST_REPEAT_SECONDS = 0.02
+MIN_RETRY_TIME_LEFT_SECONDS = 0.02
 """A request with less time left is not sent again."""
 
 
-class Repeats:
+class RetryHandler:
     """Decides what follows when an engine did not serve a request.
 
     Attributes:
@@ -50,21 +50,21 @@
         self._sender = sender
         self._dispatcher = dispatcher
         self._responder = responder
-        self._retries = RetryBudget()
+        self._retry_budget = RetryBudget()
         self._patience = CallPatience()
         self._judge = RefusalJudge()
-        self.runs_again: Callable[[Exchange], None] = ignore_exchange
-        dispatcher.on_sent = self._note_sent
+        self.on_rerun: Callable[[Exchange], None] = ignore_exchange
+        dispatcher.on_sent = self._handle_sent
 
-    def may_go_elsewhere(self, exchange: Exchange) -> bool:
+    def may_use_another_engine(self, exchange: Exchange) -> bool:
         """Return whether another engine may run it, by its route and the retry budget."""
-        if exchange.attempts.are_exhausted or exchange.possible_runs >= MAX_RUNS:
+        if exchange.attempts.are_exhausted or exchange.possible_runs >= MAX_POSSIBLE_RUNS:
             return False
-        return self._may_repeat(exchange)
+        return self._may_retry(exchange)
 
-    def repeat(self, exchange: Exchange, reason: str) -> None:
+    def retry(self, exchange: Exchange, reason: str) -> None:
         """Let a request wait for another engine."""
-        self._retries.note_repeat()
+        self._retry_budget.withdraw()
         self._outcomes.counters["yokeline_forwarding_repeats_total"] += 1
         self._outcomes.log(
             "request_repeated",
@@ -73,11 +73,11 @@
             runs=exchange.possible_runs,
             after_event=exchange.last_event_id,
             back_to=exchange.attempts.latest_engine_id if exchange.attempts.are_exhausted else "",
-            budget_left=round(self._retries.left, 1),
+            budget_left=round(self._retry_budget.balance, 1),
         )
-        self._wait(exchange, self._pause(exchange))
+        self._enqueue_after(exchange, self._retry_delay(exchange))
 
-    def rejected(self, exchange: Exchange, response: HttpResponse) -> None:
+    def handle_rejection(self, exchange: Exchange, response: HttpResponse) -> None:
         """Try elsewhere, unless nobody takes it: the engine has not run the request."""
         engine = exchange.engine
         self._sender.release(exchange)
@@ -87,17 +87,17 @@
             self._dispatcher.refuse_for_capacity(exchange)
             return
         exchange.excluded_engine_ids.add(engine.engine.engine_id)
-        cause = self._cause_of(exchange, engine, response)
-        gives_up = self._judge.gives_up(exchange, self._state.now)
-        if gives_up and exchange.rejected_by:
+        cause = self._classify_rejection(exchange, engine, response)
+        is_exhausted = self._judge.gives_up(exchange, self._state.now)
+        if is_exhausted and exchange.rejected_by:
             self._judge.note_given_up(exchange, self._state.now)
-        if gives_up or exchange.rejections >= MAX_REJECTIONS:
+        if is_exhausted or exchange.rejections >= MAX_REJECTIONS:
             self._dispatcher.refuse_for_capacity(exchange)
             return
-        pause = pause_after(exchange) if cause in (RefusalCause.OPEN, RefusalCause.REQUEST) else 0.0
-        self._wait(exchange, pause)
+        delay = pause_after(exchange) if cause in (RefusalCause.OPEN, RefusalCause.REQUEST) else 0.0
+        self._enqueue_after(exchange, delay)
 
-    def _cause_of(
+    def _classify_rejection(
         self, exchange: Exchange, engine: EngineState, response: HttpResponse
     ) -> RefusalCause:
         """Charge a refusal, and write whom with what speaks for it."""
@@ -122,14 +122,14 @@
         )
         return cause
 
-    def note_taken(self, exchange: Exchange) -> None:
+    def record_accepted(self, exchange: Exchange) -> None:
         """Note that an engine runs a request."""
         self._judge.note_taken(exchange, self._state.now)
 
-    def send_failed(self, exchange: Exchange, failure: HttpFailed) -> None:
+    def handle_failure(self, exchange: Exchange, failure: HttpFailed) -> None:
         """Go on after an engine broke off, or could not be reached."""
         engine = exchange.engine
-        self._log_break(exchange, failure)
+        self._log_connection_failure(exchange, failure)
         self._sender.release(exchange, failed=not failure.stale)
         if engine is not None:
             exchange.excluded_engine_ids.add(engine.engine.engine_id)
@@ -138,13 +138,13 @@
             if failure.sent:
                 exchange.attempts.record_attempt(engine.engine.engine_id)
         if not failure.sent:
-            self._send_again_unsent(exchange, failure)
+            self._resend_unsent(exchange, failure)
             return
         if exchange.phase is Phase.SENT and exchange.response_head is None:
             exchange.possible_runs += 1
-        self._repeat_or_fail(exchange, failure.reason)
+        self._retry_or_fail(exchange, failure.reason)
 
-    def cancel_and_repeat(self, exchange: Exchange, reason: str) -> None:
+    def cancel_and_retry(self, exchange: Exchange, reason: str) -> None:
         """Take a stream from an engine that fell silent: it may be the connection alone."""
         engine = exchange.engine
         self._sender.cancel(exchange, failed=True)
@@ -153,31 +153,31 @@
             exchange.excluded_engine_ids.add(engine_id)
             engine.record_failure(self._state.now)
             exchange.attempts.record_attempt(engine_id)
-        self._repeat_or_fail(exchange, reason)
+        self._retry_or_fail(exchange, reason)
 
-    def break_off(self, exchange: Exchange, reason: str) -> None:
+    def abort_and_retry(self, exchange: Exchange, reason: str) -> None:
         """Take a request from an engine that is gone; it may have run there."""
         if exchange.phase is Phase.SENT and exchange.response_head is None:
             exchange.possible_runs += 1
-        self.cancel_and_repeat(exchange, reason)
+        self.cancel_and_retry(exchange, reason)
 
-    def note_answered(self, exchange: Exchange) -> None:
+    def record_answered(self, exchange: Exchange) -> None:
         """Learn how long a call that was answered took."""
         seconds = self._state.now - exchange.sent_at
         self._patience.note_answered(exchange.route.name, seconds)
 
     # ------------------------------------------------------------ inner steps
 
-    def _wait(self, exchange: Exchange, pause: float) -> None:
+    def _enqueue_after(self, exchange: Exchange, delay: float) -> None:
         """Let a request wait for an engine, after a pause."""
-        if not pause:
+        if not delay:
             self._dispatcher.enqueue(exchange)
             return
         exchange.phase = Phase.WAITING
         exchange.engine = None
-        self._state.schedule(exchange, self._state.now + pause, self._dispatcher.enqueue)
+        self._state.schedule(exchange, self._state.now + delay, self._dispatcher.enqueue)
 
-    def _log_break(self, exchange: Exchange, failure: HttpFailed) -> None:
+    def _log_connection_failure(self, exchange: Exchange, failure: HttpFailed) -> None:
         """Write what this node saw of a connection that failed; it cannot see the engine."""
         engine = exchange.engine
         self._outcomes.log(
@@ -195,37 +195,39 @@
             attempts_allowed=exchange.route.max_attempts,
         )
 
-    def _may_repeat(self, exchange: Exchange) -> bool:
+    def _may_retry(self, exchange: Exchange) -> bool:
         """Return whether another send is allowed, wanted and within the retry budget."""
         if not exchange.route.is_retryable:
             return False
-        return exchange.deadline - self._state.now > LEAST_REPEAT_SECONDS and (
-            self._retries.allows_repeat() or exchange.relayed_events > 0
+        return exchange.deadline - self._state.now > MIN_RETRY_TIME_LEFT_SECONDS and (
+            self._retry_budget.allows_retry() or exchange.relayed_events > 0
         )
 
-    def _may_return(self, exchange: Exchange) -> bool:
+    def _may_retry_same_engine(self, exchange: Exchange) -> bool:
         """Return whether it may go back once more to an engine that was left with it."""
         attempts = exchange.attempts
-        if not attempts.are_exhausted or attempts.same_engine_retries >= len(RETURN_PAUSES_SECONDS):
+        if not attempts.are_exhausted or attempts.same_engine_retries >= len(
+            SAME_ENGINE_RETRY_DELAYS_SECONDS
+        ):
             return False
-        return self._may_repeat(exchange)
+        return self._may_retry(exchange)
 
-    def _pause(self, exchange: Exchange) -> float:
+    def _retry_delay(self, exchange: Exchange) -> float:
         """Return for how many seconds a request waits before it is sent again."""
         attempts = exchange.attempts
         if not attempts.are_exhausted:
             return 0.0
-        return RETURN_PAUSES_SECONDS[
-            min(attempts.same_engine_retries, len(RETURN_PAUSES_SECONDS) - 1)
+        return SAME_ENGINE_RETRY_DELAYS_SECONDS[
+            min(attempts.same_engine_retries, len(SAME_ENGINE_RETRY_DELAYS_SECONDS) - 1)
         ]
 
-    def _repeat_or_fail(self, exchange: Exchange, reason: str) -> None:
-        if self.may_go_elsewhere(exchange) or self._may_return(exchange):
-            self.repeat(exchange, reason)
+    def _retry_or_fail(self, exchange: Exchange, reason: str) -> None:
+        if self.may_use_another_engine(exchange) or self._may_retry_same_engine(exchange):
+            self.retry(exchange, reason)
         else:
             self._responder.fail(exchange, reason)
 
-    def _send_again_unsent(self, exchange: Exchange, failure: HttpFailed) -> None:
+    def _resend_unsent(self, exchange: Exchange, failure: HttpFailed) -> None:
         if exchange.attempts.are_exhausted:
             # No other engine may take it. The caller has tries of its own, and comes back now
             # rather than when its patience ends.
@@ -238,15 +240,15 @@
         self._outcomes.log("send_not_made", exchange, reason=failure.reason)
         self._dispatcher.enqueue(exchange)
 
-    def _note_sent(self, exchange: Exchange) -> None:
+    def _handle_sent(self, exchange: Exchange) -> None:
         if exchange.sends == 1:
-            self._retries.note_first_send()
+            self._retry_budget.deposit()
         if exchange.possible_runs or exchange.relayed_events:
-            self.runs_again(exchange)
+            self.on_rerun(exchange)
         if exchange.route.kind is RouteKind.IDEMPOTENT:
-            self._watch_call(exchange)
+            self._schedule_late_check(exchange)
 
-    def _watch_call(self, exchange: Exchange) -> None:
+    def _schedule_late_check(self, exchange: Exchange) -> None:
         """Look again when an answer of this engine is late; only a call that may be repeated."""
         patience = self._patience_with(exchange)
         if patience is not None:
@@ -271,9 +273,9 @@
         if engine is None:
             return
         engine_id = engine.engine.engine_id
-        is_allowed = exchange.attempts.allow_another_after(engine_id) and self.may_go_elsewhere(
-            exchange
-        )
+        is_allowed = exchange.attempts.allow_another_after(
+            engine_id
+        ) and self.may_use_another_engine(exchange)
         if not is_allowed:
             return
         exchange.possible_runs += 1
@@ -281,5 +283,5 @@
         exchange.attempts.record_attempt(engine_id)
         engine.record_outcome(self._state.now, failed=True)
         self._sender.cancel(exchange, failed=True)
-        self.repeat(exchange, "late engine")
+        self.retry(exchange, "late engine")
         self._dispatcher.dispatch(exchange.pool)
--- a/src/yokeline/forwarding/retry_budget.py
+++ b/src/yokeline/forwarding/retry_budget.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-RETRY_SHARE = 0.2
+RETRY_RATIO = 0.2
 """Repeated sends per first send that the budget allows."""
-RETRY_RESERVE = 10.0
+MAX_BALANCE = 10.0
 """Most repeats that may be saved up."""
 
 
@@ -13,16 +13,16 @@
 
     def __init__(self) -> None:
         """Begin with the whole reserve."""
-        self.left = RETRY_RESERVE
+        self.balance = MAX_BALANCE
 
-    def note_first_send(self) -> None:
+    def deposit(self) -> None:
         """Save a share of a repeat up."""
-        self.left = min(RETRY_RESERVE, self.left + RETRY_SHARE)
+        self.balance = min(MAX_BALANCE, self.balance + RETRY_RATIO)
 
-    def allows_repeat(self) -> bool:
+    def allows_retry(self) -> bool:
         """Return whether a request may be sent again."""
-        return self.left >= 1
+        return self.balance >= 1
 
-    def note_repeat(self) -> None:
+    def withdraw(self) -> None:
         """Spend a repeat."""
-        self.left = max(0.0, self.left - 1)
+        self.balance = max(0.0, self.balance - 1)
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -9,8 +9,8 @@
 from yokeline.forwarding.history import TurnCache, event_data
 from yokeline.forwarding.http_parts import is_later
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.repeats import Repeats
 from yokeline.forwarding.responder import Responder
+from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.turn_operations import kept_turn_of
 from yokeline.ledger.operations import OperationResult
@@ -29,7 +29,7 @@
         sender: EngineSender,
         settlements: Settlements,
         responder: Responder,
-        repeats: Repeats,
+        retries: RetryHandler,
         turns: TurnCache,
         dialect: Dialect,
     ) -> None:
@@ -38,7 +38,7 @@
         self._sender = sender
         self._settlements = settlements
         self._responder = responder
-        self._repeats = repeats
+        self._retries = retries
         self._turns = turns
         self._dialect = dialect
 
@@ -103,7 +103,7 @@
         at_engine = exchange.phase is Phase.STREAMING and exchange.engine_request_id is not None
         may_leave = at_engine and not exchange.attempts.same_engine_retries
         if may_leave and self._state.now - exchange.last_event_at >= EVENT_SECONDS:
-            self._repeats.cancel_and_repeat(exchange, "silent engine")
+            self._retries.cancel_and_retry(exchange, "silent engine")
         if exchange.phase in (Phase.STREAMING, Phase.WAITING, Phase.SENT):
             self._watch_silence(exchange)
 
