--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -23,10 +23,9 @@
 
 from yokeline.effects import Address, HttpArrived
 from yokeline.forwarding.attempts import Attempts
-from yokeline.forwarding.dispatch import Dispatch
-from yokeline.forwarding.ends import Ends
+from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import (
@@ -41,7 +40,8 @@
     RoutingTable,
 )
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import Outcomes
+from yokeline.forwarding.outcome_recorder import OutcomeRecorder
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.room_view import REFRESH_SECONDS
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.tenants import StateNames
@@ -80,19 +80,19 @@
         """Fill all engines, and let turns wait."""
         dialect = HeaderDialect()
         self.book = EngineTable("edge")
-        self.state = NodeState("a", self.book, Outcomes(dialect))
+        self.state = NodeState("a", self.book, OutcomeRecorder(dialect))
         self.state.now = 1.0
         self.state.table = RoutingTable(version=1, routes=(_route(),), pools={POOL: _pool()})
         settlements = Settlements(self.state, LedgerClient(Address("127.0.0.1", 1)))
-        ends = Ends(self.state, settlements, dialect)
-        sends = EngineSends(self.state, settlements, dialect)
-        self.dispatch = Dispatch(self.state, sends, ends)
+        ends = Responder(self.state, settlements, dialect)
+        sends = EngineSender(self.state, settlements, dialect)
+        self.dispatch = Dispatcher(self.state, sends, ends)
         for number in range(engines):
             self.book.put(_engine(number))
         for state in self.book.all():
             state.running_elsewhere = SLOTS * 2
         for number in range(waiting):
-            self.dispatch.wait(_turn(number, self.state.now))
+            self.dispatch.enqueue(_turn(number, self.state.now))
 
     def look(self) -> float:
         """Return the processor seconds of a look at what waits."""
@@ -115,8 +115,8 @@
         self.state.by_request.clear()
         state.running = 0
         state.running_elsewhere = SLOTS * 2
-        self.state.outcomes.take_effects()
-        self.dispatch.wait(_turn(10_000, self.state.now))
+        self.state.outcomes.drain_effects()
+        self.dispatch.enqueue(_turn(10_000, self.state.now))
         return seconds
 
 
@@ -159,8 +159,8 @@
         prompt_parts=(PromptPart("shared", 12_600), PromptPart(f"own{number}", 1_680)),
     )
     return Exchange(
-        exchange=ExchangeId(f"x{number}"),
-        arrived=HttpArrived(
+        exchange_id=ExchangeId(f"x{number}"),
+        incoming=HttpArrived(
             exchange=ExchangeId(f"x{number}"),
             method="POST",
             path="/turn/x",
@@ -171,9 +171,9 @@
         ),
         call=call,
         route=_route(),
-        attempts=Attempts(allowed=1),
-        due=now + PATIENT_SECONDS,
-        started=now,
+        attempts=Attempts(max_engines=1),
+        deadline=now + PATIENT_SECONDS,
+        arrived_at=now,
         names=StateNames(
             operation=call.request_id,
             turn=call.request_id,
@@ -182,7 +182,7 @@
             previous_turn="",
         ),
         pool=POOL,
-        spent=1,
+        spent_tokens=1,
     )
 
 
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -31,10 +31,9 @@
 )
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dialect import Dialect
-from yokeline.forwarding.dispatch import Dispatch
-from yokeline.forwarding.ends import Ends
+from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_figures import pace_gauges
-from yokeline.forwarding.engine_sends import EngineSends
+from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.freshness import Currency
@@ -54,10 +53,11 @@
 from yokeline.forwarding.limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.model import Call, Route, RouteKind, RoutingTable
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.outcomes import Outcomes
+from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.pool_split import PoolSplit
-from yokeline.forwarding.repeats import Repeats
 from yokeline.forwarding.reservations import Reservations
+from yokeline.forwarding.responder import Responder
+from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.streams import Streams
 from yokeline.forwarding.tenant_loads import TenantLoadReader
@@ -109,7 +109,7 @@
         self._dialect = dialect
         self._tolerance = tolerance
         self._process = process
-        self._outcomes = Outcomes(dialect)
+        self._outcomes = OutcomeRecorder(dialect)
         self._state = NodeState(zone, engines, self._outcomes)
         ledger.turns.tenants = TenantLoadReader(self._state)
         ledger.shares_told = self._state.shares.take_told
@@ -117,23 +117,25 @@
         self._split = PoolSplit()
         turns = TurnCache()
         settlements = Settlements(self._state, ledger)
-        self._ends = Ends(self._state, settlements, dialect)
-        self._sends = EngineSends(self._state, settlements, dialect)
-        self._dispatch = Dispatch(self._state, self._sends, self._ends)
-        self._repeats = Repeats(self._state, self._sends, self._dispatch, self._ends)
+        self._responder = Responder(self._state, settlements, dialect)
+        self._sender = EngineSender(self._state, settlements, dialect)
+        self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
+        self._retries = RetryHandler(self._state, self._sender, self._dispatcher, self._responder)
         self._streams = Streams(
-            self._state, self._sends, settlements, self._ends, self._repeats, turns, dialect
+            self._state, self._sender, settlements, self._responder, self._retries, turns, dialect
         )
-        self._limits = TenantLimits(self._state, ledger, self._ends, self._wait_and_dispatch)
-        self._repeats.runs_again = self._limits.count_again
+        self._limits = TenantLimits(
+            self._state, ledger, self._responder, self._enqueue_and_dispatch
+        )
+        self._retries.on_rerun = self._limits.count_again
         self._reservations = Reservations(
             self._state,
             ledger,
             histories,
-            self._ends,
+            self._responder,
             turns,
             self._limits,
-            self._wait_and_dispatch,
+            self._enqueue_and_dispatch,
         )
 
     # ------------------------------------------------------------ service side
@@ -146,7 +148,7 @@
     @table.setter
     def table(self, table: RoutingTable | None) -> None:
         self._state.table = table
-        self._outcomes.configuration = table.version if table is not None else 0
+        self._outcomes.configuration_version = table.version if table is not None else 0
         if table is not None:
             self._revoke(table)
 
@@ -156,17 +158,21 @@
             if is_still_admitted(table, exchange.route, exchange.call):
                 continue
             exchange.is_revoked = True
-            if exchange.request is None and not exchange.runs and not exchange.events:
-                self._ends.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
+            if (
+                exchange.engine_request_id is None
+                and not exchange.possible_runs
+                and not exchange.relayed_events
+            ):
+                self._responder.refuse(exchange, UNAUTHORIZED, UNKNOWN_KEY)
 
     @property
-    def closing(self) -> bool:
+    def closes_connections(self) -> bool:
         """Whether answers ask the caller to close its connection."""
-        return self._outcomes.closing
+        return self._outcomes.closes_connections
 
-    @closing.setter
-    def closing(self, closing: bool) -> None:
-        self._outcomes.closing = closing
+    @closes_connections.setter
+    def closes_connections(self, closes_connections: bool) -> None:
+        self._outcomes.closes_connections = closes_connections
 
     @property
     def counters(self) -> Counter[str]:
@@ -221,15 +227,15 @@
             for exchange in self._state.by_request.values()
             if exchange.engine is not None
             and exchange.engine.engine.engine_id == engine_id
-            and (engine_id in exchange.attempts.engines or self._is_quiet(exchange))
+            and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
         ]
         for exchange in lost:
-            self._repeats.break_off(exchange, "engine restarted")
+            self._retries.abort_and_retry(exchange, "engine restarted")
         return len(lost)
 
     def _is_quiet(self, exchange: Exchange) -> bool:
         """Return whether nothing was heard of a request for as long as news may take."""
-        return self._state.now - exchange.item_at >= START_NEWS_SECONDS
+        return self._state.now - exchange.last_event_at >= START_NEWS_SECONDS
 
     @property
     def has_sent(self) -> bool:
@@ -281,7 +287,7 @@
         is_early = self.table is None and not self.refusing
         if not (is_early and self._held.add(event, now)):
             self._take_request(event, now, may_hold=True)
-        return self._outcomes.take_effects()
+        return self._outcomes.drain_effects()
 
     def caller_gone(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
         """Give up what nobody waits for any more."""
@@ -306,12 +312,12 @@
             elif isinstance(event, HttpStreamEnded):
                 self._streams.ended(exchange)
             else:
-                self._repeats.send_failed(exchange, event)
+                self._retries.handle_failure(exchange, event)
         return self._finish()
 
     def _finish(self) -> list[Effect]:
-        self._dispatch.dispatch_all()
-        return self._outcomes.take_effects()
+        self._dispatcher.dispatch_all()
+        return self._outcomes.drain_effects()
 
     # ------------------------------------------------------------ requests in
 
@@ -333,18 +339,18 @@
             self._refuse_unconfigured(event)
             return
         if self.refusing:
-            self._outcomes.refuse_unparsed(event, UNAVAILABLE, "stopping", retry_after=0.0)
+            self._outcomes.refuse_unadmitted(event, UNAVAILABLE, "stopping", retry_after=0.0)
             return
         route = table.find(host_of(event), event.path)
         if route is None:
-            self._outcomes.refuse_unparsed(event, NOT_FOUND, "no_route", version=table.version)
+            self._outcomes.refuse_unadmitted(event, NOT_FOUND, "no_route", version=table.version)
             return
         if event.too_large:
-            self._outcomes.refuse_unparsed(event, TOO_LARGE, "body_too_large")
+            self._outcomes.refuse_unadmitted(event, TOO_LARGE, "body_too_large")
             return
         parsed = self._dialect.parse_call(event)
         if not isinstance(parsed, Success):
-            self._outcomes.refuse_unparsed(event, BAD_REQUEST, parsed.failure().message)
+            self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
         currency = self.currency(self._state.now)
@@ -367,7 +373,7 @@
         """Refuse what came before this node knew its configuration."""
         parsed = self._dialect.parse_call(event)
         if not isinstance(parsed, Success):
-            self._outcomes.refuse_unparsed(event, BAD_REQUEST, parsed.failure().message)
+            self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
         caller = Returning(
@@ -375,7 +381,7 @@
             has_begun=bool(call.previous_turn),
             time_left=call.deadline,
         )
-        self._outcomes.refuse_unparsed(
+        self._outcomes.refuse_unadmitted(
             event, UNAVAILABLE, "no_configuration", retry_after=return_after_outage(caller)
         )
 
@@ -388,10 +394,10 @@
         elif exchange.limit is not None:
             self._limits.draw(exchange)
         else:
-            self._wait_and_dispatch(exchange)
+            self._enqueue_and_dispatch(exchange)
 
     def _deny(self, event: HttpArrived, denied: Denied, table: RoutingTable) -> None:
-        self._outcomes.refuse_unparsed(
+        self._outcomes.refuse_unadmitted(
             event,
             denied.status,
             denied.reason,
@@ -409,41 +415,41 @@
         arrived_at: float,
     ) -> Exchange:
         exchange = Exchange(
-            exchange=event.exchange,
-            arrived=event,
+            exchange_id=event.exchange,
+            incoming=event,
             call=call,
             route=route,
-            attempts=Attempts(allowed=route.max_attempts),
-            due=arrived_at + min(call.deadline, route.timeout),
-            started=arrived_at,
+            attempts=Attempts(max_engines=route.max_attempts),
+            deadline=arrived_at + min(call.deadline, route.timeout),
+            arrived_at=arrived_at,
             names=admitted.names,
             tenant=admitted.tenant,
-            shows_credential=admitted.shows_credential,
-            limit=limit_of(admitted.tenant, self._outcomes.configuration, self._tolerance),
+            forwards_credential=admitted.forwards_credential,
+            limit=limit_of(admitted.tenant, self._outcomes.configuration_version, self._tolerance),
             pool=self._split.pool_of(route, call),
             body=event.body,
             last_event_id=call.last_event_id,
         )
         self._state.exchanges[event.exchange] = exchange
-        self._state.schedule(exchange, exchange.due, self._deadline_reached)
+        self._state.schedule(exchange, exchange.deadline, self._deadline_reached)
         return exchange
 
-    def _wait_and_dispatch(self, exchange: Exchange) -> None:
-        self._dispatch.wait(exchange)
-        self._dispatch.dispatch(exchange.pool)
+    def _enqueue_and_dispatch(self, exchange: Exchange) -> None:
+        self._dispatcher.enqueue(exchange)
+        self._dispatcher.dispatch(exchange.pool)
 
     # ------------------------------------------------------------ answers
 
     def _take_response(self, exchange: Exchange, response: HttpResponse) -> None:
-        if self._dialect.was_not_run(response):
-            self._repeats.rejected(exchange, response)
+        if self._dialect.was_not_executed(response):
+            self._retries.handle_rejection(exchange, response)
             return
-        exchange.runs += 1
-        self._repeats.note_taken(exchange)
+        exchange.possible_runs += 1
+        self._retries.record_accepted(exchange)
         is_stream = exchange.route.kind is RouteKind.STREAMING
         if is_stream and response.status in SUCCESS and not response.body:
-            if exchange.head is None:
-                exchange.head = response
+            if exchange.response_head is None:
+                exchange.response_head = response
             return
         self._take_answer(exchange, response)
 
@@ -453,60 +459,60 @@
         # At the deadline that its caller set, an engine gives up what it could serve.
         is_over = response.status == GATEWAY_TIMEOUT and self._is_due(exchange)
         engine = exchange.engine
-        self._sends.leave(exchange, failed=has_failed and not is_over)
+        self._sender.release(exchange, failed=has_failed and not is_over)
         if engine is not None and has_failed:
-            exchange.attempts.note_left(engine.engine.engine_id)
+            exchange.attempts.record_attempt(engine.engine.engine_id)
             if not is_over:
                 engine.record_outcome(self._state.now, failed=True)
         elif engine is not None:
             engine.record_success(self._state.now)
             engine.record_call_seconds(self._state.now - exchange.sent_at)
             self._note_call(exchange)
-            self._repeats.note_answered(exchange)
-        if has_failed and self._repeats.may_go_elsewhere(exchange):
+            self._retries.record_answered(exchange)
+        if has_failed and self._retries.may_use_another_engine(exchange):
             if engine is not None:
-                exchange.tried.add(engine.engine.engine_id)
-            self._repeats.repeat(exchange, f"status {response.status}")
+                exchange.excluded_engine_ids.add(engine.engine.engine_id)
+            self._retries.retry(exchange, f"status {response.status}")
             return
         if exchange.phase is Phase.STREAMING:
-            self._ends.fail(exchange, f"status {response.status} in a resumed stream")
+            self._responder.fail(exchange, f"status {response.status} in a resumed stream")
             return
-        self._ends.answer(exchange, response)
+        self._responder.send_response(exchange, response)
 
     def _note_call(self, exchange: Exchange) -> None:
         if exchange.route.kind is not RouteKind.STREAMING:
             self._state.placement.note_call(exchange, self._state.now)
 
     def _is_due(self, exchange: Exchange) -> bool:
-        return self._state.now >= exchange.due - DUE_SLACK_SECONDS
+        return self._state.now >= exchange.deadline - DUE_SLACK_SECONDS
 
     # ------------------------------------------------------------ ends
 
     def _deadline_reached(self, exchange: Exchange) -> None:
         """Give the final answer at the deadline or the route's time-out."""
-        was_sent = exchange.request is not None
+        was_sent = exchange.engine_request_id is not None
         if was_sent:
-            self._sends.cancel(exchange)
+            self._sender.cancel(exchange)
         if exchange.phase is Phase.ENDED:
             return
         if exchange.first_event_at is not None:
-            self._ends.fail(exchange, "deadline")
-        elif exchange.runs or was_sent:
-            self._ends.time_out(exchange)
+            self._responder.fail(exchange, "deadline")
+        elif exchange.possible_runs or was_sent:
+            self._responder.time_out(exchange)
         else:
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange, UNAVAILABLE, "deadline", retry_after=DEADLINE_RETRY_AFTER_SECONDS
             )
 
     def _caller_gone(self, exchange: Exchange) -> None:
         """Stop what may be stopped; a correction that is under way runs to its end."""
-        if exchange.request is not None:
+        if exchange.engine_request_id is not None:
             if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
                 return
-            self._sends.cancel(exchange)
+            self._sender.cancel(exchange)
         if exchange.phase is Phase.KEEPING:
             return
-        self._ends.leave(exchange)
+        self._responder.abandon(exchange)
 
 
 def _always_current(_now: float) -> Currency:
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/limits.py
@@ -12,10 +12,10 @@
 import msgspec
 
 from yokeline.effects import Effect
-from yokeline.forwarding.ends import Ends
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import TOO_MANY_REQUESTS, UNAVAILABLE
 from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.operations import Draw, Drawn, OperationResult, QuotaSpent, RateLimit
@@ -86,13 +86,13 @@
         self,
         state: NodeState,
         ledger: LedgerClient,
-        ends: Ends,
+        responder: Responder,
         drawn: Callable[[Exchange], None],
     ) -> None:
         """Call ``drawn`` with each request that may go on."""
         self._state = state
         self._ledger = ledger
-        self._ends = ends
+        self._responder = responder
         self._drawn = drawn
         self._spent_until: OrderedDict[str, float] = OrderedDict()
         self._waiting: Counter[str] = Counter()
@@ -114,7 +114,7 @@
         """Ask the ledger to count a request."""
         assert exchange.limit is not None
         exchange.phase = Phase.RESERVING
-        exchange.operation = Draw(
+        exchange.ledger_operation = Draw(
             request_id=exchange.names.operation,
             limit=exchange.limit,
             program=exchange.names.program,
@@ -123,11 +123,11 @@
         def answered(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
             self._take_result(exchange, result)
-            return self._state.outcomes.take_effects()
+            return self._state.outcomes.drain_effects()
 
         now = self._state.now
-        give_up_at = min(exchange.due, now + LEDGER_SECONDS)
-        effects = self._ledger.ask(exchange.operation, answered, now, give_up_at)
+        give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
+        effects = self._ledger.ask(exchange.ledger_operation, answered, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
     def count_again(self, exchange: Exchange) -> None:
@@ -165,7 +165,7 @@
         assert exchange.limit is not None
         tenant, now = exchange.limit.tenant, self._state.now
         may_wait = exchange.limit_waits < MAX_WAITS and self._waiting[tenant] < MAX_WAITING
-        if not may_wait or seconds > LONGEST_WAIT_SECONDS or now + seconds >= exchange.due:
+        if not may_wait or seconds > LONGEST_WAIT_SECONDS or now + seconds >= exchange.deadline:
             self._refuse(exchange, seconds)
             return
         exchange.limit_waits += 1
@@ -185,14 +185,14 @@
     def _take_result(self, exchange: Exchange, result: OperationResult | None) -> None:
         if exchange.phase is not Phase.RESERVING:
             return
-        exchange.operation = None
+        exchange.ledger_operation = None
         if isinstance(result, Drawn):
             exchange.granted_at = self._state.now
             self._drawn(exchange)
         elif isinstance(result, QuotaSpent):
             self.take_spent(exchange, result, self.draw)
         else:
-            self._ends.refuse(
+            self._responder.refuse(
                 exchange,
                 UNAVAILABLE,
                 "ledger_unavailable",
@@ -202,7 +202,7 @@
     def _refuse(self, exchange: Exchange, retry_after: float) -> None:
         limit = exchange.limit
         assert limit is not None
-        self._ends.refuse(
+        self._responder.refuse(
             exchange,
             TOO_MANY_REQUESTS,
             QUOTA_SPENT,
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -159,7 +159,13 @@
         """Return the waiting requests in this mode's order, without those held back."""
         waiting = self.queue.in_order()
         if self.way is Way.VIRTUAL_TIME:
-            waiting.sort(key=lambda item: (not item.begun, self._virtual_start(item), item.started))
+            waiting.sort(
+                key=lambda item: (
+                    not item.program_started,
+                    self._virtual_start(item),
+                    item.arrived_at,
+                )
+            )
             return waiting
         if self.way is Way.FIRST_COME:
             return waiting
@@ -273,19 +279,19 @@
         name = f"turn-{next(self._numbers)}"
         call = Call(request_id=name, deadline=ROUTE.timeout, program=name)
         exchange = Exchange(
-            exchange=ExchangeId(name),
-            arrived=_EMPTY_REQUEST,
+            exchange_id=ExchangeId(name),
+            incoming=_EMPTY_REQUEST,
             call=call,
             route=ROUTE,
-            attempts=Attempts(allowed=1),
-            due=self.now + ROUTE.timeout,
-            started=self.now,
+            attempts=Attempts(max_engines=1),
+            deadline=self.now + ROUTE.timeout,
+            arrived_at=self.now,
             names=_NAMES,
             tenant=program.tenant,
             pool=POOL,
-            spent=int(has_begun),
+            spent_tokens=int(has_begun),
         )
-        self._programs[exchange.exchange] = program
+        self._programs[exchange.exchange_id] = program
         return exchange
 
     # ------------------------------------------------------------ waits and turns
@@ -308,7 +314,7 @@
         """Assign the slots that a node believes to be free."""
         for exchange in node.in_order(self.now):
             believed = node.reported_running + node.sent_since_report
-            headroom = BEGUN_HEADROOM if exchange.begun else 1.0
+            headroom = BEGUN_HEADROOM if exchange.program_started else 1.0
             if believed >= self._load.places * headroom:
                 continue
             if node.may_place(exchange, self.now):
@@ -317,10 +323,10 @@
             self._report(node)
 
     def _take_place(self, node: _Node, exchange: Exchange) -> None:
-        program = self._programs.pop(exchange.exchange)
+        program = self._programs.pop(exchange.exchange_id)
         node.queue.remove(exchange)
         node.record_placement(exchange, program.tenant.rate, self.now)
-        if program.is_counted and not exchange.begun:
+        if program.is_counted and not exchange.program_started:
             self._count_begun(exchange)
         self._running += 1
         crowd = max(1.0, self._running / self._load.places)
@@ -331,7 +337,7 @@
     def _count_begun(self, exchange: Exchange) -> None:
         self.result.begun[exchange.tenant_name] += 1
         if exchange.tenant_name != HOT:
-            self.result.waits.append(self.now - exchange.started)
+            self.result.waits.append(self.now - exchange.arrived_at)
 
     def _end_turn(self, node: _Node, program: _Program) -> None:
         self._running -= 1
