--- a/tests/property/test_run_state_machine.py
+++ b/tests/property/test_run_state_machine.py
@@ -1,4 +1,4 @@
-"""Random legal and illegal commands against the replicated state machine of runs."""
+"""Applies random valid and invalid commands to the replicated state machine of runs."""
 
 from __future__ import annotations
 
@@ -50,12 +50,12 @@
 RUNS = (*ROOTS, child_run_id(ROOTS[0], 1), child_run_id(ROOTS[0], 2), RunId("run-a.1.1"))
 LEADER = ReplicaId("n~1")
 ENDING_PERIOD = 8
-"""Commands that end runs are tried at one in so many steps, so that runs get somewhere."""
+"""Commands that end runs are generated in one of this many steps, so that runs get long."""
 LIMITS = Budget(tokens=300, calls=30, tool_seconds=6.0, wall_seconds=200.0, identical_calls=3)
 
-choices = st.integers(0, 11)
-"""Chooses a run: mostly one that exists, now and then any."""
-seldom = st.integers(0, 9).map(lambda number: number == 9)
+run_choices = st.integers(0, 11)
+"""Selects an existing run, or for 10 and above any run of ``RUNS``."""
+rarely = st.integers(0, 9).map(lambda number: number == 9)
 errors = st.builds(
     YokelineError,
     kind=st.sampled_from([ErrorKind.BACKEND_FAILED, ErrorKind.DEADLINE_EXCEEDED]),
@@ -97,22 +97,22 @@
     digest=st.sampled_from(["d", "d", "d", "d", "e"]),
     conversation=st.booleans(),
 )
-ending = precondition(lambda commands: commands.steps % ENDING_PERIOD == 0)
+run_ending = precondition(lambda commands: commands.steps % ENDING_PERIOD == 0)
 
 
-class RuleViolationError(AssertionError):
-    """A rule of the system is broken."""
+class InvariantViolationError(AssertionError):
+    """An invariant of the state machine does not hold."""
 
 
 class Commands(RuleBasedStateMachine):
-    """Applies commands to two machines at once and checks what must always hold."""
+    """Applies commands to two replicas and checks the invariants after each."""
 
     machine_type: type[RunStateMachine] = RunStateMachine
 
     def __init__(self) -> None:
         super().__init__()
         self.machine = self.machine_type()
-        self.twin = self.machine_type()
+        self.replica = self.machine_type()
         self.wall = 0.0
         self.overrun = 0
         self.attempts: dict[tuple[RunId, int], int] = {}
@@ -122,15 +122,15 @@
     @initialize(conversation=st.booleans())
     def create_roots(self, conversation: bool) -> None:
         for root in ROOTS:
-            self.create(run=root, spec=spec("t", "d", conversation), right_parent=False)
+            self.create(run=root, spec=spec("t", "d", conversation), with_parent=False)
 
     # -------------------------------------------------------- commands
 
-    def do(self, command: Command) -> ApplyResult:
+    def apply_command(self, command: Command) -> ApplyResult:
         self.steps += 1
         before = self.machine.snapshot()
         result = self.machine.apply(command)
-        self._require(self.twin.apply(command) == result, "apply is not deterministic")
+        self._require(self.replica.apply(command) == result, "apply is not deterministic")
         if not result.accepted:
             self._require(result.error is not None, "a rejection without a typed error")
             self._require(self.machine.snapshot() == before, "a rejected command changed state")
@@ -139,7 +139,7 @@
     @staticmethod
     def _require(condition: bool, message: str) -> None:
         if not condition:
-            raise RuleViolationError(message)
+            raise InvariantViolationError(message)
 
     def _chosen(self, choice: int) -> RunId:
         known = sorted(self.machine.runs)
@@ -155,11 +155,13 @@
     def time_passes(self, seconds: float) -> None:
         self.wall += seconds
 
-    @rule(run=st.sampled_from(RUNS), spec=specs, right_parent=st.booleans())
-    def create(self, run: RunId, spec: RunSpec, right_parent: bool) -> None:
-        parent = RunId(run.rpartition(".")[0]) if right_parent and "." in run else None
+    @rule(run=st.sampled_from(RUNS), spec=specs, with_parent=st.booleans())
+    def create(self, run: RunId, spec: RunSpec, with_parent: bool) -> None:
+        parent = RunId(run.rpartition(".")[0]) if with_parent and "." in run else None
         known = copy.deepcopy(self.machine.runs.get(run))
-        result = self.do(CreateRun(run=run, spec=spec, input="i", wall=self.wall, parent=parent))
+        result = self.apply_command(
+            CreateRun(run=run, spec=spec, input="i", wall=self.wall, parent=parent)
+        )
         if known is not None and known.spec.request_digest != spec.request_digest:
             self._require(
                 result.error is not None and result.error.kind is ErrorKind.IDEMPOTENCY_KEY_REUSED,
@@ -168,29 +170,31 @@
         if known is not None:
             self._require(not result.created, "a known run was created again")
 
-    @rule(choice=choices, key=st.sampled_from(["", "k1", "k2"]), text=st.sampled_from(["a", "b"]))
+    @rule(
+        choice=run_choices, key=st.sampled_from(["", "k1", "k2"]), text=st.sampled_from(["a", "b"])
+    )
     def add_turn(self, choice: int, key: str, text: str) -> None:
         run = self._chosen(choice)
-        self.do(AddTurn(run=run, turn_key=key, input=text, wall=self.wall))
+        self.apply_command(AddTurn(run=run, turn_key=key, input=text, wall=self.wall))
 
-    @ending
-    @rule(choice=choices, spec=specs, error=errors)
+    @run_ending
+    @rule(choice=run_choices, spec=specs, error=errors)
     def refuse(self, choice: int, spec: RunSpec, error: YokelineError) -> None:
         run = self._chosen(choice)
         started = self._call(run) is not None
-        result = self.do(RefuseRun(run=run, spec=spec, error=error, wall=self.wall))
+        result = self.apply_command(RefuseRun(run=run, spec=spec, error=error, wall=self.wall))
         self._require(not (started and result.accepted), "a run with a call was refused")
 
     @rule(
-        choice=choices,
+        choice=run_choices,
         reserved=valid_reservations,
         repeatable=st.booleans(),
         kind=st.sampled_from([CallKind.MODEL, CallKind.TOOL, CallKind.CHILD]),
         step=st.sampled_from(["next", "next", "next", "again", "again", "skip", "old"]),
         fence=st.integers(1, 3),
         request=requests,
-        different=seldom,
-        invalid=seldom,
+        different=rarely,
+        invalid=rarely,
     )
     def start_call(
         self,
@@ -206,7 +210,7 @@
     ) -> None:
         run = self._chosen(choice)
         last = self._call(run)
-        number, attempt = _position(last, step)
+        number, attempt = _call_position(last, step)
         if step == "again" and not different and last is not None:
             kind, request, repeatable = last.kind, last.tool_request, last.repeatable
         if last is not None:
@@ -227,11 +231,11 @@
             leader=LEADER,
             tool_request=request,
         )
-        result = self.do(command)
+        result = self.apply_command(command)
         if result.accepted and state is not None:
-            self._note_start(state, command, ended)
+            self._check_start(state, command, ended)
 
-    def _note_start(self, run: Run, command: CallStarted, ended: bool) -> None:
+    def _check_start(self, run: Run, command: CallStarted, ended: bool) -> None:
         self._require(not ended, "a call started in a run that had ended")
         self.started += 1
         key = (run.run, command.number)
@@ -247,13 +251,13 @@
         self._require(calls <= LIMITS.calls, "a call started beyond the budget of calls")
 
     @rule(
-        choice=choices,
+        choice=run_choices,
         status=st.sampled_from([CallStatus.SUCCEEDED, CallStatus.FAILED, *CallStatus]),
         usage=usages,
         error=st.none() | errors,
         answered=st.booleans(),
-        stale=seldom,
-        inconsistent=seldom,
+        stale=rarely,
+        inconsistent=rarely,
     )
     def finish_call(
         self,
@@ -282,40 +286,42 @@
             error=error,
         )
         reserved = last.reserved.tokens if last is not None else 0
-        if self.do(command).accepted:
+        if self.apply_command(command).accepted:
             self.overrun += max(0, budget.token_cost(usage) - reserved)
 
-    @ending
-    @rule(choice=choices, status=st.sampled_from(list(RunStatus)), error=st.none() | errors)
+    @run_ending
+    @rule(choice=run_choices, status=st.sampled_from(list(RunStatus)), error=st.none() | errors)
     def finish_run(self, choice: int, status: RunStatus, error: YokelineError | None) -> None:
         run = self._chosen(choice)
-        self.do(FinishRun(run=run, status=status, wall=self.wall, answer="a", error=error))
+        self.apply_command(
+            FinishRun(run=run, status=status, wall=self.wall, answer="a", error=error)
+        )
 
-    @ending
-    @rule(choice=choices, error=errors)
+    @run_ending
+    @rule(choice=run_choices, error=errors)
     def cancel(self, choice: int, error: YokelineError) -> None:
         run = self._chosen(choice)
-        self.do(CancelRun(run=run, wall=self.wall, error=error))
+        self.apply_command(CancelRun(run=run, wall=self.wall, error=error))
 
-    @ending
-    @rule(chosen=st.lists(choices, max_size=2))
+    @run_ending
+    @rule(chosen=st.lists(run_choices, max_size=2))
     def forget(self, chosen: list[int]) -> None:
         runs = tuple(self._chosen(choice) for choice in chosen)
-        self.do(ForgetRuns(runs=runs, wall=self.wall))
+        self.apply_command(ForgetRuns(runs=runs, wall=self.wall))
         known = self.machine.runs
         self.attempts = {key: n for key, n in self.attempts.items() if key[0] in known}
 
     @rule()
     def restart_one_replica(self) -> None:
-        data = self.twin.snapshot()
-        self.twin = self.machine_type.restore(data)
-        self._require(self.twin.snapshot() == data, "a restored state differs")
+        data = self.replica.snapshot()
+        self.replica = self.machine_type.restore(data)
+        self._require(self.replica.snapshot() == data, "a restored state differs")
 
     # -------------------------------------------------------- invariants
 
     @invariant()
     def replicas_agree(self) -> None:
-        self._require(self.machine.runs == self.twin.runs, "replicas differ")
+        self._require(self.machine.runs == self.replica.runs, "replicas differ")
 
     @invariant()
     def calls_are_in_order(self) -> None:
@@ -350,16 +356,18 @@
         self._require(run.reserved.calls == len(open_calls), "reserved calls do not add up")
 
     @invariant()
-    def refusals_are_true(self) -> None:
+    def refusals_claim_only_what_is_known(self) -> None:
         for run in self.machine.runs.values():
             if run.status is RunStatus.REFUSED:
                 self._require(not run.calls, "a refused run has calls")
-            claimed = run.error is not None and run.error.execution is Execution.NOT_RUN
-            doubtful = any(rules.may_have_run(call) for call in run.calls)
-            self._require(not (claimed and doubtful), "not run is claimed but may be false")
+            claims_not_run = run.error is not None and run.error.execution is Execution.NOT_RUN
+            may_have_run = any(rules.may_have_run(call) for call in run.calls)
+            self._require(
+                not (claims_not_run and may_have_run), "not run is claimed but may be false"
+            )
 
 
-def _position(last: CallRecord | None, step: str) -> tuple[int, int]:
+def _call_position(last: CallRecord | None, step: str) -> tuple[int, int]:
     if last is None:
         return (2, 1) if step == "skip" else (1, 1)
     if step == "again":
@@ -369,8 +377,8 @@
     return (last.number + (2 if step == "skip" else 1), 1)
 
 
-class DoubleSender(RunStateMachine):
-    """A planted fault: calls that may not be repeated are taken for repeatable ones."""
+class RepeatingStateMachine(RunStateMachine):
+    """A planted fault: non-repeatable calls are treated as repeatable."""
 
     def transition_call_started(self, command: CallStarted) -> ApplyResult:
         run = self.runs.get(command.run)
@@ -384,8 +392,8 @@
         return result
 
 
-class Overspender(RunStateMachine):
-    """A planted fault: a call's start forgets what its run had spent before."""
+class OverspendingStateMachine(RunStateMachine):
+    """A planted fault: the budget check at a call's start ignores the earlier spending."""
 
     def transition_call_started(self, command: CallStarted) -> ApplyResult:
         run = self.runs.get(command.run)
@@ -397,34 +405,34 @@
         return result
 
 
-class DoubleSenderCommands(Commands):
-    machine_type = DoubleSender
+class RepeatingCommands(Commands):
+    machine_type = RepeatingStateMachine
 
 
-class OverspenderCommands(Commands):
-    machine_type = Overspender
+class OverspendingCommands(Commands):
+    machine_type = OverspendingStateMachine
 
 
 class Walk:
-    """A long random walk: mostly legal commands, so that runs get far."""
+    """A random walk of mostly valid commands, which lets runs get long."""
 
     def __init__(self, commands: Commands, seed: int) -> None:
         self.commands = commands
         self.random = random.Random(seed)
-        self.moves = (self.start_call,) * 8 + (self.finish_call,) * 8 + (self.other,)
+        self.actions = (self.start_call,) * 8 + (self.finish_call,) * 8 + (self.other_command,)
 
     def go(self, steps: int) -> int:
-        """Take steps; return how many calls were started."""
+        """Apply commands in ``steps`` steps; return the number of started calls."""
         self.commands.create_roots(conversation=bool(self.random.getrandbits(1)))
         for _ in range(steps):
-            self.random.choice(self.moves)()
+            self.random.choice(self.actions)()
             self.commands.replicas_agree()
             self.commands.calls_are_in_order()
             self.commands.budgets_add_up()
-            self.commands.refusals_are_true()
+            self.commands.refusals_claim_only_what_is_known()
         return self.commands.started
 
-    def _seldom(self) -> bool:
+    def _rarely(self) -> bool:
         return self.random.random() < 0.05
 
     def _usage(self) -> Usage:
@@ -453,25 +461,25 @@
             step=self.random.choice(["next", "next", "again"]),
             fence=self.random.randrange(1, 4),
             request=ToolRequest(identity="t", name=name, arguments="{}"),
-            different=self._seldom(),
-            invalid=self._seldom(),
+            different=self._rarely(),
+            invalid=self._rarely(),
         )
         for run in RUNS[len(ROOTS) :]:
-            self.commands.create(run=run, spec=spec("t", "d", False), right_parent=True)
+            self.commands.create(run=run, spec=spec("t", "d", False), with_parent=True)
 
     def finish_call(self) -> None:
         statuses = [CallStatus.SUCCEEDED, CallStatus.FAILED, CallStatus.FAILED]
         self.commands.finish_call(
             choice=self.random.randrange(10),
-            status=CallStatus.UNKNOWN if self._seldom() else self.random.choice(statuses),
+            status=CallStatus.UNKNOWN if self._rarely() else self.random.choice(statuses),
             usage=self._usage(),
             error=self._error(),
             answered=bool(self.random.getrandbits(1)),
-            stale=self._seldom(),
-            inconsistent=self._seldom(),
+            stale=self._rarely(),
+            inconsistent=self._rarely(),
         )
 
-    def other(self) -> None:
+    def other_command(self) -> None:
         choice = self.random.randrange(10)
         match self.random.randrange(6):
             case 0:
@@ -486,7 +494,7 @@
                 self.commands.cancel(choice, self._error())
             case 4:
                 for root in ROOTS:
-                    self.commands.do(ForgetRuns(runs=(root,), wall=0.0))
+                    self.commands.apply_command(ForgetRuns(runs=(root,), wall=0.0))
                 self.commands.forget([choice])
                 self.commands.create_roots(conversation=True)
             case _:
@@ -499,10 +507,10 @@
 
 
 class RunStateMachineTest(unittest.TestCase):
-    def test_rules_hold_for_any_commands(self) -> None:
+    def test_invariants_hold_for_any_commands(self) -> None:
         run_state_machine_as_test(Commands, settings=COMMANDS)
 
-    def test_rules_hold_on_long_walks(self) -> None:
+    def test_invariants_hold_on_long_random_walks(self) -> None:
         started = 0
 
         @WALKS
@@ -514,17 +522,17 @@
         walk()
         self.assertGreater(started, 500, "the walks do not get far enough to prove anything")
 
-    def _assert_found(self, commands: type[Commands], message: str) -> None:
+    def _assert_fault_found(self, commands: type[Commands], message: str) -> None:
         @settings(WALKS, phases=(Phase.generate,))
         @given(seed=st.integers(0, 2**32))
         def walk(seed: int) -> None:
             Walk(commands(), seed).go(WALK_STEPS)
 
-        with self.assertRaisesRegex(RuleViolationError, message):
+        with self.assertRaisesRegex(InvariantViolationError, message):
             walk()
 
     def test_planted_second_attempt_is_found(self) -> None:
-        self._assert_found(DoubleSenderCommands, "attempted twice")
+        self._assert_fault_found(RepeatingCommands, "attempted twice")
 
     def test_planted_overspending_is_found(self) -> None:
-        self._assert_found(OverspenderCommands, "beyond the budget")
+        self._assert_fault_found(OverspendingCommands, "beyond the budget")
