--- a/src/yokeline/runs/model.py
+++ b/src/yokeline/runs/model.py
@@ -127,14 +127,14 @@
     """Limits of a run tree (the root run and all its children together)."""
 
     tokens: int = 200_000
-    """Uncached prompt tokens plus completion tokens."""
+    """Prompt tokens not found in cache plus completion tokens."""
     calls: int = 200
     tool_seconds: float = 600.0
     wall_seconds: float = 3600.0
     turns: int = 100
-    """Model calls in one run."""
+    """Model calls of one run."""
     identical_calls: int = 5
-    """Consecutive tool calls with the same name and arguments."""
+    """Consecutive tool calls with the same name and arguments before a run is ended."""
 
 
 class Reservation(msgspec.Struct, frozen=True, kw_only=True):
