--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -231,7 +231,7 @@
             return
         call = KeyedCall(activity, run, record, found.unwrap(), address)
         if call.target.lookup is Lookup.NONE:
-            self._unknown(call, "the node that sent it is gone")
+            self._unknown(call, "the leader that sent it was replaced")
             return
         activity.detach = lambda: self._close_connection(call)
         activity.cancel = activity.detach
--- a/tests/property/test_run_state_machine.py
+++ b/tests/property/test_run_state_machine.py
@@ -329,10 +329,10 @@
             numbers = [call.number for call in run.calls]
             self._require(numbers == list(range(1, len(numbers) + 1)), "calls out of order")
             in_flight = [call for call in run.calls if call.status is CallStatus.STARTED]
-            self._require(len(in_flight) <= 1, "two calls under way in one run")
+            self._require(len(in_flight) <= 1, "two calls in flight in one run")
             self._require(not in_flight or in_flight[0] is run.calls[-1], "an old call is open")
             if run.status is not RunStatus.ACTIVE:
-                self._require(not in_flight, "a call is under way in a run that has ended")
+                self._require(not in_flight, "a call is in flight in a run that has ended")
 
     @invariant()
     def budgets_add_up(self) -> None:
