--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -247,7 +247,7 @@
         """Hold new tool, app and child calls for the next leader."""
         self._draining = True
 
-    def blocks_hand_over(self, shard: ShardId) -> bool:
+    def blocks_transfer(self, shard: ShardId) -> bool:
         """Return whether a call that is not repeatable is in flight in a shard."""
         return any(
             activity.shard == shard and not activity.repeatable
--- a/src/yokeline/runs/executor.py
+++ b/src/yokeline/runs/executor.py
@@ -148,9 +148,9 @@
         """Hold new tool, app and child calls, because leadership is about to move."""
         self._driver.begin_drain()
 
-    def blocks_hand_over(self, shard: ShardId) -> bool:
+    def blocks_transfer(self, shard: ShardId) -> bool:
         """Return whether handing the shard over now could leave a call's outcome unknown."""
-        return self._driver.blocks_hand_over(shard)
+        return self._driver.blocks_transfer(shard)
 
     # ------------------------------------------------------------ status
 
--- a/src/yokeline/server/node.py
+++ b/src/yokeline/server/node.py
@@ -202,7 +202,7 @@
             self._is_leaving,
         )
         self.host.set_listener(self.executor)
-        self.host.set_hand_over_guard(self.executor.blocks_hand_over)
+        self.host.set_transfer_guard(self.executor.blocks_transfer)
         self.host.heartbeats.configuration_revision = self.configuration.revision
         self.configuration.on_change(lambda _view: self.engines.refresh())
         self.machine_list.on_change.append(self.engines.refresh)
--- a/src/yokeline/server/planned_stop.py
+++ b/src/yokeline/server/planned_stop.py
@@ -70,7 +70,7 @@
         self._context.log("drain_started", in_flight=self._in_flight())
         self._stop_accepting()
         self._membership.leave()
-        self._host.hand_over_all()
+        self._host.transfer_all_leaderships()
 
     def transition_superseded(self) -> None:
         """End at once: a later process start of this node runs, and this one counts as dead."""
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -227,11 +227,11 @@
         lost = all(has_lost_majority(members, self._peers.is_dead) for members in groups)
         return bool(groups) and lost
 
-    def set_hand_over_guard(self, guard: Callable[[ShardId], bool]) -> None:
+    def set_transfer_guard(self, guard: Callable[[ShardId], bool]) -> None:
         """Do not transfer a shard's leadership while ``guard`` returns true for the shard."""
         self._maintenance.transfer_blocked = guard
 
-    def hand_over_all(self) -> None:
+    def transfer_all_leaderships(self) -> None:
         """Begin the planned stop: transfer every leadership that another node can take over."""
         self._maintenance.draining = True
         self._maintenance.run_round()
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -165,7 +165,7 @@
         replica = node.context.replica
         leaving = msgspec.structs.replace(self.members[replica], state=MemberState.LEAVING)
         self.members[replica] = leaving
-        self.run_at(node, node.host.hand_over_all)
+        self.run_at(node, node.host.transfer_all_leaderships)
 
     def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         self._sequence += 1
--- a/tests/unit/shards/test_host.py
+++ b/tests/unit/shards/test_host.py
@@ -116,7 +116,7 @@
         cluster.run(5.0)
         node = cluster.leader(0)
         blocked = {ShardId(0)}
-        node.host.set_hand_over_guard(lambda shard: shard in blocked)
+        node.host.set_transfer_guard(lambda shard: shard in blocked)
         cluster.begin_drain(node)
         cluster.run(3.0)
         self.assertEqual(node.host.led_shards(), [ShardId(0)])
