--- a/src/yokeline/runs/core.py
+++ b/src/yokeline/runs/core.py
@@ -189,7 +189,7 @@
     def _send_under_lease(self, activity: Activity, run: Run, send: Callable[[Run], None]) -> None:
         """Send while the leader lease is valid, else wait: a new leader may recover the call."""
         same_term = self.host.term(activity.shard) == activity.term
-        if same_term and self.host.may_send(activity.shard):
+        if same_term and self.host.holds_lease(activity.shard):
             activity.stage = Stage.CALLING
             self.count_call("started", run.calls[-1].kind)
             send(run)
--- a/src/yokeline/runs/ports.py
+++ b/src/yokeline/runs/ports.py
@@ -52,7 +52,7 @@
         """Return the shard's current term."""
         ...
 
-    def may_send(self, shard: ShardId) -> bool:
+    def holds_lease(self, shard: ShardId) -> bool:
         """Return whether the leader lease is valid, so that calls may be sent."""
         ...
 
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -159,7 +159,7 @@
         replica = self._replicas.get(shard)
         return 0 if replica is None else replica.group.term
 
-    def may_send(self, shard: ShardId) -> bool:
+    def holds_lease(self, shard: ShardId) -> bool:
         """Return whether this node leads a shard and holds a valid leader lease."""
         replica = self._replicas.get(shard)
         if replica is None or not replica.leads:
--- a/tests/unit/runs/support.py
+++ b/tests/unit/runs/support.py
@@ -101,7 +101,7 @@
     def term(self, _shard: ShardId) -> int:
         return self.current_term
 
-    def may_send(self, _shard: ShardId) -> bool:
+    def holds_lease(self, _shard: ShardId) -> bool:
         return self.leading and self.lease_valid
 
 
--- a/tests/unit/shards/test_host.py
+++ b/tests/unit/shards/test_host.py
@@ -152,7 +152,7 @@
         cluster.is_dropped = lambda sender, to: own in (sender, to)
         outcomes = cluster.propose(0, "run-0")
         cluster.run(5.0)
-        self.assertFalse(node.host.may_send(ShardId(0)))
+        self.assertFalse(node.host.holds_lease(ShardId(0)))
         self.assertEqual(len(outcomes), 1)
         self.assertIs(outcomes[0].failure().execution, Execution.UNKNOWN)
         refused: list[Outcome] = []
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -151,7 +151,9 @@
         cluster.is_dropped = lambda sender, to: False
         cluster.run(SETTLE_SECONDS)
         self.assertEqual(cluster.leader(0).host.term(SHARD_0) // TERMS_PER_LINEAGE, 1)
-        self.assertFalse(old.host.may_send(SHARD_0) and old.host.term(SHARD_0) < TERMS_PER_LINEAGE)
+        self.assertFalse(
+            old.host.holds_lease(SHARD_0) and old.host.term(SHARD_0) < TERMS_PER_LINEAGE
+        )
         cluster.run(SETTLE_SECONDS)
         for member in cluster.group_members(0):
             self.assertEqual(cluster.runs_at(cluster.nodes[member], 0), {"run-1"})
@@ -175,7 +177,7 @@
         for node in (leader, follower, spare):
             cluster.run_at(node, lambda node=node: node.host.receive_heartbeat(other, heartbeat))
             self.assertIsNone(node.host.machine(SHARD_0))
-            self.assertFalse(node.host.may_send(SHARD_0))
+            self.assertFalse(node.host.holds_lease(SHARD_0))
             cluster.run_at(node, lambda node=node: node.host.receive_batch(sender, stale))
             self.assertIsNone(node.host.machine(SHARD_0))
         self.assertEqual(leader.listener.events[-1], ("lost", SHARD_0))
