--- a/src/yokeline/runs/core.py
+++ b/src/yokeline/runs/core.py
@@ -79,8 +79,8 @@
 
     def find(self, shard: ShardId, run: RunId) -> Run | None:
         """Return a run from the locally applied state, if it exists."""
-        machine = self.host.machine(shard)
-        return machine.runs.get(run) if machine is not None else None
+        state_machine = self.host.state_machine(shard)
+        return state_machine.runs.get(run) if state_machine is not None else None
 
     def root_of(self, shard: ShardId, run: Run) -> Run:
         """Return the root of a run's tree."""
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -226,10 +226,10 @@
 
     def leadership_gained(self, shard: ShardId) -> None:
         """Resume every active run of a shard."""
-        machine = self._core.host.machine(shard)
-        if machine is None:
+        state_machine = self._core.host.state_machine(shard)
+        if state_machine is None:
             return
-        for run in sorted(machine.runs):
+        for run in sorted(state_machine.runs):
             self._core.drive(shard, run)
 
     def leadership_lost(self, shard: ShardId) -> None:
--- a/src/yokeline/runs/executor.py
+++ b/src/yokeline/runs/executor.py
@@ -114,9 +114,13 @@
         run = self._core.find(shard, command.run)
         if run is None:
             return
-        machine = self._core.host.machine(shard)
-        cascades = isinstance(command, CancelRun) and machine is not None
-        changed = descendants(machine.runs, run) if cascades and machine is not None else [run]
+        state_machine = self._core.host.state_machine(shard)
+        cascades = isinstance(command, CancelRun) and state_machine is not None
+        changed = (
+            descendants(state_machine.runs, run)
+            if cascades and state_machine is not None
+            else [run]
+        )
         for member in reversed(changed):
             self._run_changed(shard, member)
 
--- a/src/yokeline/runs/ports.py
+++ b/src/yokeline/runs/ports.py
@@ -40,7 +40,7 @@
         """Read the state linearizably: it includes all commands committed before the call."""
         ...
 
-    def machine(self, shard: ShardId) -> RunStateMachine | None:
+    def state_machine(self, shard: ShardId) -> RunStateMachine | None:
         """Return the locally applied state, or None if this node has no replica."""
         ...
 
--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -60,13 +60,13 @@
 
     def leadership_gained(self, shard: ShardId) -> None:
         """Start tracking the ended runs of a shard."""
-        machine = self._core.host.machine(shard)
-        if machine is None:
+        state_machine = self._core.host.state_machine(shard)
+        if state_machine is None:
             return
         recently_ended_after = self._core.context.wall() - RECENTLY_ENDED_SECONDS
         ended = [
             run
-            for run in machine.runs.values()
+            for run in state_machine.runs.values()
             if run.parent is None and run.status is not RunStatus.ACTIVE
         ]
         heap = [(self._expiry_wall(run), run.run) for run in ended]
@@ -88,8 +88,8 @@
 
         This does not depend on the scheduling policy: ended programs must not occupy memory.
         """
-        machine = self._core.host.machine(shard)
-        tree = descendants(machine.runs, root) if machine is not None else [root]
+        state_machine = self._core.host.state_machine(shard)
+        tree = descendants(state_machine.runs, root) if state_machine is not None else [root]
         used = {call.backend for run in tree for call in run.calls if call.kind is CallKind.MODEL}
         used.update(self._engines.run_ended(root.run))
         for engine in sorted(used):
--- a/src/yokeline/runs/serving.py
+++ b/src/yokeline/runs/serving.py
@@ -209,7 +209,7 @@
 
     def _list(self, operation: ListRuns, request: _Request) -> None:
         def read(result: Result[RunStateMachine, YokelineError]) -> None:
-            request.done(result.map(lambda machine: listed(machine, operation)))
+            request.done(result.map(lambda state_machine: listed(state_machine, operation)))
 
         self._core.host.read(request.shard, read)
 
@@ -246,12 +246,12 @@
         return Watcher(ticket=self.ticket, shard=self.shard, run=run, done=self.done)
 
 
-def listed(machine: RunStateMachine, operation: ListRuns) -> RunList:
+def listed(state_machine: RunStateMachine, operation: ListRuns) -> RunList:
     """Return a page of a tenant's runs, ordered by id."""
     limit = max(0, min(operation.limit, MAX_LISTED))
     own = [
         run
-        for run in machine.runs.values()
+        for run in state_machine.runs.values()
         if run.spec.tenant == operation.tenant and run.run > operation.after
     ]
     own.sort(key=lambda run: run.run)
--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -115,11 +115,11 @@
     @classmethod
     def restore(cls, data: bytes) -> RunStateMachine:
         """Create a state machine from the bytes of :meth:`snapshot`."""
-        machine = cls()
+        state_machine = cls()
         content = decode_runs(data)
-        machine.runs = {run.run: run for run in content.runs}
-        machine.doubt_window = content.doubt
-        return machine
+        state_machine.runs = {run.run: run for run in content.runs}
+        state_machine.doubt_window = content.doubt
+        return state_machine
 
     # ------------------------------------------------------------ transitions
 
--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -95,23 +95,23 @@
 def examine(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
     """Replay a copy on a state machine, to check that it applies and to summarize it."""
     try:
-        machine = RunStateMachine.restore(stored.snapshot.data)
+        state_machine = RunStateMachine.restore(stored.snapshot.data)
     except (msgspec.ValidationError, ormsgpack.MsgpackDecodeError) as error:
         return Failure(_unreadable_copy_error(stored.shard, f"its snapshot: {error}"))
-    walls = [_latest_wall(run) for run in machine.runs.values()]
+    walls = [_latest_wall(run) for run in state_machine.runs.values()]
     for entry in stored.entries:
         if entry.kind is not EntryKind.COMMAND:
             continue
         command = _command_of(entry)
         if command is None:
             return Failure(_unreadable_copy_error(stored.shard, f"its entry {entry.index}"))
-        machine.apply(command)
+        state_machine.apply(command)
         walls.append(command.wall)
-    active = sum(1 for run in machine.runs.values() if run.status is RunStatus.ACTIVE)
+    active = sum(1 for run in state_machine.runs.values() if run.status is RunStatus.ACTIVE)
     return Success(
         ShardCopy(
             stored=stored,
-            runs=len(machine.runs),
+            runs=len(state_machine.runs),
             active=active,
             latest_wall=max(walls, default=0.0),
         )
--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -126,7 +126,7 @@
             last_index=replica.applied_index,
             last_term=state.last_term,
             members=replica.committed_members,
-            data=replica.machine.snapshot(),
+            data=replica.state_machine.snapshot(),
         )
 
     def _write_snapshot(self, replica: ShardReplica, state: _CopyState, snapshot: Snapshot) -> None:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -140,10 +140,10 @@
         replica.read(self._context.now, done)
         self._local_replicas.reschedule_tick(replica)
 
-    def machine(self, shard: ShardId) -> RunStateMachine | None:
+    def state_machine(self, shard: ShardId) -> RunStateMachine | None:
         """Return the local state machine of a shard, None if this node holds no replica."""
         replica = self._replicas.get(shard)
-        return None if replica is None else replica.machine
+        return None if replica is None else replica.state_machine
 
     def leads(self, shard: ShardId) -> bool:
         """Return whether this node leads a shard and has applied everything committed before."""
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -87,7 +87,7 @@
     Attributes:
         shard: The shard.
         group: The Raft group.
-        machine: State after the entry ``applied_index``.
+        state_machine: State after the entry ``applied_index``.
         committed_members: Members of the last applied configuration.
         hard_state: Term and vote, to be kept after the replica has left the group.
         last_message_at: Monotonic time at which the last message of the group arrived.
@@ -104,7 +104,7 @@
         """Run ``group``; compact its log after every ``snapshot_entries`` entries."""
         self.shard = shard
         self.group = group
-        self.machine = RunStateMachine()
+        self.state_machine = RunStateMachine()
         self.applied_index = 0
         self.committed_members = group.members
         self.hard_state = hard_state
@@ -218,7 +218,7 @@
             case MembersChanged():
                 self._observer.replica_state_changed(self)
             case ReadReady():
-                self._complete_read(effect.token, Success(self.machine))
+                self._complete_read(effect.token, Success(self.state_machine))
             case ReadFailed():
                 self._complete_read(effect.token, Failure(not_leader(self.shard)))
             case HardStateChanged():
@@ -293,7 +293,7 @@
             # Skipping the entry would make this replica diverge from the others.
             raise YokelineException(decoded.failure())
         command = decoded.unwrap()
-        result = self.machine.apply(command)
+        result = self.state_machine.apply(command)
         self._observer.replica_applied(self, command, result)
         pending = self._proposals.pop(entry.index, None)
         if pending is None:
@@ -304,7 +304,7 @@
             pending.done(Failure(not_leader(self.shard)))
 
     def _restore(self, snapshot: Snapshot) -> None:
-        self.machine = RunStateMachine.restore(snapshot.data)
+        self.state_machine = RunStateMachine.restore(snapshot.data)
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
         self._observer.replica_restored(self, snapshot)
@@ -314,7 +314,7 @@
         snapshot = self.group.snapshot
         compacted_index = 0 if snapshot is None else snapshot.last_index
         if self.applied_index - compacted_index >= self._snapshot_entries:
-            self.group.compact(self.applied_index, self.machine.snapshot())
+            self.group.compact(self.applied_index, self.state_machine.snapshot())
 
     def export_copy(self) -> StoredShard:
         """Return the snapshot and the log, including uncommitted entries, as a copy."""
--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -64,7 +64,7 @@
         dead=dead,
         applied_index=replica.applied_index,
         log_entries=group.last_index - group.first_index + 1,
-        runs=len(replica.machine.runs),
+        runs=len(replica.state_machine.runs),
     )
 
 
--- a/tests/property/test_run_state_machine.py
+++ b/tests/property/test_run_state_machine.py
@@ -111,7 +111,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.machine = self.machine_type()
+        self.state_machine = self.machine_type()
         self.replica = self.machine_type()
         self.wall = 0.0
         self.overrun = 0
@@ -128,12 +128,14 @@
 
     def apply_command(self, command: Command) -> ApplyResult:
         self.steps += 1
-        before = self.machine.snapshot()
-        result = self.machine.apply(command)
+        before = self.state_machine.snapshot()
+        result = self.state_machine.apply(command)
         self._require(self.replica.apply(command) == result, "apply is not deterministic")
         if not result.accepted:
             self._require(result.error is not None, "a rejection without a typed error")
-            self._require(self.machine.snapshot() == before, "a rejected command changed state")
+            self._require(
+                self.state_machine.snapshot() == before, "a rejected command changed state"
+            )
         return result
 
     @staticmethod
@@ -142,13 +144,13 @@
             raise InvariantViolationError(message)
 
     def _chosen(self, choice: int) -> RunId:
-        known = sorted(self.machine.runs)
+        known = sorted(self.state_machine.runs)
         if not known or choice >= 10:
             return RUNS[choice % len(RUNS)]
         return known[choice % len(known)]
 
     def _call(self, run_id: RunId) -> CallRecord | None:
-        run = self.machine.runs.get(run_id)
+        run = self.state_machine.runs.get(run_id)
         return rules.last_call(run) if run is not None else None
 
     @rule(seconds=st.floats(0, 5))
@@ -158,7 +160,7 @@
     @rule(run=st.sampled_from(RUNS), spec=specs, with_parent=st.booleans())
     def create(self, run: RunId, spec: RunSpec, with_parent: bool) -> None:
         parent = RunId(run.rpartition(".")[0]) if with_parent and "." in run else None
-        known = copy.deepcopy(self.machine.runs.get(run))
+        known = copy.deepcopy(self.state_machine.runs.get(run))
         result = self.apply_command(
             CreateRun(run=run, spec=spec, input="i", wall=self.wall, parent=parent)
         )
@@ -215,7 +217,7 @@
             kind, request, repeatable = last.kind, last.tool_request, last.repeatable
         if last is not None:
             fence = max(fence, last.fence) if not different else fence
-        state = self.machine.runs.get(run)
+        state = self.state_machine.runs.get(run)
         ended = state is not None and state.status is not RunStatus.ACTIVE
         command = CallStarted(
             run=run,
@@ -242,7 +244,7 @@
         self.attempts[key] = self.attempts.get(key, 0) + 1
         allowed = self.attempts[key] == 1 or command.repeatable
         self._require(allowed, "an unrepeatable call was attempted twice")
-        root = self.machine.runs[root_run_id(run.run)]
+        root = self.state_machine.runs[root_run_id(run.run)]
         self._require(
             budget.token_cost(root.spent) + root.reserved.tokens <= LIMITS.tokens,
             "a call started beyond the budget of tokens",
@@ -308,7 +310,7 @@
     def forget(self, chosen: list[int]) -> None:
         runs = tuple(self._chosen(choice) for choice in chosen)
         self.apply_command(ForgetRuns(runs=runs, wall=self.wall))
-        known = self.machine.runs
+        known = self.state_machine.runs
         self.attempts = {key: n for key, n in self.attempts.items() if key[0] in known}
 
     @rule()
@@ -321,11 +323,11 @@
 
     @invariant()
     def replicas_agree(self) -> None:
-        self._require(self.machine.runs == self.replica.runs, "replicas differ")
+        self._require(self.state_machine.runs == self.replica.runs, "replicas differ")
 
     @invariant()
     def calls_are_in_order(self) -> None:
-        for run in self.machine.runs.values():
+        for run in self.state_machine.runs.values():
             numbers = [call.number for call in run.calls]
             self._require(numbers == list(range(1, len(numbers) + 1)), "calls out of order")
             in_flight = [call for call in run.calls if call.status is CallStatus.STARTED]
@@ -336,7 +338,7 @@
 
     @invariant()
     def budgets_add_up(self) -> None:
-        for run in self.machine.runs.values():
+        for run in self.state_machine.runs.values():
             self._check_reserved(run)
             if run.parent is None:
                 spent = budget.token_cost(run.spent) + run.reserved.tokens
@@ -345,7 +347,7 @@
     def _check_reserved(self, run: Run) -> None:
         tree = [
             member
-            for member in self.machine.runs.values()
+            for member in self.state_machine.runs.values()
             if member.run == run.run or member.run.startswith(run.run + ".")
         ]
         open_calls = [
@@ -357,7 +359,7 @@
 
     @invariant()
     def refusals_claim_only_what_is_known(self) -> None:
-        for run in self.machine.runs.values():
+        for run in self.state_machine.runs.values():
             if run.status is RunStatus.REFUSED:
                 self._require(not run.calls, "a refused run has calls")
             claims_not_run = run.error is not None and run.error.execution is Execution.NOT_RUN
--- a/tests/unit/runs/support.py
+++ b/tests/unit/runs/support.py
@@ -92,7 +92,7 @@
     ) -> None:
         done(Success(self.state))
 
-    def machine(self, _shard: ShardId) -> RunStateMachine:
+    def state_machine(self, _shard: ShardId) -> RunStateMachine:
         return self.state
 
     def leads(self, _shard: ShardId) -> bool:
--- a/tests/unit/runs/test_recovery.py
+++ b/tests/unit/runs/test_recovery.py
@@ -40,12 +40,12 @@
 
 class RecoveryTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.machine = RunStateMachine()
+        self.state_machine = RunStateMachine()
 
     def create(self, name: str, spec: RunSpec, wall: float = 1.0) -> RunId:
         run = RunId(f"run-{name}")
         command = CreateRun(run=run, spec=spec, input="x", wall=wall)
-        self.assertTrue(self.machine.apply(command).accepted)
+        self.assertTrue(self.state_machine.apply(command).accepted)
         return run
 
     def start_call(self, run: RunId, kind: CallKind) -> None:
@@ -62,7 +62,7 @@
             wall=2.0,
             leader=ReplicaId("n~1"),
         )
-        self.assertTrue(self.machine.apply(command).accepted)
+        self.assertTrue(self.state_machine.apply(command).accepted)
 
     def recover(self) -> None:
         command = RecoverShard(
@@ -72,11 +72,11 @@
             keyed_until_wall=KEYED,
             unkeyed_until_wall=UNKEYED,
         )
-        self.assertTrue(self.machine.apply(command).accepted)
-        self.machine = RunStateMachine.restore(self.machine.snapshot())
+        self.assertTrue(self.state_machine.apply(command).accepted)
+        self.state_machine = RunStateMachine.restore(self.state_machine.snapshot())
 
     def status(self, run: RunId) -> RunStatus:
-        return self.machine.runs[run].status
+        return self.state_machine.runs[run].status
 
     def test_runs_that_may_have_advanced_end_as_unknown(self) -> None:
         """Only an app run with its call in the copy stays active; no lost call is repeated."""
@@ -89,7 +89,7 @@
         self.assertEqual(self.status(unsent), RunStatus.OUTCOME_UNKNOWN)
         self.assertEqual(self.status(sent), RunStatus.ACTIVE)
         self.assertEqual(self.status(agent), RunStatus.OUTCOME_UNKNOWN)
-        run = self.machine.runs[agent]
+        run = self.state_machine.runs[agent]
         self.assertEqual((run.calls[0].status, run.reserved.calls), (CallStatus.UNKNOWN, 0))
         assert run.error is not None
         self.assertIs(run.error.execution, Execution.UNKNOWN)
@@ -119,7 +119,7 @@
         accepted = []
         for run in runs:
             command = AddTurn(run=run, turn_key="k", input="y", wall=KEYED - 1)
-            result = self.machine.apply(command)
+            result = self.state_machine.apply(command)
             accepted.append(result.accepted)
             if result.error is not None:
                 self.assertIs(result.error.execution, Execution.UNKNOWN)
@@ -137,9 +137,9 @@
             wall=wall,
             message=ChatMessage(role=Role.ASSISTANT, content="a"),
         )
-        self.assertTrue(self.machine.apply(finished).accepted)
+        self.assertTrue(self.state_machine.apply(finished).accepted)
         end = FinishRun(run=run, status=RunStatus.IDLE, wall=wall, answer="a")
-        self.assertTrue(self.machine.apply(end).accepted)
+        self.assertTrue(self.state_machine.apply(end).accepted)
         return run
 
 
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -234,5 +234,5 @@
         return set(update.members)
 
     def runs_at(self, node: HostNode, shard: int) -> set[str]:
-        machine = node.host.machine(ShardId(shard))
-        return set() if machine is None else set(machine.runs)
+        state_machine = node.host.state_machine(ShardId(shard))
+        return set() if state_machine is None else set(state_machine.runs)
--- a/tests/unit/shards/routed.py
+++ b/tests/unit/shards/routed.py
@@ -60,13 +60,13 @@
         command = CreateRun(run=operation.run, spec=operation.spec, input=operation.input, wall=1.0)
 
         def applied(result: Result[ApplyResult, YokelineError]) -> None:
-            machine = self._node.host.machine(shard)
+            state_machine = self._node.host.state_machine(shard)
             if isinstance(result, Failure):
                 done(Failure(result.failure()))
-            elif machine is None or operation.run not in machine.runs:
+            elif state_machine is None or operation.run not in state_machine.runs:
                 done(Failure(run_not_found()))
             else:
-                done(Success(RunResult(run=machine.runs[operation.run])))
+                done(Success(RunResult(run=state_machine.runs[operation.run])))
 
         self._node.host.propose(shard, command, applied)
 
--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -107,11 +107,11 @@
 
 class CopyWriterTest(unittest.TestCase):
     def restored_runs(self, stored: StoredShard) -> set[str]:
-        machine = RunStateMachine.restore(stored.snapshot.data)
+        state_machine = RunStateMachine.restore(stored.snapshot.data)
         for entry in stored.entries:
             if entry.kind is EntryKind.COMMAND:
-                machine.apply(decode_command(entry.command).unwrap())
-        return set(machine.runs)
+                state_machine.apply(decode_command(entry.command).unwrap())
+        return set(state_machine.runs)
 
     def test_copies_follow_the_replicas_over_compactions(self) -> None:
         cluster = DiskCluster(shards=1, snapshot_entries=16)
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -176,10 +176,10 @@
         stale = RaftBatch((GroupMessage(SHARD_0, self.append_of(leader)),))
         for node in (leader, follower, spare):
             cluster.run_at(node, lambda node=node: node.host.receive_heartbeat(other, heartbeat))
-            self.assertIsNone(node.host.machine(SHARD_0))
+            self.assertIsNone(node.host.state_machine(SHARD_0))
             self.assertFalse(node.host.holds_lease(SHARD_0))
             cluster.run_at(node, lambda node=node: node.host.receive_batch(sender, stale))
-            self.assertIsNone(node.host.machine(SHARD_0))
+            self.assertIsNone(node.host.state_machine(SHARD_0))
         self.assertEqual(leader.listener.events[-1], ("lost", SHARD_0))
 
     def append_of(self, leader: HostNode) -> AppendEntries:
