--- a/src/yokeline/server/recovery.py
+++ b/src/yokeline/server/recovery.py
@@ -34,7 +34,7 @@
 )
 from yokeline.settings import Settings
 from yokeline.shards.copies import ShardCopy, examine
-from yokeline.shards.directory import NEWS_PER_HEARTBEAT
+from yokeline.shards.directory import MAX_UPDATES_PER_HEARTBEAT
 from yokeline.shards.host import ShardHost
 from yokeline.shards.lineage import recovery_term
 from yokeline.shards.recovery import recovery_log
@@ -135,9 +135,9 @@
         self._store = store
         self._host = host
         self._under_way: dict[ShardId, None] = {}
-        news_rounds = settings.cluster.shards / NEWS_PER_HEARTBEAT
+        gossip_rounds = settings.cluster.shards / MAX_UPDATES_PER_HEARTBEAT
         self._informed_at = (
-            context.now + JOIN_SECONDS + news_rounds * settings.consensus.heartbeat_seconds
+            context.now + JOIN_SECONDS + gossip_rounds * settings.consensus.heartbeat_seconds
         )
 
     # ------------------------------------------------------------ what is held
--- a/src/yokeline/shards/directory.py
+++ b/src/yokeline/shards/directory.py
@@ -8,7 +8,7 @@
 from yokeline.messages.types import ShardLeader
 from yokeline.shards.placement import Placement
 
-NEWS_PER_HEARTBEAT = 16
+MAX_UPDATES_PER_HEARTBEAT = 16
 """Maximum number of leader updates in one heartbeat."""
 NO_LEADER = ReplicaId("")
 """Leader in the entry of a group whose leader is not known."""
@@ -82,7 +82,7 @@
         shards = self._pending.get(peer)
         if not shards:
             return ()
-        taken = list(shards)[:NEWS_PER_HEARTBEAT]
+        taken = list(shards)[:MAX_UPDATES_PER_HEARTBEAT]
         for shard in taken:
             del shards[shard]
         updates = [self._latest[shard] for shard in taken if shard in self._latest]
