--- a/src/yokeline/server/bootstrap.py
+++ b/src/yokeline/server/bootstrap.py
@@ -20,7 +20,7 @@
     Placement,
     decode_placement,
     encode_placement,
-    first_placement,
+    initial_placement,
 )
 from yokeline.store.client import KeyValueClient
 from yokeline.store.protocol import RangeResult, SwapResult
@@ -104,7 +104,7 @@
 
     def _write(self) -> None:
         alive = [m for m in self._peers.alive() if m.state is MemberState.ALIVE]
-        text = encode_placement(first_placement(alive, self._settings))
+        text = encode_placement(initial_placement(alive, self._settings))
         self._waiting = True
         self._store.compare_and_swap(self._key, MUST_NOT_EXIST, text.encode(), self._written)
 
--- a/src/yokeline/shards/placement.py
+++ b/src/yokeline/shards/placement.py
@@ -52,7 +52,7 @@
     return xxhash.xxh3_64_intdigest(f"{shard}/{replica}".encode())
 
 
-def first_placement(members: Sequence[Member], settings: Settings) -> Placement:
+def initial_placement(members: Sequence[Member], settings: Settings) -> Placement:
     """Return the initial placement of a deployment on the members that are alive."""
     nodes = tuple(
         CandidateNode(replica=member.replica, zone=member.zone)
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -21,7 +21,7 @@
 from yokeline.server.context import NodeContext
 from yokeline.settings import ClusterSection, ConsensusSection, NodeSection, Settings
 from yokeline.shards.host import ShardHost
-from yokeline.shards.placement import Placement, first_placement
+from yokeline.shards.placement import Placement, initial_placement
 
 LATENCY_SECONDS = 0.002
 DETECTION_SECONDS = 3.0
@@ -134,7 +134,7 @@
         self._sequence = 0
         for number in range(nodes):
             self.start_node(f"node-{number}", f"zone-{number % zones}")
-        self.placement: Placement = first_placement(self.all_members(), self.settings)
+        self.placement: Placement = initial_placement(self.all_members(), self.settings)
         for node in self.nodes.values():
             self.run_at(node, lambda node=node: node.host.start_groups(self.placement))
 
--- a/tests/unit/shards/test_placement.py
+++ b/tests/unit/shards/test_placement.py
@@ -15,7 +15,7 @@
     choose_member,
     decode_placement,
     encode_placement,
-    first_placement,
+    initial_placement,
 )
 
 
@@ -71,7 +71,7 @@
     def test_placement_text_is_checked(self) -> None:
         settings = Settings(node=NodeSection(name="n"), cluster=ClusterSection(shards=4))
         members = tuple(member(f"node-{number}", "zone") for number in range(5))
-        placement = first_placement(members, settings)
+        placement = initial_placement(members, settings)
         text = encode_placement(placement)
         self.assertEqual(decode_placement(text, settings), Success(placement))
         other = Settings(node=NodeSection(name="n"), cluster=ClusterSection(shards=8))
