--- a/src/yokeline/server/recovery.py
+++ b/src/yokeline/server/recovery.py
@@ -33,7 +33,7 @@
     too_early,
 )
 from yokeline.settings import Settings
-from yokeline.shards.copies import ShardCopy, examine
+from yokeline.shards.copies import ShardCopy, replay_copy
 from yokeline.shards.directory import MAX_UPDATES_PER_HEARTBEAT
 from yokeline.shards.host import ShardHost
 from yokeline.shards.lineage import recovery_term
@@ -161,7 +161,7 @@
         stored = self._host.copy_of(shard)
         if stored is None or not stored.last_index:
             return None
-        return examine(stored).value_or(None)
+        return replay_copy(stored).value_or(None)
 
     def _disk_copy(self, shard: ShardId) -> ShardCopy | None:
         return self._host.copies.usable.get(shard)
--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -83,7 +83,7 @@
     for shard in map(ShardId, numbers):
         snapshot = files.get(snapshot_file(shard), b"")
         log = files.get(log_file(shard), b"")
-        copy = decode_shard(shard, snapshot, log).bind(examine)
+        copy = decode_shard(shard, snapshot, log).bind(replay_copy)
         if isinstance(copy, Failure):
             error = copy.failure()
             found.damaged[shard] = DamagedCopy(shard=shard, error=error, snapshot=snapshot, log=log)
@@ -92,7 +92,7 @@
     return found
 
 
-def examine(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
+def replay_copy(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
     """Replay a copy on a state machine, to check that it applies and to summarize it."""
     try:
         state_machine = RunStateMachine.restore(stored.snapshot.data)
