--- a/src/yokeline/server/copy_rows.py
+++ b/src/yokeline/server/copy_rows.py
@@ -79,7 +79,7 @@
         active=copy.active,
         latest_wall=copy.latest_wall,
         age_seconds=max(0.0, wall - copy.latest_wall) if copy.latest_wall else 0.0,
-        cut_bytes=stored.cut_bytes,
+        cut_bytes=stored.truncated_bytes,
     )
 
 
--- a/src/yokeline/shards/copy_format.py
+++ b/src/yokeline/shards/copy_format.py
@@ -47,14 +47,14 @@
     Attributes:
         replica: Process start that wrote them; its id is never used again.
         entries: Entries after the snapshot, without gaps; those on disk are committed.
-        cut_bytes: Size of the incomplete record that was truncated from the log; 0 for none.
+        truncated_bytes: Size of the incomplete record that was truncated from the log; 0 for none.
     """
 
     shard: ShardId
     replica: ReplicaId
     snapshot: Snapshot
     entries: tuple[LogEntry, ...]
-    cut_bytes: int = 0
+    truncated_bytes: int = 0
 
     @property
     def last_index(self) -> int:
@@ -69,7 +69,7 @@
 
 class _Records(msgspec.Struct, frozen=True):
     payloads: tuple[bytes, ...]
-    cut_bytes: int
+    truncated_bytes: int
 
 
 def snapshot_file(shard: ShardId) -> str:
@@ -117,7 +117,7 @@
             replica=record.replica,
             snapshot=record.snapshot,
             entries=found,
-            cut_bytes=records.cut_bytes,
+            truncated_bytes=records.truncated_bytes,
         )
     )
 
@@ -128,7 +128,7 @@
     if isinstance(records, Failure):
         return Failure(records.failure())
     payloads = records.unwrap().payloads
-    if len(payloads) != 1 or records.unwrap().cut_bytes:
+    if len(payloads) != 1 or records.unwrap().truncated_bytes:
         return Failure(_damage_error(name, 0, "it is not one whole record"))
     decoded = decode_struct(payloads[0], SnapshotRecord)
     if isinstance(decoded, Failure):
--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -40,7 +40,7 @@
         stored = decode_shard(SHARD, SNAPSHOT_DATA, log).unwrap()
         self.assertEqual(stored.snapshot, SNAPSHOT)
         self.assertEqual(stored.entries, entries(11, 13))
-        self.assertEqual((stored.replica, stored.last_index, stored.cut_bytes), (NODE, 13, 0))
+        self.assertEqual((stored.replica, stored.last_index, stored.truncated_bytes), (NODE, 13, 0))
 
     def test_torn_tail_is_truncated_at_every_length(self) -> None:
         full_log = encode_entries(entries(11, 12))
@@ -48,7 +48,7 @@
         for length in range(first, len(full_log)):
             stored = decode_shard(SHARD, SNAPSHOT_DATA, full_log[:length]).unwrap()
             self.assertEqual(stored.entries, entries(11, 11))
-            self.assertEqual(stored.cut_bytes, length - first)
+            self.assertEqual(stored.truncated_bytes, length - first)
         padded = decode_shard(SHARD, SNAPSHOT_DATA, full_log + bytes(64)).unwrap()
         self.assertEqual(padded.entries, entries(11, 12))
 
