--- a/src/yokeline/server/copy_rows.py
+++ b/src/yokeline/server/copy_rows.py
@@ -8,7 +8,7 @@
 
 from yokeline.identifiers import NodeName, ShardId
 from yokeline.server.recovery import ShardRecovery
-from yokeline.shards.copies import CopySet, DamagedCopy, ShardCopy
+from yokeline.shards.copies import StoredCopies, DamagedCopy, ShardCopy
 
 MEMORY = "memory"
 DISK = "disk"
@@ -46,7 +46,7 @@
 
 def copy_rows(
     recovery: ShardRecovery,
-    copies: CopySet,
+    copies: StoredCopies,
     shards: Iterable[ShardId],
     node: NodeName,
     wall: float,
--- a/src/yokeline/server/node.py
+++ b/src/yokeline/server/node.py
@@ -62,7 +62,7 @@
 from yokeline.server.recovery import ShardRecovery
 from yokeline.server.run_presence import RunPresenceReader
 from yokeline.settings import Settings
-from yokeline.shards.copies import CopySet, read_copies
+from yokeline.shards.copies import StoredCopies, read_copies
 from yokeline.shards.host import ShardHost
 from yokeline.shards.router import ShardRouter
 from yokeline.shards.shard_server import ShardServer
@@ -166,7 +166,7 @@
             context, self.store, settings.platform.store_prefix, self.configuration.note_written
         )
 
-    def _read_copies(self, files: Mapping[str, bytes]) -> CopySet:
+    def _read_copies(self, files: Mapping[str, bytes]) -> StoredCopies:
         copies = read_copies(files)
         for shard, damaged in copies.damaged.items():
             self.context.warn("copy_damaged", shard=shard, error=damaged.error.line())
@@ -174,7 +174,7 @@
             self.context.log("copies_found", shards=len(copies.usable))
         return copies
 
-    def _build_run_parts(self, copies: CopySet) -> None:
+    def _build_run_parts(self, copies: StoredCopies) -> None:
         settings = self.settings
         context = self.context
         self.host = ShardHost(context, settings, self.membership, copies=copies)
--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -62,7 +62,7 @@
     log: bytes
 
 
-class CopySet:
+class StoredCopies:
     """Copies found in the data folder at the start of the process.
 
     Attributes:
@@ -75,9 +75,9 @@
         self.damaged: dict[ShardId, DamagedCopy] = {}
 
 
-def read_copies(files: Mapping[str, bytes]) -> CopySet:
+def read_copies(files: Mapping[str, bytes]) -> StoredCopies:
     """Return the copies in the files of a data folder; files of other names are ignored."""
-    found = CopySet()
+    found = StoredCopies()
     matches = [_FILE_NAME.fullmatch(name) for name in files]
     numbers = sorted({int(match.group(1)) for match in matches if match is not None})
     for shard in map(ShardId, numbers):
--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -15,7 +15,7 @@
 from yokeline.effects import DeleteFile, WriteFile
 from yokeline.identifiers import ShardId
 from yokeline.server.context import NodeContext
-from yokeline.shards.copies import CopySet, set_aside_damaged_writes, set_aside_writes
+from yokeline.shards.copies import StoredCopies, set_aside_damaged_writes, set_aside_writes
 from yokeline.shards.copy_format import (
     StoredShard,
     encode_entries,
@@ -47,7 +47,7 @@
 class CopyWriter:
     """Writes snapshots and log entries of the replicas that have changed."""
 
-    def __init__(self, context: NodeContext, earlier_copies: CopySet) -> None:
+    def __init__(self, context: NodeContext, earlier_copies: StoredCopies) -> None:
         """Write through ``context``; ``earlier_copies`` are dropped once they are replaced."""
         self._context = context
         self._earlier_copies = earlier_copies
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -28,7 +28,7 @@
 from yokeline.server.context import NodeContext
 from yokeline.settings import Settings
 from yokeline.shards.batches import RaftBatcher
-from yokeline.shards.copies import CopySet
+from yokeline.shards.copies import StoredCopies
 from yokeline.shards.copy_format import StoredShard
 from yokeline.shards.copy_writer import CopyWriter
 from yokeline.shards.errors import not_leader
@@ -77,10 +77,10 @@
         settings: Settings,
         peers: PeerView,
         listener: ShardListener | None = None,
-        copies: CopySet | None = None,
+        copies: StoredCopies | None = None,
     ) -> None:
         """Start without replicas; ``copies`` were read from the data folder at the start."""
-        self.copies = copies or CopySet()
+        self.copies = copies or StoredCopies()
         self._context = context
         self._peers = peers
         self._listener = listener
--- a/tests/unit/server/test_recovery.py
+++ b/tests/unit/server/test_recovery.py
@@ -22,7 +22,7 @@
     ShardRecovery,
 )
 from yokeline.settings import NodeSection, Settings
-from yokeline.shards.copies import CopySet, read_copies
+from yokeline.shards.copies import StoredCopies, read_copies
 from yokeline.shards.lineage import TERMS_PER_LINEAGE
 from yokeline.shards.recovery import RecoveryLog
 from yokeline.store.protocol import KeyValue, RangeResult, SwapResult
@@ -40,7 +40,7 @@
     """A node that holds one copy of a lost group."""
 
     def __init__(self) -> None:
-        self.copies: CopySet = read_copies(files_of(SHARD, command(5), command(6)))
+        self.copies: StoredCopies = read_copies(files_of(SHARD, command(5), command(6)))
         self.lost = True
         self.leader: ShardLeader | None = None
         self.started: list[RecoveryLog] = []
