--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -28,7 +28,7 @@
 
     Attributes:
         request: Id that the caller knows the request by.
-        wire_id: Id sent to other nodes; a new one each time that a watch restarts after a gap.
+        attempt_id: Id sent to other nodes; a new one each time that a watch restarts after a gap.
         target: Node that is to reply; None while none is known.
         ticket: Ticket of the local executor, while this node serves the request itself.
         attempts: Attempts so far, which determine the backoff.
@@ -48,7 +48,7 @@
     ) -> None:
         """Create a request without attempts."""
         self.request = request
-        self.wire_id = request
+        self.attempt_id = request
         self.shard = shard
         self.operation = operation
         self.deadline = deadline
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -51,7 +51,7 @@
         self._server = server
         self._targets = TargetChooser(context.replica, host)
         self._pending: dict[RequestId, PendingRequest] = {}
-        self._by_wire_id: dict[RequestId, PendingRequest] = {}
+        self._by_attempt_id: dict[RequestId, PendingRequest] = {}
         self._by_shard: dict[ShardId, dict[RequestId, PendingRequest]] = {}
         self._deadlines: DeadlineQueue[RequestId] = DeadlineQueue()
         host.observe_leaders(self._leader_changed)
@@ -81,7 +81,7 @@
         deadline = self._context.now + deadline_seconds
         pending = PendingRequest(request, shard, operation, deadline, done, on_events)
         self._pending[request] = pending
-        self._by_wire_id[request] = pending
+        self._by_attempt_id[request] = pending
         self._by_shard.setdefault(shard, {})[request] = pending
         self._dispatch(pending)
         return request
@@ -114,10 +114,10 @@
     def _send(self, pending: PendingRequest, target: ReplicaId) -> None:
         pending.note_sent(target)
         message = ShardRequest(
-            request=pending.wire_id,
+            request=pending.attempt_id,
             shard=pending.shard,
             operation=encode_operation(pending.current_operation()),
-            deadline=self._leader_deadline_seconds(pending),
+            deadline=self._leader_timeout_seconds(pending),
         )
         self._context.send_peer(target, message)
         wait = min(RESEND_BASE_SECONDS * 2.0**pending.resends, RESEND_MAX_SECONDS)
@@ -141,14 +141,14 @@
         ticket = self._server.serve(
             pending.current_operation(),
             pending.shard,
-            deadline_seconds=self._leader_deadline_seconds(pending),
+            deadline_seconds=self._leader_timeout_seconds(pending),
             done=done,
             on_events=push,
         )
         if attempt == pending.attempts and pending.request in self._pending:
             pending.ticket = ticket
 
-    def _leader_deadline_seconds(self, pending: PendingRequest) -> float:
+    def _leader_timeout_seconds(self, pending: PendingRequest) -> float:
         left = max(0.0, pending.deadline - self._context.now)
         return left - min(DEADLINE_MARGIN_SECONDS, left / 2.0)
 
@@ -228,13 +228,13 @@
         if pending.ticket is not None:
             self._abandon_local_operation(pending)
         elif pending.target not in (None, self._context.replica):
-            self._context.send_peer(pending.target, ShardCancel(request=pending.wire_id))
+            self._context.send_peer(pending.target, ShardCancel(request=pending.attempt_id))
 
     # ------------------------------------------------------------ replies
 
     def receive_reply(self, sender: ReplicaId, reply: ShardReply) -> None:
         """Process the reply of another node."""
-        pending = self._by_wire_id.get(reply.request)
+        pending = self._by_attempt_id.get(reply.request)
         if pending is None:
             self._context.counters[LATE_REPLIES_METRIC] += 1
             return
@@ -293,7 +293,7 @@
 
     def _forget(self, pending: PendingRequest) -> None:
         del self._pending[pending.request]
-        del self._by_wire_id[pending.wire_id]
+        del self._by_attempt_id[pending.attempt_id]
         shard_requests = self._by_shard[pending.shard]
         del shard_requests[pending.request]
         if not shard_requests:
@@ -304,7 +304,7 @@
 
     def receive_events(self, sender: ReplicaId, message: RunEvents) -> None:
         """Process events of a watched run."""
-        pending = self._by_wire_id.get(message.request)
+        pending = self._by_attempt_id.get(message.request)
         if pending is None or pending.target != sender:
             self._context.counters["yokeline_late_events_total"] += 1
             return
@@ -328,8 +328,8 @@
         if pending.gaps > MAX_EVENT_GAPS:
             return
         self._cancel_at_target(pending)
-        del self._by_wire_id[pending.wire_id]
-        pending.wire_id = self._context.new_request_id()
-        self._by_wire_id[pending.wire_id] = pending
+        del self._by_attempt_id[pending.attempt_id]
+        pending.attempt_id = self._context.new_request_id()
+        self._by_attempt_id[pending.attempt_id] = pending
         pending.attempts += 1
         self._dispatch(pending)
