--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -34,7 +34,7 @@
         attempts: Attempts so far, which determine the backoff.
         redirects: Leader hints followed without a pause since the last backoff.
         outcome_unknown: A leader has replied that it does not know the outcome of an attempt.
-        rejected_by: The last node that replied that it does not lead the shard.
+        not_leader_node: The last node that replied that it does not lead the shard.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
         self.redirects = 0
         self.gaps = 0
         self.outcome_unknown = False
-        self.rejected_by: ReplicaId | None = None
+        self.not_leader_node: ReplicaId | None = None
         self._unanswered: Counter[ReplicaId] = Counter()
         self._position = _first_position(operation)
 
@@ -71,10 +71,10 @@
         """Record that an attempt was sent to a node."""
         self._unanswered[to] += 1
 
-    def note_rejected(self, sender: ReplicaId) -> None:
+    def note_not_leader_reply(self, sender: ReplicaId) -> None:
         """Record that a node rejected an attempt without any effect."""
         self._unanswered[sender] -= 1
-        self.rejected_by = sender
+        self.not_leader_node = sender
 
     def note_outcome_unknown(self, sender: ReplicaId) -> None:
         """Record that a node does not know the outcome of an attempt."""
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -185,7 +185,7 @@
 
     def _retry(self, pending: PendingRequest) -> None:
         """Send a request again, after a backoff or after silence of its target."""
-        pending.rejected_by = None
+        pending.not_leader_node = None
         if pending.target is not None:
             pending.resends += 1
             self._context.counters["yokeline_requests_resent_total"] += 1
@@ -213,7 +213,7 @@
         if self._pending.get(pending.request) is not pending:
             return
         self._abandon_local_operation(pending)
-        pending.rejected_by = None
+        pending.not_leader_node = None
         pending.resends = 0
         pending.attempts += 1
         self._dispatch(pending)
@@ -251,7 +251,7 @@
 
     def _handle_not_leader(self, pending: PendingRequest, sender: ReplicaId) -> None:
         """Handle a rejection: the node does not lead the shard and did nothing."""
-        pending.note_rejected(sender)
+        pending.note_not_leader_reply(sender)
         if pending.target != sender:
             return
         leader = self._host.leader_of(pending.shard)
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -58,7 +58,7 @@
         elif self._host.leads(request.shard):
             self._serve(sender, request)
         else:
-            self._refuse(sender, request)
+            self._reply_not_leader(sender, request)
 
     def receive_cancel(self, sender: ReplicaId, cancel: ShardCancel) -> None:
         """Stop serving a request that its sender has cancelled."""
@@ -106,7 +106,7 @@
     def _finish_failed(self, active: _ActiveRequest, error: YokelineError) -> None:
         request = active.request
         if is_leadership_error(error) and error.execution is Execution.NOT_RUN:
-            self._refuse(active.sender, request)
+            self._reply_not_leader(active.sender, request)
             return
         reply = ShardReply(
             request=request.request,
@@ -117,7 +117,7 @@
             self._cache_reply(reply)
         self._reply(active.sender, reply)
 
-    def _refuse(self, sender: ReplicaId, request: ShardRequest) -> None:
+    def _reply_not_leader(self, sender: ReplicaId, request: ShardRequest) -> None:
         """Reply that this node does not lead the shard and did nothing."""
         leader = self._host.leader_of(request.shard)
         reply = ShardReply(request=request.request, not_leader=True, leader=leader)
--- a/src/yokeline/shards/targets.py
+++ b/src/yokeline/shards/targets.py
@@ -25,7 +25,7 @@
         return self._fallback_target(pending)
 
     def _is_candidate(self, replica: ReplicaId, pending: PendingRequest) -> bool:
-        if replica in (self._own, pending.rejected_by):
+        if replica in (self._own, pending.not_leader_node):
             return False
         return not self._host.is_dead(replica)
 
--- a/tests/unit/shards/test_router.py
+++ b/tests/unit/shards/test_router.py
@@ -157,7 +157,7 @@
         pending.note_sent("a")
         pending.note_sent("b")
         self.assertIs(pending.error_across_attempts("b", overloaded).execution, Execution.UNKNOWN)
-        pending.note_rejected("a")
+        pending.note_not_leader_reply("a")
         pending.note_sent("b")
         self.assertIs(pending.error_across_attempts("b", overloaded).execution, Execution.NOT_RUN)
 
