--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -63,7 +63,7 @@
             state.entries.extend(entries)
         self._mark_dirty(replica)
 
-    def note_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+    def note_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
         """Record that a leader's snapshot replaced the state of a replica."""
         state = self._states.setdefault(replica.shard, _CopyState())
         state.last_term = snapshot.last_term
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -398,7 +398,7 @@
         if self._copy_writer is not None:
             self._copy_writer.note_committed(replica, entries)
 
-    def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+    def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
         """Record a leader's snapshot for the copy on disk, if there is a data folder."""
         if self._copy_writer is not None:
-            self._copy_writer.note_restored(replica, snapshot)
+            self._copy_writer.note_snapshot_installed(replica, snapshot)
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -71,7 +71,7 @@
         """Entries were committed and applied."""
         ...
 
-    def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+    def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
         """A snapshot replaced the state of the replica."""
         ...
 
@@ -212,7 +212,7 @@
             case Committed():
                 self._apply_all(effect.entries)
             case Restored():
-                self._restore(effect.snapshot)
+                self._install_snapshot(effect.snapshot)
             case RoleChanged():
                 self._role_changed(effect)
             case MembersChanged():
@@ -303,11 +303,11 @@
         else:
             pending.done(Failure(not_leader(self.shard)))
 
-    def _restore(self, snapshot: Snapshot) -> None:
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
         self.state_machine = RunStateMachine.restore(snapshot.data)
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
-        self._observer.replica_restored(self, snapshot)
+        self._observer.replica_snapshot_installed(self, snapshot)
         self._observer.replica_state_changed(self)
 
     def _compact_if_due(self) -> None:
