--- a/src/yokeline/shards/deadlines.py
+++ b/src/yokeline/shards/deadlines.py
@@ -5,7 +5,7 @@
 import heapq
 from typing import Generic, TypeVar
 
-COMPACTION_MINIMUM = 256
+REBUILD_MIN_ENTRIES = 256
 """Heap size up to which superseded entries are not worth a rebuild."""
 
 K = TypeVar("K", bound=int | str)
@@ -32,7 +32,7 @@
             return
         self._deadlines[key] = deadline
         heapq.heappush(self._heap, (deadline, key))
-        if len(self._heap) > max(COMPACTION_MINIMUM, 2 * len(self._deadlines)):
+        if len(self._heap) > max(REBUILD_MIN_ENTRIES, 2 * len(self._deadlines)):
             self._heap = [(due, known) for known, due in self._deadlines.items()]
             heapq.heapify(self._heap)
 
--- a/src/yokeline/shards/leader_gossip.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -43,7 +43,7 @@
         self._notify_observers(update.shard)
         return True
 
-    def announce(self, replica: ShardReplica, listeners: Iterable[ReplicaId]) -> None:
+    def announce(self, replica: ShardReplica, recipients: Iterable[ReplicaId]) -> None:
         """Announce to ``listeners`` that this node leads a shard, with its members."""
         update = ShardLeader(
             replica.shard,
@@ -53,7 +53,7 @@
             replica.applied_index,
         )
         self.directory.merge(update)
-        for peer in listeners:
+        for peer in recipients:
             self.directory.enqueue(peer, replica.shard)
         self._notify_observers(replica.shard)
 
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -204,8 +204,8 @@
 
     def _balance(self) -> None:
         """Transfer some led shards to nodes that lead fewer."""
-        pause = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
-        self._next_balance = self._context.now + pause
+        delay = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
+        self._next_balance = self._context.now + delay
         own_count = len(self._led_since)
         transferred: dict[ReplicaId, int] = {}
         for shard, since in self._led_since.items():
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -111,7 +111,7 @@
         self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
-        self._ready_term: int | None = None
+        self._applied_leader_term: int | None = None
         self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
         self._is_carrying_out = False
@@ -123,7 +123,7 @@
     def leads(self) -> bool:
         """Whether this replica leads and has applied everything committed before."""
         group = self.group
-        return group.role is RaftRole.LEADER and group.term == self._ready_term
+        return group.role is RaftRole.LEADER and group.term == self._applied_leader_term
 
     @property
     def membership_applied(self) -> bool:
@@ -227,7 +227,7 @@
                 assert_never(effect)
 
     def _role_changed(self, change: RoleChanged) -> None:
-        still_leads = change.role is RaftRole.LEADER and change.term == self._ready_term
+        still_leads = change.role is RaftRole.LEADER and change.term == self._applied_leader_term
         if self._leadership_reported and not still_leads:
             self._transition_not_leading()
         if change.role is not RaftRole.LEADER:
@@ -235,12 +235,12 @@
         self._observer.replica_state_changed(self)
 
     def _transition_leading(self, term: int) -> None:
-        self._ready_term = term
+        self._applied_leader_term = term
         self._leadership_reported = True
         self._observer.replica_gained_leadership(self)
 
     def _transition_not_leading(self) -> None:
-        self._ready_term = None
+        self._applied_leader_term = None
         self._leadership_reported = False
         self._observer.replica_lost_leadership(self)
 
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -27,11 +27,11 @@
 class _ActiveRequest:
     """A request that is being served."""
 
-    __slots__ = ("request", "sender", "ticket")
+    __slots__ = ("message", "sender", "ticket")
 
     def __init__(self, sender: ReplicaId, request: ShardRequest) -> None:
         self.sender = sender
-        self.request = request
+        self.message = request
         self.ticket: str | None = None
 
 
@@ -89,7 +89,7 @@
     def _finish(
         self, active: _ActiveRequest, result: Result[OperationResult, YokelineError]
     ) -> None:
-        if self._active.pop(active.request.request, None) is None:
+        if self._active.pop(active.message.request, None) is None:
             return
         if isinstance(result, Failure):
             self._finish_failed(active, result.failure())
@@ -99,12 +99,12 @@
             error = result_too_large(len(data), MAX_RESULT_BYTES)
             self._finish_failed(active, error)
             return
-        reply = ShardReply(request=active.request.request, result=data)
+        reply = ShardReply(request=active.message.request, result=data)
         self._cache_reply(reply)
         self._reply(active.sender, reply)
 
     def _finish_failed(self, active: _ActiveRequest, error: YokelineError) -> None:
-        request = active.request
+        request = active.message
         if is_leadership_error(error) and error.execution is Execution.NOT_RUN:
             self._reply_not_leader(active.sender, request)
             return
@@ -127,9 +127,9 @@
         self._context.send_peer(sender, reply)
 
     def _push(self, active: _ActiveRequest, events: tuple[RunEvent, ...]) -> None:
-        if active.request.request not in self._active:
+        if active.message.request not in self._active:
             return
-        message = RunEvents(request=active.request.request, events=encode_events(events))
+        message = RunEvents(request=active.message.request, events=encode_events(events))
         self._context.send_peer(active.sender, message)
 
     def _cache_reply(self, reply: ShardReply) -> None:
@@ -144,7 +144,7 @@
             self._cached_bytes -= len(self._cached_replies.pop(oldest).result)
 
     def _abandon(self, active: _ActiveRequest) -> None:
-        del self._active[active.request.request]
+        del self._active[active.message.request]
         if active.ticket is not None:
             self._server.abandon(active.ticket)
 
--- a/tests/unit/shards/test_deadlines.py
+++ b/tests/unit/shards/test_deadlines.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from yokeline.shards.deadlines import COMPACTION_MINIMUM, DeadlineQueue
+from yokeline.shards.deadlines import REBUILD_MIN_ENTRIES, DeadlineQueue
 
 
 class DeadlineQueueTest(unittest.TestCase):
@@ -20,9 +20,9 @@
     def test_moved_and_removed_deadlines_do_not_accumulate(self) -> None:
         queue: DeadlineQueue[int] = DeadlineQueue()
         queue.set(0, 900.0)
-        for key in range(1, 10 * COMPACTION_MINIMUM):
+        for key in range(1, 10 * REBUILD_MIN_ENTRIES):
             queue.set(key, 300.0 + key)
             queue.set(0, 1000.0 + key)
             queue.remove(key)
-            self.assertLessEqual(len(queue), COMPACTION_MINIMUM)
-        self.assertEqual(queue.next(), 1000.0 + 10 * COMPACTION_MINIMUM - 1)
+            self.assertLessEqual(len(queue), REBUILD_MIN_ENTRIES)
+        self.assertEqual(queue.next(), 1000.0 + 10 * REBUILD_MIN_ENTRIES - 1)
