--- a/tests/property/test_shard_cluster.py
+++ b/tests/property/test_shard_cluster.py
@@ -59,7 +59,7 @@
         elif self._may_inject():
             self._fault_times.append(self.cluster.now)
             fault()
-        self.cluster.run(self.random.choice((0.01, 0.1, 0.5, 1.0, 3.0)))
+        self.cluster.advance(self.random.choice((0.01, 0.1, 0.5, 1.0, 3.0)))
 
     def _may_inject(self) -> bool:
         recent = [at for at in self._fault_times if self.cluster.now - at < REPAIR_SECONDS]
@@ -120,7 +120,7 @@
 
     def heal(self) -> None:
         self._loss = 0.0
-        self.cluster.run(RECOVERY_SECONDS)
+        self.cluster.advance(RECOVERY_SECONDS)
 
 
 class ShardClusterProperties(unittest.TestCase):
@@ -128,7 +128,7 @@
     @given(st.integers(0, 2**32))
     def test_answers_are_true_and_replicas_agree_after_any_faults(self, seed: int) -> None:
         faults = Faults(seed)
-        faults.cluster.run(5.0)
+        faults.cluster.advance(5.0)
         for _ in range(STEPS):
             faults.step()
         faults.heal()
@@ -137,9 +137,9 @@
         self.assertEqual(len(members), 5)
         holders = {key for key, node in cluster.nodes.items() if node.host.replicas_left()}
         self.assertEqual(holders, members)
-        runs = cluster.runs_at(cluster.leader(SHARD), SHARD)
+        runs = cluster.run_ids_at(cluster.leader(SHARD), SHARD)
         for member in members:
-            self.assertEqual(cluster.runs_at(cluster.nodes[member], SHARD), runs)
+            self.assertEqual(cluster.run_ids_at(cluster.nodes[member], SHARD), runs)
         for run, (node, answers) in faults.answers.items():
             self.assert_true(run, runs, node.context.replica in cluster.nodes, answers)
 
--- a/tests/unit/shards/cluster.py
+++ b/tests/unit/shards/cluster.py
@@ -136,7 +136,7 @@
             self.start_node(f"node-{number}", f"zone-{number % zones}")
         self.placement: Placement = initial_placement(self.all_members(), self.settings)
         for node in self.nodes.values():
-            self.run_at(node, lambda node=node: node.host.start_groups(self.placement))
+            self.execute_at(node, lambda node=node: node.host.start_groups(self.placement))
 
     def all_members(self) -> tuple[Member, ...]:
         return tuple(self.members.values())
@@ -158,20 +158,20 @@
         self.members.pop(replica, None)
         self.dead.add(replica)
         for node in list(self.nodes.values()):
-            self.run_at(node, node.host.peers_changed)
+            self.execute_at(node, node.host.peers_changed)
 
     def begin_drain(self, node: HostNode) -> None:
         """Begin the planned stop of a node."""
         replica = node.context.replica
         leaving = msgspec.structs.replace(self.members[replica], state=MemberState.LEAVING)
         self.members[replica] = leaving
-        self.run_at(node, node.host.transfer_all_leaderships)
+        self.execute_at(node, node.host.transfer_all_leaderships)
 
     def schedule(self, seconds: float, action: Callable[[], None]) -> None:
         self._sequence += 1
         heapq.heappush(self._queue, (self.now + seconds, self._sequence, action))
 
-    def run_at(self, node: HostNode, action: Callable[[], None]) -> None:
+    def execute_at(self, node: HostNode, action: Callable[[], None]) -> None:
         """Run an action at a node and carry out its effects."""
         node.context.now = self.now
         action()
@@ -191,9 +191,9 @@
         frame = decode_peer(data).unwrap()
         node = self.nodes.get(frame.recipient)
         if node is not None:
-            self.run_at(node, lambda: node.receive(frame.sender, frame.message))
+            self.execute_at(node, lambda: node.receive(frame.sender, frame.message))
 
-    def run(self, seconds: float) -> None:
+    def advance(self, seconds: float) -> None:
         """Advance the virtual time."""
         end = self.now + seconds
         while True:
@@ -207,7 +207,7 @@
                 heapq.heappop(self._queue)[2]()
             else:
                 node = self.nodes[due[1]]
-                self.run_at(node, node.tick)
+                self.execute_at(node, node.tick)
         self.now = end
 
     # ------------------------------------------------------------ queries
@@ -223,7 +223,7 @@
         """Propose a command at the leader; the returned list receives the outcome."""
         outcomes: list[Outcome] = []
         node = self.leader(shard)
-        self.run_at(
+        self.execute_at(
             node, lambda: node.host.propose(ShardId(shard), create_command(run), outcomes.append)
         )
         return outcomes
@@ -233,6 +233,6 @@
         assert update is not None
         return set(update.members)
 
-    def runs_at(self, node: HostNode, shard: int) -> set[str]:
+    def run_ids_at(self, node: HostNode, shard: int) -> set[str]:
         state_machine = node.host.state_machine(ShardId(shard))
         return set() if state_machine is None else set(state_machine.runs)
--- a/tests/unit/shards/routed.py
+++ b/tests/unit/shards/routed.py
@@ -134,7 +134,7 @@
                 )
             )
 
-        self.run_at(node, send)
+        self.execute_at(node, send)
         return requests[0], answers
 
     def routed_leader(self) -> RoutedNode:
--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -115,11 +115,11 @@
 
     def test_copies_follow_the_replicas_over_compactions(self) -> None:
         cluster = DiskCluster(shards=1, snapshot_entries=16)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         for number in range(50):
             cluster.propose(0, f"run-{number}")
-            cluster.run(0.1)
-        cluster.run(8.0)
+            cluster.advance(0.1)
+        cluster.advance(8.0)
         expected = {f"run-{number}" for number in range(50)}
         for node in cluster.nodes.values():
             assert isinstance(node, DiskNode)
@@ -129,32 +129,32 @@
 
     def test_new_member_keeps_an_older_copy_until_it_has_caught_up(self) -> None:
         cluster = DiskCluster(shards=1)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         cluster.propose(0, "run-1")
-        cluster.run(6.0)
+        cluster.advance(6.0)
         crashed = next(node for node in cluster.nodes.values() if not node.host.led_shards())
         assert isinstance(crashed, DiskNode)
         cluster.crash_node(crashed.context.replica)
         restarted = cluster.start_node(crashed.context.name, crashed.context.zone, start=1)
         assert isinstance(restarted, DiskNode)
         restarted.files.update(crashed.files)
-        cluster.run(2.0)
+        cluster.advance(2.0)
         self.assertEqual(restarted.files, crashed.files)
-        cluster.run(12.0)
+        cluster.advance(12.0)
         stored = restarted.stored(0)
         self.assertEqual(stored.replica, restarted.context.replica)
         self.assertEqual(self.restored_runs(stored), {"run-1"})
 
     def test_copy_of_a_shard_that_was_left_is_deleted(self) -> None:
         cluster = DiskCluster(nodes=6, shards=1)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         cluster.propose(0, "run-1")
-        cluster.run(6.0)
+        cluster.advance(6.0)
         node = cluster.leader(0)
         assert isinstance(node, DiskNode)
         self.assertEqual(len(node.files), 2)
         cluster.begin_drain(node)
-        cluster.run(12.0 + LOG_RETENTION_SECONDS)
+        cluster.advance(12.0 + LOG_RETENTION_SECONDS)
         self.assertEqual(node.files, {})
 
 
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -93,78 +93,78 @@
             unkeyed_until_wall=2.0,
         )
         log = recovery_log(stored, node.context.replica, recovery_term([seen]), recover_command)
-        cluster.run_at(node, lambda: node.host.recover(SHARD_0, log))
+        cluster.execute_at(node, lambda: node.host.recover(SHARD_0, log))
 
-    def lost_cluster(self, cluster: Cluster) -> list[HostNode]:
+    def survivors_of_majority_loss(self, cluster: Cluster) -> list[HostNode]:
         """Commit a run, crash the leader and two members, and return the two survivors."""
-        cluster.run(5.0)
+        cluster.advance(5.0)
         cluster.propose(0, "run-1")
-        cluster.run(1.0)
+        cluster.advance(1.0)
         leader = cluster.leaders(0)[0]
         others = sorted(set(cluster.nodes) - {leader})
         for replica in [leader, *others[:2]]:
             cluster.crash_node(replica)
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         return [cluster.nodes[replica] for replica in others[2:]]
 
     def test_group_is_recovered_from_a_surviving_members_memory(self) -> None:
         cluster = Cluster(shards=1)
-        left, right = self.lost_cluster(cluster)
+        left, right = self.survivors_of_majority_loss(cluster)
         for node in (left, right):
             self.assertEqual(node.host.status()[0].state, ShardState.MAJORITY_LOST)
             self.assertTrue(node.host.majority_lost(SHARD_0))
         self.assertEqual(cluster.leaders(0), [])
         self.recover(cluster, left, left.host.term(SHARD_0))
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         self.assertEqual(cluster.leader(0), left)
         self.assertFalse(right.host.majority_lost(SHARD_0))
         self.assertEqual(cluster.group_members(0), {n.context.replica for n in (left, right)})
         self.assertEqual(lineage_of(right.host.term(SHARD_0)), 1)
         outcomes = cluster.propose(0, "run-2")
-        cluster.run(6.0)
+        cluster.advance(6.0)
         self.assertTrue(outcomes[0].unwrap().accepted)
         for node in (left, right):
-            self.assertEqual(cluster.runs_at(node, 0), {"run-1", "run-2"})
+            self.assertEqual(cluster.run_ids_at(node, 0), {"run-1", "run-2"})
 
     def test_partitioned_majority_yields_to_the_recovered_group(self) -> None:
         """The old group commits during the partition; its entries are dropped when it heals."""
         cluster = Cluster(shards=1)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         cluster.propose(0, "run-1")
-        cluster.run(1.0)
+        cluster.advance(1.0)
         leader = cluster.leaders(0)[0]
         members = sorted(set(cluster.nodes) - {leader})
         minority = set(members[2:])
         cluster.is_dropped = lambda sender, to: (sender in minority) != (to in minority)
         node = cluster.nodes[members[2]]
-        cluster.run(3.0)
+        cluster.advance(3.0)
         node.view.dead = set(cluster.nodes) - minority
         self.assertTrue(node.host.majority_lost(SHARD_0))
         self.recover(cluster, node, node.host.term(SHARD_0))
         old = cluster.nodes[leader]
-        cluster.run_at(
+        cluster.execute_at(
             old, lambda: old.host.propose(SHARD_0, create_command("old-side"), lambda _: None)
         )
-        cluster.run(2.0)
-        self.assertIn("old-side", cluster.runs_at(old, 0))
+        cluster.advance(2.0)
+        self.assertIn("old-side", cluster.run_ids_at(old, 0))
         node.view.dead = cluster.dead
         cluster.is_dropped = lambda sender, to: False
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         self.assertEqual(cluster.leader(0).host.term(SHARD_0) // TERMS_PER_LINEAGE, 1)
         self.assertFalse(
             old.host.holds_lease(SHARD_0) and old.host.term(SHARD_0) < TERMS_PER_LINEAGE
         )
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         for member in cluster.group_members(0):
-            self.assertEqual(cluster.runs_at(cluster.nodes[member], 0), {"run-1"})
+            self.assertEqual(cluster.run_ids_at(cluster.nodes[member], 0), {"run-1"})
         self.assertEqual(len(cluster.group_members(0)), 5)
 
     def test_update_of_a_higher_lineage_ends_the_old_group_at_each_node(self) -> None:
         """Covers a leader, a follower, and a node that an old leader would add."""
         cluster = Cluster(nodes=6, shards=1)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         cluster.propose(0, "run-1")
-        cluster.run(6.0)
+        cluster.advance(6.0)
         leader = cluster.leader(0)
         members = sorted(cluster.group_members(0))
         follower = cluster.nodes[next(m for m in members if m != leader.context.replica)]
@@ -175,10 +175,12 @@
         sender = leader.context.replica
         stale = RaftBatch((GroupMessage(SHARD_0, self.append_of(leader)),))
         for node in (leader, follower, spare):
-            cluster.run_at(node, lambda node=node: node.host.receive_heartbeat(other, heartbeat))
+            cluster.execute_at(
+                node, lambda node=node: node.host.receive_heartbeat(other, heartbeat)
+            )
             self.assertIsNone(node.host.state_machine(SHARD_0))
             self.assertFalse(node.host.holds_lease(SHARD_0))
-            cluster.run_at(node, lambda node=node: node.host.receive_batch(sender, stale))
+            cluster.execute_at(node, lambda node=node: node.host.receive_batch(sender, stale))
             self.assertIsNone(node.host.state_machine(SHARD_0))
         self.assertEqual(leader.listener.events[-1], ("lost", SHARD_0))
 
@@ -188,10 +190,10 @@
 
     def test_obsolete_copies_are_set_aside_and_never_overwritten(self) -> None:
         cluster = FileCluster(shards=1)
-        left, right = cast(list[DiskNode], self.lost_cluster(cluster))
+        left, right = cast(list[DiskNode], self.survivors_of_majority_loss(cluster))
         files = dict(right.files)
         self.recover(cluster, left, left.host.term(SHARD_0))
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         self.assertNotEqual(right.files[snapshot_file(SHARD_0)], files[snapshot_file(SHARD_0)])
         kept = [name for name in right.files if name.startswith("set-aside/0-")]
         self.assertEqual(len(kept), 2)
@@ -200,14 +202,14 @@
 
     def test_damaged_files_are_set_aside_byte_for_byte(self) -> None:
         cluster = DiskCluster(shards=1)
-        cluster.run(5.0)
+        cluster.advance(5.0)
         crashed = next(node for node in cluster.nodes.values() if not node.host.led_shards())
         cluster.crash_node(crashed.context.replica)
         restarted = cast(DiskNode, cluster.start_node(crashed.context.name, "zone-1", start=1))
         files = {snapshot_file(SHARD_0): b"damaged", log_file(SHARD_0): b"log"}
         restarted.files.update(files)
         restarted.host.copies.damaged.update(read_copies(files).damaged)
-        cluster.run(SETTLE_SECONDS)
+        cluster.advance(SETTLE_SECONDS)
         kept = {data for name, data in restarted.files.items() if "damaged" in name}
         self.assertEqual(kept, set(files.values()))
         self.assertEqual(restarted.host.copies.damaged, {})
