--- a/src/yokeline/server/copy_rows.py
+++ b/src/yokeline/server/copy_rows.py
@@ -8,7 +8,7 @@
 
 from yokeline.identifiers import NodeName, ShardId
 from yokeline.server.recovery import ShardRecovery
-from yokeline.shards.copies import StoredCopies, DamagedCopy, ShardCopy
+from yokeline.shards.copies import DamagedCopy, ShardCopy, StoredCopies
 
 MEMORY = "memory"
 DISK = "disk"
--- a/src/yokeline/shards/directory.py
+++ b/src/yokeline/shards/directory.py
@@ -11,7 +11,7 @@
 MAX_UPDATES_PER_HEARTBEAT = 16
 """Maximum number of leader updates in one heartbeat."""
 NO_LEADER = ReplicaId("")
-"""Leader in the entry of a group whose leader is not known."""
+"""Value of ``ShardLeader.leader`` while no leader of the group is known."""
 
 
 class LeaderDirectory:
@@ -26,13 +26,17 @@
         self._replicas_held: Counter[ReplicaId] = Counter()
 
     def load_placement(self, placement: Placement) -> None:
-        """Enter the initial members of every group that no update is known of."""
+        """Store an update without a leader for each group, unless a newer update is known."""
         for number, members in enumerate(placement.groups):
             shard = ShardId(number)
             self.merge(ShardLeader(shard, 0, NO_LEADER, members))
 
     def merge(self, update: ShardLeader) -> bool:
-        """Store an update if it is newer than the known one; return whether it was."""
+        """Store an update if it is newer than the known one; return whether it was.
+
+        The higher term is newer; within a term, the higher ``revision``, which is the index
+        that the leader had applied when it sent the update.
+        """
         known = self._latest.get(update.shard)
         if known is not None and (known.term, known.revision) >= (update.term, update.revision):
             return False
--- a/src/yokeline/shards/heartbeats.py
+++ b/src/yokeline/shards/heartbeats.py
@@ -1,5 +1,7 @@
 """One coalesced heartbeat per pair of nodes, with leader updates and configuration revision.
 
+The configuration revision is that of the tenants' configuration.
+
 In a pair, the node with the lower id sends the heartbeat and the other node replies, so that
 a pair costs two messages per period and each node hears from the other.
 """
@@ -32,7 +34,8 @@
     """Sends and answers heartbeats, and records when the last message of each peer arrived.
 
     Attributes:
-        configuration_revision: Returns the highest configuration revision applied here.
+        configuration_revision: Returns the highest revision of the tenants' configuration that
+            was applied here.
     """
 
     def __init__(self, context: NodeContext, directory: LeaderDirectory, period: float) -> None:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -66,9 +66,10 @@
     :meth:`next_deadline` is reached.
 
     Attributes:
-        heartbeats: Heartbeats to other nodes; they carry the configuration revision that its
-            ``configuration_revision`` returns.
-        copies: Copies left by earlier process starts, of shards not live again at this node.
+        heartbeats: Heartbeats to other nodes; they carry the revision of the tenants'
+            configuration that ``heartbeats.configuration_revision`` returns.
+        copies: Copies left by earlier process starts, until this process writes a copy of the
+            same shard.
     """
 
     def __init__(
--- a/src/yokeline/shards/leader_gossip.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -44,7 +44,10 @@
         return True
 
     def announce(self, replica: ShardReplica, recipients: Iterable[ReplicaId]) -> None:
-        """Announce to ``listeners`` that this node leads a shard, with its members."""
+        """Announce to ``recipients`` that this node leads a shard, with its members.
+
+        The ``revision`` of the update is the index that this node has applied.
+        """
         update = ShardLeader(
             replica.shard,
             replica.group.term,
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -60,7 +60,7 @@
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
-        """A configuration was committed that no longer includes ``removed``."""
+        """A group membership was committed that no longer includes ``removed``."""
         ...
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
@@ -72,7 +72,7 @@
         ...
 
     def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """A snapshot replaced the state of the replica."""
+        """A snapshot was installed: it replaced the state of the replica."""
         ...
 
 
@@ -82,13 +82,13 @@
 
 
 class ShardReplica:
-    """Carries out the effects of one Raft group, in order and without recursion.
+    """Applies the effects that one Raft group returns, in order and without recursion.
 
     Attributes:
         shard: The shard.
         group: The Raft group.
         state_machine: State after the entry ``applied_index``.
-        committed_members: Members of the last applied configuration.
+        committed_members: Members by the last applied membership entry.
         hard_state: Term and vote, to be kept after the replica has left the group.
         last_message_at: Monotonic time at which the last message of the group arrived.
     """
@@ -111,6 +111,7 @@
         self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
+        # Term in which this replica was last leader and applied an entry of that same term.
         self._applied_leader_term: int | None = None
         self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
@@ -121,23 +122,27 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica leads and has applied everything committed before."""
+        """Whether the Raft role is leader and an entry of the current term has been applied.
+
+        All entries that were committed in earlier terms have then been applied too. Neither the
+        lease nor contact with a quorum is checked.
+        """
         group = self.group
         return group.role is RaftRole.LEADER and group.term == self._applied_leader_term
 
     @property
     def membership_applied(self) -> bool:
-        """Whether the configuration in force is committed and applied."""
+        """Whether the group membership in use is committed and applied here."""
         return set(self.committed_members) == set(self.group.members)
 
     @property
     def is_carrying_out(self) -> bool:
-        """Whether effects are being carried out, so that the caller runs in a callback of one."""
+        """Whether Raft effects are being applied, so that the caller runs within a callback."""
         return self._is_carrying_out
 
     @property
     def announced_members(self) -> tuple[ReplicaId, ...]:
-        """Members that a leader announces: during a change, those of both configurations."""
+        """Members that a leader announces: during a change, those of both memberships."""
         if self.membership_applied:
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
@@ -145,14 +150,17 @@
     def is_removed_by(self, update: ShardLeader) -> bool:
         """Return whether a leader update proves that this replica was removed permanently.
 
-        The local log proves nothing: a removed replica may never receive the entry that removes
-        it, and a replica that is added again replays its earlier removal while it catches up.
-        An update without this replica means that no configuration with it was in force at the
-        leader when everything up to ``update.revision`` was committed, so that a quorum of other
-        members holds those entries. If the local log ends at this index or before, no member
-        depends on this replica.
+        It does if ``update.term`` has a higher lineage, because a recovery has replaced the
+        group, or if all of these hold:
 
-        An update of a higher lineage is always a proof: a recovery has replaced the group.
+        * ``update.members`` is not empty and does not include this replica;
+        * this replica is not a leader, and ``update.term`` is not below its term;
+        * ``update.revision``, the index that the leader had applied, is not below
+          ``group.last_index``. A quorum of ``update.members`` then holds every committed entry
+          of the local log, so that no commit relies on this replica.
+
+        The local log is not evidence: a removed replica may never receive the entry that removes
+        it, and a replica that is added again replays its earlier removal while it catches up.
         """
         if is_obsolete(self.group.term, update.term):
             return True
@@ -187,14 +195,14 @@
         self.carry_out(self.group.read(token, now))
 
     def change_members(self, proposal: Proposal) -> bool:
-        """Carry out the effects of a proposed membership change; return whether accepted."""
+        """Apply the Raft effects of a membership proposal; return whether it was accepted."""
         self.carry_out(proposal.effects)
         return proposal.accepted
 
     # ------------------------------------------------------------ effects
 
     def carry_out(self, effects: Iterable[RaftEffect]) -> None:
-        """Carry out effects, after those that are already queued."""
+        """Apply Raft effects, after those that are already queued."""
         self._queue.extend(effects)
         if self._is_carrying_out:
             return
@@ -304,6 +312,7 @@
             pending.done(Failure(not_leader(self.shard)))
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by a snapshot from the leader or from a recovered copy."""
         self.state_machine = RunStateMachine.restore(snapshot.data)
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -16,13 +16,13 @@
     """Availability of a shard, as this node sees it."""
 
     LEADING = "leading"
-    """This node leads the shard; a quorum answered its last messages."""
+    """The replica has the Raft role of leader; neither lease nor quorum contact is checked."""
     FOLLOWING = "following"
     ELECTING = "electing"
     """No leader is known at this moment."""
     MAJORITY_LOST = "majority_lost"
-    """Too many members are dead for a quorum: the shard is unavailable until enough of them
-    return or an operator recovers it (``yokeline recover``).
+    """Fewer live members than a quorum: the shard is unavailable until enough members return or
+    an operator recovers it (``yokeline recover``).
     """
 
 
@@ -30,8 +30,8 @@
     """Status of one shard replica.
 
     Attributes:
-        members: Members of the last committed configuration.
-        dead: Members that are dead.
+        members: Members by the last group membership that this replica has applied.
+        dead: Members that the membership view reports as dead.
         applied_index: Index of the last log entry applied here.
         log_entries: Number of entries kept since the last compaction.
         runs: Number of runs in the shard.
@@ -69,7 +69,7 @@
 
 
 def has_lost_majority(members: tuple[ReplicaId, ...], is_dead: Callable[[ReplicaId], bool]) -> bool:
-    """Return whether so many members are dead that no quorum is left."""
+    """Return whether the members that are not dead are fewer than a quorum."""
     living = sum(1 for member in members if not is_dead(member))
     return living < len(members) // 2 + 1
 
@@ -79,6 +79,6 @@
     if lost:
         return ShardState.MAJORITY_LOST
     if group.role is RaftRole.LEADER:
-        # The lease is not checked: an idle leader has none, and one without a quorum steps down.
+        # The lease is not checked, because the lease of an idle leader lapses.
         return ShardState.LEADING
     return ShardState.ELECTING if group.leader is None else ShardState.FOLLOWING
