--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -1,7 +1,7 @@
 """Copies of shards that earlier process starts of this node left in its data folder.
 
 Copies are separate from the groups of the current process: a copy is used only by an
-operator's recovery, and dropped once this node holds a live replica of the shard again.
+operator's recovery, and dropped once this process writes its own copy of the shard.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 )
 
 SET_ASIDE_FOLDER = "set-aside"
-"""Subfolder of the data folder that nodes never read; operators may delete its files."""
+"""Subfolder for damaged or obsolete copies; nodes never read it, operators may delete files."""
 _FILE_NAME = re.compile(r"shards/([0-9]{1,9})\.(snapshot|log)")
 
 
@@ -129,7 +129,7 @@
 
 
 def set_aside_writes(copy: StoredShard) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that save a copy under names that are never used again."""
+    """Return the file writes that save a copy under names that are never used again."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{copy.replica}-{copy.last_term}"
     snapshot = encode_snapshot(copy.shard, copy.replica, copy.snapshot)
     return (
@@ -139,7 +139,7 @@
 
 
 def set_aside_damaged_writes(copy: DamagedCopy, by: ReplicaId) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that save unreadable files unchanged before they are replaced."""
+    """Return the file writes that save unreadable files unchanged before they are replaced."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{by}-damaged"
     return (
         WriteFile(name=f"{name}.snapshot", data=copy.snapshot),
--- a/src/yokeline/shards/copy_format.py
+++ b/src/yokeline/shards/copy_format.py
@@ -129,7 +129,7 @@
         return Failure(records.failure())
     payloads = records.unwrap().payloads
     if len(payloads) != 1 or records.unwrap().truncated_bytes:
-        return Failure(_damage_error(name, 0, "it is not one whole record"))
+        return Failure(_damage_error(name, 0, "expected exactly one complete record"))
     decoded = decode_struct(payloads[0], SnapshotRecord)
     if isinstance(decoded, Failure):
         return Failure(_damage_error(name, 0, decoded.failure().message))
@@ -137,7 +137,11 @@
     if record.version != FORMAT_VERSION:
         return Failure(_version_error(name, record.version))
     if record.shard != shard:
-        return Failure(_damage_error(name, 0, f"it is of shard {record.shard}"))
+        return Failure(
+            _damage_error(
+                name, 0, f"expected the shard in the file name, found shard {record.shard}"
+            )
+        )
     return Success(record)
 
 
@@ -158,7 +162,7 @@
         if entry.index <= snapshot_index:
             continue
         if entry.index != snapshot_index + len(entries) + 1:
-            reason = f"entry {entry.index} does not follow"
+            reason = f"expected the next entry of the log, found entry {entry.index}"
             return Failure(_damage_error(log_file(shard), 0, reason))
         entries.append(entry)
     return Success(tuple(entries))
--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -1,7 +1,7 @@
 """Writes copies of this node's replicas to the data folder, for recovery from a lost majority.
 
-Copies are written asynchronously: no request waits for them, so they may lack the last
-moments before a crash. A replica is written only once it has applied its own membership, so
+Copies are written asynchronously: no request waits for them, so after a crash they may lack
+the latest committed entries. A replica is written only once it has applied its own membership, so
 that a less complete state never replaces the copy of an earlier process start. Unreadable
 files, and copies made obsolete by a recovery, are set aside before they are replaced.
 """
@@ -64,7 +64,7 @@
         self._mark_dirty(replica)
 
     def note_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Record that a leader's snapshot replaced the state of a replica."""
+        """Record that a replica installed a snapshot."""
         state = self._states.setdefault(replica.shard, _CopyState())
         state.last_term = snapshot.last_term
         state.snapshot_index = None
--- a/src/yokeline/shards/deadlines.py
+++ b/src/yokeline/shards/deadlines.py
@@ -6,7 +6,7 @@
 from typing import Generic, TypeVar
 
 REBUILD_MIN_ENTRIES = 256
-"""Heap size up to which superseded entries are not worth a rebuild."""
+"""Heap size up to which the heap is not rebuilt to drop superseded entries."""
 
 K = TypeVar("K", bound=int | str)
 
--- a/src/yokeline/shards/errors.py
+++ b/src/yokeline/shards/errors.py
@@ -5,7 +5,7 @@
 from yokeline.errors import ErrorKind, Execution, YokelineError
 
 RETRY_AFTER_SECONDS = 1.0
-"""A shard usually has a new leader within this time."""
+"""Delay that errors ask for before a retry, to allow for an election."""
 
 
 def not_leader(shard: int) -> YokelineError:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -197,7 +197,7 @@
     # ------------------------------------------------------------ group lifecycle
 
     def start_groups(self, placement: Placement) -> None:
-        """Join the groups of the initial placement that include this process start."""
+        """Bootstrap the replicas that the initial placement assigns to this process start."""
         self._gossip.directory.load_placement(placement)
         for number, members in enumerate(placement.groups):
             if self._context.replica in members:
@@ -205,7 +205,10 @@
         self._update_peers()
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> None:
-        """Restart a shard's group with this node as its only member; see ``server.recovery``."""
+        """After a quorum loss, start a new group with this node as the only member.
+
+        See ``server.recovery``.
+        """
         old = self._replicas.get(shard)
         if old is not None:
             self._drop_obsolete(old)
@@ -400,6 +403,6 @@
             self._copy_writer.note_committed(replica, entries)
 
     def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Record a leader's snapshot for the copy on disk, if there is a data folder."""
+        """Record an installed snapshot for the copy on disk, if there is a data folder."""
         if self._copy_writer is not None:
             self._copy_writer.note_snapshot_installed(replica, snapshot)
--- a/src/yokeline/shards/lineage.py
+++ b/src/yokeline/shards/lineage.py
@@ -18,7 +18,7 @@
 from collections.abc import Iterable
 
 TERMS_PER_LINEAGE = 1_000_000_000
-"""More than the elections of a group; nine million recoveries keep terms below 2**53."""
+"""Upper bound of the elections in a lineage."""
 
 
 def lineage_of(term: int) -> int:
--- a/src/yokeline/shards/local_replicas.py
+++ b/src/yokeline/shards/local_replicas.py
@@ -40,7 +40,7 @@
         self._highest_terms: dict[ShardId, int] = {}
 
     def bootstrap(self, shard: ShardId, members: tuple[ReplicaId, ...]) -> None:
-        """Start a group of the initial placement.
+        """Create the replica of a new group from its initial members; no leader exists yet.
 
         Does nothing if this node is in the group or has left it, or if the shard was recovered.
         """
@@ -49,7 +49,10 @@
             self.reschedule_tick(self._create(shard, members))
 
     def join(self, shard: ShardId, term: int) -> ShardReplica | None:
-        """Join a group that has added this node; None if a recovery has replaced the group."""
+        """Create or reuse the replica of an existing group whose leader has added this node.
+
+        None if a recovery has replaced the group.
+        """
         if is_obsolete(term, self._highest_terms.get(shard, 0)):
             return None
         replica = self._removed.take_replica(shard)
@@ -59,7 +62,7 @@
         return replica
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> ShardReplica:
-        """Start a group with this node as its only member, from a copy of the lost group."""
+        """After a quorum loss, start a group of this node alone from a copy of the old group."""
         self.note_term(shard, log.term)
         self._removed.take_replica(shard)
         self._removed.take_hard_state(shard)
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -87,7 +87,7 @@
     # ------------------------------------------------------------ state of nodes and groups
 
     def _update_dead_members(self) -> None:
-        """Record when members died, and notify the groups that a new dead member led."""
+        """Record since when members are reported as dead; notify the groups that they led."""
         now = self._context.now
         involved = {
             member for replica in self._replicas.values() for member in replica.group.members
@@ -203,7 +203,7 @@
                 self._transfer(replica, chosen)
 
     def _balance(self) -> None:
-        """Transfer some led shards to nodes that lead fewer."""
+        """Transfer up to ``TRANSFERS_PER_BALANCE_ROUND`` shards to nodes that lead fewer."""
         delay = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
         self._next_balance = self._context.now + delay
         own_count = len(self._led_since)
--- a/src/yokeline/shards/operation_server.py
+++ b/src/yokeline/shards/operation_server.py
@@ -34,7 +34,10 @@
         done: OperationDone,
         on_events: EventsReceived | None = None,
     ) -> str:
-        """Serve an operation; ``done`` may be called before this returns the ticket."""
+        """Serve an operation; ``done`` may be called before this returns the ticket.
+
+        ``deadline_seconds`` are the remaining seconds until the requester has to get a reply.
+        """
         ...
 
     def abandon(self, ticket: str) -> None:
@@ -50,7 +53,8 @@
 def is_leadership_error(error: YokelineError) -> bool:
     """Return whether an error only reports that the shard's leader has changed or is changing.
 
-    Operations are idempotent by their ids, so the request can be sent to the new leader, which
-    reports the outcome. A permanently unknown outcome is a status of the run, not an error.
+    The request can then be sent to the new leader: the state machine deduplicates operations by
+    run id or turn key, and the new leader reports the outcome. If the outcome of a run stays
+    unknown, the result is a success whose run has that status, and no error.
     """
     return error.kind in (ErrorKind.UNAVAILABLE, ErrorKind.OUTCOME_UNKNOWN)
--- a/src/yokeline/shards/operations.py
+++ b/src/yokeline/shards/operations.py
@@ -28,6 +28,7 @@
     turn_key: str
     input: str
     deadline_wall: float | None = None
+    """Unix time in seconds by which the caller wants the answer; None for no deadline."""
 
 
 class ReadRun(msgspec.Struct, frozen=True, kw_only=True, tag="read_run"):
--- a/src/yokeline/shards/pending.py
+++ b/src/yokeline/shards/pending.py
@@ -28,13 +28,16 @@
 
     Attributes:
         request: Id that the caller knows the request by.
-        attempt_id: Id sent to other nodes; a new one each time that a watch restarts after a gap.
+        attempt_id: Request id in messages to other nodes. Resends keep it; a watch that restarts
+            after a gap gets a new one.
         target: Node that is to reply; None while none is known.
         ticket: Ticket of the local executor, while this node serves the request itself.
-        attempts: Attempts so far, which determine the backoff.
+        attempts: Number of attempts, which determines the backoff. It is also the version of the
+            current attempt: callbacks of attempts with another number are ignored.
+        deadline: Monotonic time at which the request expires.
         redirects: Leader hints followed without a pause since the last backoff.
         outcome_unknown: A leader has replied that it does not know the outcome of an attempt.
-        not_leader_node: The last node that replied that it does not lead the shard.
+        not_leader_node: The node that sent the last not-leader reply; None after a retry.
     """
 
     def __init__(
@@ -72,7 +75,7 @@
         self._unanswered[to] += 1
 
     def note_not_leader_reply(self, sender: ReplicaId) -> None:
-        """Record that a node rejected an attempt without any effect."""
+        """Record a not-leader reply: the node did not execute the attempt."""
         self._unanswered[sender] -= 1
         self.not_leader_node = sender
 
@@ -83,7 +86,7 @@
 
     @property
     def may_have_run(self) -> bool:
-        """Whether an attempt may have had an effect, or may still have one."""
+        """Whether an attempt may have changed state, or may still do so."""
         return self.outcome_unknown or any(count > 0 for count in self._unanswered.values())
 
     def error_across_attempts(self, sender: ReplicaId, error: YokelineError) -> YokelineError:
--- a/src/yokeline/shards/placement.py
+++ b/src/yokeline/shards/placement.py
@@ -23,7 +23,7 @@
 from yokeline.settings import Settings
 
 GREEDY_MAX_NODES = 25
-"""Largest cluster that is placed greedily; a node there has few peers in any case."""
+"""Largest number of nodes that is placed greedily; larger clusters use copysets."""
 COPYSET_PERMUTATIONS = 4
 """Each permutation adds ``replicas - 1`` peers to a node."""
 MAX_LOAD_RATIO = 1.25
@@ -53,7 +53,7 @@
 
 
 def initial_placement(members: Sequence[Member], settings: Settings) -> Placement:
-    """Return the initial placement of a deployment on the members that are alive."""
+    """Return the placement that bootstraps a new deployment on the members that are alive."""
     nodes = tuple(
         CandidateNode(replica=member.replica, zone=member.zone)
         for member in members
--- a/src/yokeline/shards/removal_detector.py
+++ b/src/yokeline/shards/removal_detector.py
@@ -14,7 +14,7 @@
 REMOVED_SILENCE_SECONDS = 3.0
 """Silence after which a replica that is not in its group's membership asks for an update."""
 MEMBER_SILENCE_SECONDS = 12.0
-"""Silence after which a member asks for an update; idle groups send more often."""
+"""Silence after which a member asks for an update; exceeds the message interval of idle groups."""
 
 
 class RemovalDetector:
--- a/src/yokeline/shards/removed_replicas.py
+++ b/src/yokeline/shards/removed_replicas.py
@@ -9,8 +9,9 @@
 LOG_RETENTION_SECONDS = 60.0
 """Time for which a removed replica keeps its log.
 
-An update about a removal may arrive after the node was added again. The leader relies on what
-the replica has acknowledged since, so its log must still exist when the leader writes to it.
+A leader update that shows a removal may arrive after the node was added again. The leader
+assumes that the replica keeps the entries that it has acknowledged since, so the replica must
+still have its log when the next message of the leader arrives.
 """
 
 
--- a/src/yokeline/shards/repair.py
+++ b/src/yokeline/shards/repair.py
@@ -1,22 +1,23 @@
 """Choice of the next membership change of a group: a pure function, run by the leader.
 
-The order of changes never lowers the number of crashes that the group tolerates, even if a
-member that counts as dead was only partitioned and returns with its log:
+A member is dead here once the failure detector has reported it as dead for
+``consensus.replace_after_seconds``. It may only be partitioned and return with its log. The
+order of changes never lowers the number of failures that the group tolerates in either case:
 
 * One dead member, odd number of members: its replacement is added first. With 5 members of
   which 1 is dead, this makes 6 members with quorum 4, of which 5 are alive: the group
-  tolerates 1 crash, and 2 if the dead member returns. Removing first makes 4 members with
-  quorum 3: the group tolerates 1 crash too, but a member that returns no longer counts, and
-  two crashes lose the majority permanently.
+  tolerates 1 failure, and 2 if the dead member returns. Removing first makes 4 members with
+  quorum 3: the group tolerates 1 failure too, but a removed process that returns is not a
+  member, so that 2 failures lose the quorum permanently.
 * One dead member, even number of members: it is removed first, which lowers the quorum.
 * Several dead members: one is removed first. An added member would have to catch up before
-  anything commits again, and its crash would lose the majority permanently.
+  anything commits again, and its failure would lose the quorum permanently.
 * One dead member, odd number of members, no spare node: it stays, since its removal would not
   lower the quorum.
 * A leaving member is alive and holds the log, so its replacement is added first: the group
-  never has fewer live copies than before.
+  never has fewer live replicas than before.
 * A leaving member without a spare node is removed. Its process ends soon in any case, and the
-  group without it tolerates at least as many crashes as the group with one dead member. The
+  group without it tolerates at least as many failures as the group with one dead member. The
   last member stays.
 
 Changes add or remove one member at a time (Ongaro, "Consensus", 2014, 4.1).
@@ -40,9 +41,10 @@
 
     HEALTHY = "healthy"
     DOUBTFUL = "doubtful"
-    """Not known to be healthy, but not dead for long enough to be replaced."""
+    """Dead for less than ``replace_after_seconds``, or in no state known here; not replaced."""
     LEAVING = "leaving"
     DEAD = "dead"
+    """Reported as dead by the failure detector for ``replace_after_seconds`` or longer."""
 
 
 class GroupCondition(msgspec.Struct, frozen=True, kw_only=True):
@@ -52,7 +54,7 @@
         leader: Replica of the node that decides.
         members: Condition of each member, including the leader.
         zones: Zone of each member.
-        spares: Nodes that are alive, not leaving, and not members.
+        spares: Live nodes that are neither leaving nor members, as candidates for new members.
         loads: Number of replicas by node, as far as it is known.
         replicas: Target number of members.
     """
@@ -109,7 +111,7 @@
 
 
 def _staying(group: GroupCondition) -> list[ReplicaId]:
-    """Return the members that count towards the target number."""
+    """Return the members that are neither dead nor leaving."""
     kept = (MemberCondition.HEALTHY, MemberCondition.DOUBTFUL)
     return sorted(member for member, found in group.members.items() if found in kept)
 
@@ -139,7 +141,10 @@
 
 
 def _rebalance_zones(group: GroupCondition, staying: Sequence[ReplicaId]) -> RepairStep | None:
-    """Add a member in a zone that has too few; the surplus member is removed afterwards."""
+    """Add a member in a zone with at least two fewer members than the fullest zone.
+
+    The surplus member is removed in a later step.
+    """
     if any(found is not MemberCondition.HEALTHY for found in group.members.values()):
         return None
     zones = _zone_counts(group, staying)
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -1,8 +1,9 @@
 """Routes operations to the leaders of their shards and reports the outcomes.
 
-A request without a reply is sent again under the same id, either to the same leader, which
-serves each id once, or to the next leader, since operations are idempotent by their ids. At
-the deadline, a write is reported as not run only if every node that received it rejected it.
+A request without a reply is sent again. The same leader detects the repetition by the request
+id (``shard_server``), while the request is served or its reply is cached. Another leader detects
+it by the run id or turn key, which the state machine deduplicates. At the deadline, a write is
+reported as not run only if every attempt got a not-leader reply.
 """
 
 from __future__ import annotations
@@ -73,7 +74,7 @@
         Args:
             shard: Shard of the operation.
             operation: The operation.
-            deadline_seconds: Seconds after which ``done`` is called at the latest.
+            deadline_seconds: Remaining seconds, after which ``done`` is called at the latest.
             done: Receives the result, or an error whose ``execution`` holds for all attempts.
             on_events: Receives the events of a watched run.
         """
@@ -87,7 +88,7 @@
         return request
 
     def cancel(self, request: RequestId) -> None:
-        """Cancel a request: its callbacks are not called again. Effects that it had remain."""
+        """Cancel a request: its callbacks are not called again. Committed changes remain."""
         pending = self._pending.get(request)
         if pending is None:
             return
@@ -149,6 +150,7 @@
             pending.ticket = ticket
 
     def _leader_timeout_seconds(self, pending: PendingRequest) -> float:
+        """Return the remaining seconds until the leader has to reply."""
         left = max(0.0, pending.deadline - self._context.now)
         return left - min(DEADLINE_MARGIN_SECONDS, left / 2.0)
 
@@ -250,7 +252,7 @@
             self._handle_result(pending, sender, decode_result(reply.result))
 
     def _handle_not_leader(self, pending: PendingRequest, sender: ReplicaId) -> None:
-        """Handle a rejection: the node does not lead the shard and did nothing."""
+        """Handle a not-leader reply: the node does not lead the shard and did nothing."""
         pending.note_not_leader_reply(sender)
         if pending.target != sender:
             return
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -19,7 +19,7 @@
 MAX_RESULT_BYTES = DEFAULT_FRAME_LIMIT - 65_536
 """Largest encoded result; leaves room for the rest of the frame."""
 MAX_CACHED_REPLIES = 1024
-"""Final replies kept for routers that send a request again."""
+"""Maximum number of final replies cached for repeated requests."""
 MAX_CACHED_REPLY_BYTES = 8 * 1024 * 1024
 """Total size of the results in the cached replies."""
 
@@ -118,7 +118,7 @@
         self._reply(active.sender, reply)
 
     def _reply_not_leader(self, sender: ReplicaId, request: ShardRequest) -> None:
-        """Reply that this node does not lead the shard and did nothing."""
+        """Send a not-leader reply: this node does not lead the shard and did nothing."""
         leader = self._host.leader_of(request.shard)
         reply = ShardReply(request=request.request, not_leader=True, leader=leader)
         self._reply(sender, reply)
--- a/src/yokeline/shards/status.py
+++ b/src/yokeline/shards/status.py
@@ -79,6 +79,7 @@
     if lost:
         return ShardState.MAJORITY_LOST
     if group.role is RaftRole.LEADER:
-        # The lease is not checked, because the lease of an idle leader lapses.
+        # The lease is not checked, since that of an idle leader lapses. A leader that loses its
+        # quorum resigns.
         return ShardState.LEADING
     return ShardState.ELECTING if group.leader is None else ShardState.FOLLOWING
--- a/src/yokeline/shards/targets.py
+++ b/src/yokeline/shards/targets.py
@@ -30,7 +30,9 @@
         return not self._host.is_dead(replica)
 
     def _fallback_target(self, pending: PendingRequest) -> ReplicaId | None:
-        """Return a member of the group, else any live node: its rejection names the leader.
+        """Return a member of the group, else any live node.
+
+        Its not-leader reply may name the leader.
 
         A node that is a member itself waits, since it learns of a new leader as early as the other
         members do.
--- a/tests/unit/shards/test_copy_files.py
+++ b/tests/unit/shards/test_copy_files.py
@@ -42,7 +42,7 @@
         self.assertEqual(stored.entries, entries(11, 13))
         self.assertEqual((stored.replica, stored.last_index, stored.truncated_bytes), (NODE, 13, 0))
 
-    def test_torn_tail_is_truncated_at_every_length(self) -> None:
+    def test_incomplete_record_at_the_end_is_truncated_at_every_length(self) -> None:
         full_log = encode_entries(entries(11, 12))
         first = len(encode_entries(entries(11, 11)))
         for length in range(first, len(full_log)):
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -24,6 +24,7 @@
 OWN = ReplicaId("node~1")
 SHARD_0 = ShardId(0)
 SETTLE_SECONDS = 14.0
+"""Virtual time for failure detection, election, replacement and the end of a replaced group."""
 
 
 def files_of(shard: ShardId, *entries: LogEntry) -> dict[str, bytes]:
