--- a/src/yokeline/shards/repair.py
+++ b/src/yokeline/shards/repair.py
@@ -41,7 +41,7 @@
 
     HEALTHY = "healthy"
     DOUBTFUL = "doubtful"
-    """Dead for less than ``replace_after_seconds``, or in no state known here; not replaced."""
+    """Dead for less than ``replace_after_seconds``, or not known to be healthy; not replaced."""
     LEAVING = "leaving"
     DEAD = "dead"
     """Reported as dead by the failure detector for ``replace_after_seconds`` or longer."""
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -111,7 +111,7 @@
         self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
-        # Term in which this replica was last leader and applied an entry of that same term.
+        # Term of the leadership that was reported to the observer; an entry of it is applied.
         self._applied_leader_term: int | None = None
         self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
@@ -156,8 +156,8 @@
         * ``update.members`` is not empty and does not include this replica;
         * this replica is not a leader, and ``update.term`` is not below its term;
         * ``update.revision``, the index that the leader had applied, is not below
-          ``group.last_index``. A quorum of ``update.members`` then holds every committed entry
-          of the local log, so that no commit relies on this replica.
+          ``group.last_index``. A quorum of other members then holds every entry up to that index,
+          so that no commit relies on this replica.
 
         The local log is not evidence: a removed replica may never receive the entry that removes
         it, and a replica that is added again replays its earlier removal while it catches up.
--- a/tests/unit/shards/test_host.py
+++ b/tests/unit/shards/test_host.py
@@ -173,6 +173,7 @@
             cluster.propose(0, f"run-{number}")
             cluster.advance(0.05)
         status = cluster.leader(0).host.status()[0]
+        # Without compaction, the log would hold all 60 commands.
         self.assertLess(status.log_entries, 40)
         crashed = next(replica for replica in cluster.nodes if replica not in cluster.leaders(0))
         cluster.crash_node(crashed)
@@ -204,6 +205,7 @@
         periods = 40
         batches = [sent for sent in cluster.sent if type(sent[2]).__name__ == "RaftBatch"]
         self.assertLessEqual(len(cluster.sent) - len(batches), 2 * pairs * (periods + 1))
+        # 8 groups, 4 followers each, message and reply, at most 3 idle heartbeats in 10 seconds.
         self.assertLessEqual(len(batches), 8 * 4 * 2 * 3)
 
 
--- a/tests/unit/shards/test_placement.py
+++ b/tests/unit/shards/test_placement.py
@@ -50,6 +50,7 @@
             for item in group:
                 peers.setdefault(item, set()).update(group)
         self.assertEqual(len(peers), 400)
+        # COPYSET_PERMUTATIONS times the 4 other members of a group.
         self.assertLessEqual(max(len(others) - 1 for others in peers.values()), 16)
         loads = Counter(item for group in placement.groups for item in group)
         self.assertLessEqual(max(loads.values()), 2 * min(loads.values()))
--- a/tests/unit/shards/test_recovery.py
+++ b/tests/unit/shards/test_recovery.py
@@ -54,8 +54,8 @@
         copy = read_copies({**files, "set-aside/3-x.log": b"?", "notes": b"?"}).usable[SHARD]
         self.assertEqual((copy.position, copy.runs, copy.active), ((3, 6), 2, 2))
         self.assertEqual(copy.latest_wall, 1.0)
-        torn = {**files, log_file(SHARD): files[log_file(SHARD)][:-1]}
-        self.assertEqual(read_copies(torn).usable[SHARD].position, (3, 5))
+        incomplete = {**files, log_file(SHARD): files[log_file(SHARD)][:-1]}
+        self.assertEqual(read_copies(incomplete).usable[SHARD].position, (3, 5))
 
     def test_unreadable_copies_are_kept_with_their_remedy(self) -> None:
         good = files_of(SHARD, command(5))
--- a/tests/unit/shards/test_router.py
+++ b/tests/unit/shards/test_router.py
@@ -165,7 +165,7 @@
 
 
 class ServerTest(unittest.TestCase):
-    def test_follower_refuses_with_the_leader_as_hint(self) -> None:
+    def test_follower_sends_a_not_leader_reply_with_the_leader(self) -> None:
         cluster = RoutedCluster(shards=1)
         cluster.advance(5.0)
         follower = cluster.follower()
