--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -110,13 +110,14 @@
         self._led_since = {shard: self._led_since.get(shard, now) for shard in led}
 
     def _condition(self, replica: ReplicaId) -> MemberCondition:
+        """Return a member's condition: dead once reported dead for ``replace_after_seconds``."""
         if replica == self._context.replica and self.draining:
             return MemberCondition.LEAVING
         dead_since = self._dead_since.get(replica)
         if dead_since is not None:
             replace_after = self._settings.consensus.replace_after_seconds
-            dead = self._context.now - dead_since >= replace_after
-            return MemberCondition.DEAD if dead else MemberCondition.DOUBTFUL
+            is_replaceable = self._context.now - dead_since >= replace_after
+            return MemberCondition.DEAD if is_replaceable else MemberCondition.DOUBTFUL
         member = self._members.get(replica)
         if member is not None and member.state is MemberState.LEAVING:
             return MemberCondition.LEAVING
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -71,6 +71,7 @@
         return len(self._active)
 
     def _serve(self, sender: ReplicaId, request: ShardRequest) -> None:
+        """Serve a request, whose ``deadline`` field holds the remaining seconds."""
         decoded = decode_operation(request.operation)
         if isinstance(decoded, Failure):
             self._reply(sender, ShardReply(request=request.request, error=decoded.failure()))
