--- a/src/yokeline/shards/leadership_transfer.py
+++ b/src/yokeline/shards/leadership_transfer.py
@@ -26,10 +26,7 @@
     healthy: Sequence[ReplicaId],
     shards_led_by: Callable[[ReplicaId], int],
 ) -> ReplicaId | None:
-    """Return a member to lead instead of this node.
-
-    None if no member leads at least :data:`MIN_LEADER_DIFFERENCE` shards fewer than this node.
-    """
+    """Return a member to lead instead of this node, None if no transfer makes both more even."""
     chosen = choose_successor(shard, healthy, shards_led_by)
     if chosen is None or own_count - shards_led_by(chosen) < MIN_LEADER_DIFFERENCE:
         return None
