--- a/src/yokeline/runs/core.py
+++ b/src/yokeline/runs/core.py
@@ -79,8 +79,8 @@
 
     def find(self, shard: ShardId, run: RunId) -> Run | None:
         """Return a run from the locally applied state, if it exists."""
-        machine = self.host.machine(shard)
-        return machine.runs.get(run) if machine is not None else None
+        state_machine = self.host.state_machine(shard)
+        return state_machine.runs.get(run) if state_machine is not None else None
 
     def root_of(self, shard: ShardId, run: Run) -> Run:
         """Return the root of a run's tree."""
@@ -189,7 +189,7 @@
     def _send_under_lease(self, activity: Activity, run: Run, send: Callable[[Run], None]) -> None:
         """Send while the leader lease is valid, else wait: a new leader may recover the call."""
         same_term = self.host.term(activity.shard) == activity.term
-        if same_term and self.host.may_send(activity.shard):
+        if same_term and self.host.holds_lease(activity.shard):
             activity.stage = Stage.CALLING
             self.count_call("started", run.calls[-1].kind)
             send(run)
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -226,10 +226,10 @@
 
     def leadership_gained(self, shard: ShardId) -> None:
         """Resume every active run of a shard."""
-        machine = self._core.host.machine(shard)
-        if machine is None:
+        state_machine = self._core.host.state_machine(shard)
+        if state_machine is None:
             return
-        for run in sorted(machine.runs):
+        for run in sorted(state_machine.runs):
             self._core.drive(shard, run)
 
     def leadership_lost(self, shard: ShardId) -> None:
@@ -247,7 +247,7 @@
         """Hold new tool, app and child calls for the next leader."""
         self._draining = True
 
-    def blocks_hand_over(self, shard: ShardId) -> bool:
+    def blocks_transfer(self, shard: ShardId) -> bool:
         """Return whether a call that is not repeatable is in flight in a shard."""
         return any(
             activity.shard == shard and not activity.repeatable
--- a/src/yokeline/runs/executor.py
+++ b/src/yokeline/runs/executor.py
@@ -114,9 +114,13 @@
         run = self._core.find(shard, command.run)
         if run is None:
             return
-        machine = self._core.host.machine(shard)
-        cascades = isinstance(command, CancelRun) and machine is not None
-        changed = descendants(machine.runs, run) if cascades and machine is not None else [run]
+        state_machine = self._core.host.state_machine(shard)
+        cascades = isinstance(command, CancelRun) and state_machine is not None
+        changed = (
+            descendants(state_machine.runs, run)
+            if cascades and state_machine is not None
+            else [run]
+        )
         for member in reversed(changed):
             self._run_changed(shard, member)
 
@@ -148,9 +152,9 @@
         """Hold new tool, app and child calls, because leadership is about to move."""
         self._driver.begin_drain()
 
-    def blocks_hand_over(self, shard: ShardId) -> bool:
+    def blocks_transfer(self, shard: ShardId) -> bool:
         """Return whether handing the shard over now could leave a call's outcome unknown."""
-        return self._driver.blocks_hand_over(shard)
+        return self._driver.blocks_transfer(shard)
 
     # ------------------------------------------------------------ status
 
--- a/src/yokeline/runs/ports.py
+++ b/src/yokeline/runs/ports.py
@@ -40,7 +40,7 @@
         """Read the state linearizably: it includes all commands committed before the call."""
         ...
 
-    def machine(self, shard: ShardId) -> RunStateMachine | None:
+    def state_machine(self, shard: ShardId) -> RunStateMachine | None:
         """Return the locally applied state, or None if this node has no replica."""
         ...
 
@@ -52,7 +52,7 @@
         """Return the shard's current term."""
         ...
 
-    def may_send(self, shard: ShardId) -> bool:
+    def holds_lease(self, shard: ShardId) -> bool:
         """Return whether the leader lease is valid, so that calls may be sent."""
         ...
 
--- a/src/yokeline/server/copy_rows.py
+++ b/src/yokeline/server/copy_rows.py
@@ -8,7 +8,7 @@
 
 from yokeline.identifiers import NodeName, ShardId
 from yokeline.server.recovery import ShardRecovery
-from yokeline.shards.copies import CopySet, DamagedCopy, ShardCopy
+from yokeline.shards.copies import DamagedCopy, ShardCopy, StoredCopies
 
 MEMORY = "memory"
 DISK = "disk"
@@ -46,7 +46,7 @@
 
 def copy_rows(
     recovery: ShardRecovery,
-    copies: CopySet,
+    copies: StoredCopies,
     shards: Iterable[ShardId],
     node: NodeName,
     wall: float,
@@ -79,7 +79,7 @@
         active=copy.active,
         latest_wall=copy.latest_wall,
         age_seconds=max(0.0, wall - copy.latest_wall) if copy.latest_wall else 0.0,
-        cut_bytes=stored.cut_bytes,
+        cut_bytes=stored.truncated_bytes,
     )
 
 
--- a/src/yokeline/shards/copies.py
+++ b/src/yokeline/shards/copies.py
@@ -1,7 +1,7 @@
 """Copies of shards that earlier process starts of this node left in its data folder.
 
 Copies are separate from the groups of the current process: a copy is used only by an
-operator's recovery, and dropped once this node holds a live replica of the shard again.
+operator's recovery, and dropped once this process writes its own copy of the shard.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 )
 
 SET_ASIDE_FOLDER = "set-aside"
-"""Subfolder of the data folder that nodes never read; operators may delete its files."""
+"""Subfolder for damaged or obsolete copies; nodes never read it, operators may delete files."""
 _FILE_NAME = re.compile(r"shards/([0-9]{1,9})\.(snapshot|log)")
 
 
@@ -62,7 +62,7 @@
     log: bytes
 
 
-class CopySet:
+class StoredCopies:
     """Copies found in the data folder at the start of the process.
 
     Attributes:
@@ -75,15 +75,15 @@
         self.damaged: dict[ShardId, DamagedCopy] = {}
 
 
-def read_copies(files: Mapping[str, bytes]) -> CopySet:
+def read_copies(files: Mapping[str, bytes]) -> StoredCopies:
     """Return the copies in the files of a data folder; files of other names are ignored."""
-    found = CopySet()
+    found = StoredCopies()
     matches = [_FILE_NAME.fullmatch(name) for name in files]
     numbers = sorted({int(match.group(1)) for match in matches if match is not None})
     for shard in map(ShardId, numbers):
         snapshot = files.get(snapshot_file(shard), b"")
         log = files.get(log_file(shard), b"")
-        copy = decode_shard(shard, snapshot, log).bind(examine)
+        copy = decode_shard(shard, snapshot, log).bind(replay_copy)
         if isinstance(copy, Failure):
             error = copy.failure()
             found.damaged[shard] = DamagedCopy(shard=shard, error=error, snapshot=snapshot, log=log)
@@ -92,26 +92,26 @@
     return found
 
 
-def examine(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
+def replay_copy(stored: StoredShard) -> Result[ShardCopy, YokelineError]:
     """Replay a copy on a state machine, to check that it applies and to summarize it."""
     try:
-        machine = RunStateMachine.restore(stored.snapshot.data)
+        state_machine = RunStateMachine.restore(stored.snapshot.data)
     except (msgspec.ValidationError, ormsgpack.MsgpackDecodeError) as error:
         return Failure(_unreadable_copy_error(stored.shard, f"its snapshot: {error}"))
-    walls = [_latest_wall(run) for run in machine.runs.values()]
+    walls = [_latest_wall(run) for run in state_machine.runs.values()]
     for entry in stored.entries:
         if entry.kind is not EntryKind.COMMAND:
             continue
         command = _command_of(entry)
         if command is None:
             return Failure(_unreadable_copy_error(stored.shard, f"its entry {entry.index}"))
-        machine.apply(command)
+        state_machine.apply(command)
         walls.append(command.wall)
-    active = sum(1 for run in machine.runs.values() if run.status is RunStatus.ACTIVE)
+    active = sum(1 for run in state_machine.runs.values() if run.status is RunStatus.ACTIVE)
     return Success(
         ShardCopy(
             stored=stored,
-            runs=len(machine.runs),
+            runs=len(state_machine.runs),
             active=active,
             latest_wall=max(walls, default=0.0),
         )
@@ -129,7 +129,7 @@
 
 
 def set_aside_writes(copy: StoredShard) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that save a copy under names that are never used again."""
+    """Return the file writes that save a copy under names that are never used again."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{copy.replica}-{copy.last_term}"
     snapshot = encode_snapshot(copy.shard, copy.replica, copy.snapshot)
     return (
@@ -139,7 +139,7 @@
 
 
 def set_aside_damaged_writes(copy: DamagedCopy, by: ReplicaId) -> tuple[WriteFile, WriteFile]:
-    """Return the effects that save unreadable files unchanged before they are replaced."""
+    """Return the file writes that save unreadable files unchanged before they are replaced."""
     name = f"{SET_ASIDE_FOLDER}/{copy.shard}-{by}-damaged"
     return (
         WriteFile(name=f"{name}.snapshot", data=copy.snapshot),
--- a/src/yokeline/shards/copy_writer.py
+++ b/src/yokeline/shards/copy_writer.py
@@ -1,7 +1,7 @@
 """Writes copies of this node's replicas to the data folder, for recovery from a lost majority.
 
-Copies are written asynchronously: no request waits for them, so they may lack the last
-moments before a crash. A replica is written only once it has applied its own membership, so
+Copies are written asynchronously: no request waits for them, so after a crash they may lack
+the latest committed entries. A replica is written only once it has applied its own membership, so
 that a less complete state never replaces the copy of an earlier process start. Unreadable
 files, and copies made obsolete by a recovery, are set aside before they are replaced.
 """
@@ -15,7 +15,7 @@
 from yokeline.effects import DeleteFile, WriteFile
 from yokeline.identifiers import ShardId
 from yokeline.server.context import NodeContext
-from yokeline.shards.copies import CopySet, set_aside_damaged_writes, set_aside_writes
+from yokeline.shards.copies import StoredCopies, set_aside_damaged_writes, set_aside_writes
 from yokeline.shards.copy_format import (
     StoredShard,
     encode_entries,
@@ -47,7 +47,7 @@
 class CopyWriter:
     """Writes snapshots and log entries of the replicas that have changed."""
 
-    def __init__(self, context: NodeContext, earlier_copies: CopySet) -> None:
+    def __init__(self, context: NodeContext, earlier_copies: StoredCopies) -> None:
         """Write through ``context``; ``earlier_copies`` are dropped once they are replaced."""
         self._context = context
         self._earlier_copies = earlier_copies
@@ -63,8 +63,8 @@
             state.entries.extend(entries)
         self._mark_dirty(replica)
 
-    def note_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Record that a leader's snapshot replaced the state of a replica."""
+    def note_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+        """Record that a replica installed a snapshot."""
         state = self._states.setdefault(replica.shard, _CopyState())
         state.last_term = snapshot.last_term
         state.snapshot_index = None
@@ -126,7 +126,7 @@
             last_index=replica.applied_index,
             last_term=state.last_term,
             members=replica.committed_members,
-            data=replica.machine.snapshot(),
+            data=replica.state_machine.snapshot(),
         )
 
     def _write_snapshot(self, replica: ShardReplica, state: _CopyState, snapshot: Snapshot) -> None:
--- a/src/yokeline/shards/host.py
+++ b/src/yokeline/shards/host.py
@@ -28,7 +28,7 @@
 from yokeline.server.context import NodeContext
 from yokeline.settings import Settings
 from yokeline.shards.batches import RaftBatcher
-from yokeline.shards.copies import CopySet
+from yokeline.shards.copies import StoredCopies
 from yokeline.shards.copy_format import StoredShard
 from yokeline.shards.copy_writer import CopyWriter
 from yokeline.shards.errors import not_leader
@@ -66,9 +66,10 @@
     :meth:`next_deadline` is reached.
 
     Attributes:
-        heartbeats: Heartbeats to other nodes; they carry the configuration revision that its
-            ``configuration_revision`` returns.
-        copies: Copies left by earlier process starts, of shards not live again at this node.
+        heartbeats: Heartbeats to other nodes; they carry the revision of the tenants'
+            configuration that ``heartbeats.configuration_revision`` returns.
+        copies: Copies left by earlier process starts, until this process writes a copy of the
+            same shard.
     """
 
     def __init__(
@@ -77,10 +78,10 @@
         settings: Settings,
         peers: PeerView,
         listener: ShardListener | None = None,
-        copies: CopySet | None = None,
+        copies: StoredCopies | None = None,
     ) -> None:
         """Start without replicas; ``copies`` were read from the data folder at the start."""
-        self.copies = copies or CopySet()
+        self.copies = copies or StoredCopies()
         self._context = context
         self._peers = peers
         self._listener = listener
@@ -140,10 +141,10 @@
         replica.read(self._context.now, done)
         self._local_replicas.reschedule_tick(replica)
 
-    def machine(self, shard: ShardId) -> RunStateMachine | None:
+    def state_machine(self, shard: ShardId) -> RunStateMachine | None:
         """Return the local state machine of a shard, None if this node holds no replica."""
         replica = self._replicas.get(shard)
-        return None if replica is None else replica.machine
+        return None if replica is None else replica.state_machine
 
     def leads(self, shard: ShardId) -> bool:
         """Return whether this node leads a shard and has applied everything committed before."""
@@ -159,7 +160,7 @@
         replica = self._replicas.get(shard)
         return 0 if replica is None else replica.group.term
 
-    def may_send(self, shard: ShardId) -> bool:
+    def holds_lease(self, shard: ShardId) -> bool:
         """Return whether this node leads a shard and holds a valid leader lease."""
         replica = self._replicas.get(shard)
         if replica is None or not replica.leads:
@@ -196,7 +197,7 @@
     # ------------------------------------------------------------ group lifecycle
 
     def start_groups(self, placement: Placement) -> None:
-        """Join the groups of the initial placement that include this process start."""
+        """Bootstrap the replicas that the initial placement assigns to this process start."""
         self._gossip.directory.load_placement(placement)
         for number, members in enumerate(placement.groups):
             if self._context.replica in members:
@@ -204,7 +205,10 @@
         self._update_peers()
 
     def recover(self, shard: ShardId, log: RecoveryLog) -> None:
-        """Restart a shard's group with this node as its only member; see ``server.recovery``."""
+        """After a quorum loss, start a new group with this node as the only member.
+
+        See ``server.recovery``.
+        """
         old = self._replicas.get(shard)
         if old is not None:
             self._drop_obsolete(old)
@@ -227,11 +231,11 @@
         lost = all(has_lost_majority(members, self._peers.is_dead) for members in groups)
         return bool(groups) and lost
 
-    def set_hand_over_guard(self, guard: Callable[[ShardId], bool]) -> None:
+    def set_transfer_guard(self, guard: Callable[[ShardId], bool]) -> None:
         """Do not transfer a shard's leadership while ``guard`` returns true for the shard."""
         self._maintenance.transfer_blocked = guard
 
-    def hand_over_all(self) -> None:
+    def transfer_all_leaderships(self) -> None:
         """Begin the planned stop: transfer every leadership that another node can take over."""
         self._maintenance.draining = True
         self._maintenance.run_round()
@@ -398,7 +402,7 @@
         if self._copy_writer is not None:
             self._copy_writer.note_committed(replica, entries)
 
-    def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """Record a leader's snapshot for the copy on disk, if there is a data folder."""
+    def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+        """Record an installed snapshot for the copy on disk, if there is a data folder."""
         if self._copy_writer is not None:
-            self._copy_writer.note_restored(replica, snapshot)
+            self._copy_writer.note_snapshot_installed(replica, snapshot)
--- a/src/yokeline/shards/leader_gossip.py
+++ b/src/yokeline/shards/leader_gossip.py
@@ -43,8 +43,11 @@
         self._notify_observers(update.shard)
         return True
 
-    def announce(self, replica: ShardReplica, listeners: Iterable[ReplicaId]) -> None:
-        """Announce to ``listeners`` that this node leads a shard, with its members."""
+    def announce(self, replica: ShardReplica, recipients: Iterable[ReplicaId]) -> None:
+        """Announce to ``recipients`` that this node leads a shard, with its members.
+
+        The ``revision`` of the update is the index that this node has applied.
+        """
         update = ShardLeader(
             replica.shard,
             replica.group.term,
@@ -53,7 +56,7 @@
             replica.applied_index,
         )
         self.directory.merge(update)
-        for peer in listeners:
+        for peer in recipients:
             self.directory.enqueue(peer, replica.shard)
         self._notify_observers(replica.shard)
 
--- a/src/yokeline/shards/maintenance.py
+++ b/src/yokeline/shards/maintenance.py
@@ -87,7 +87,7 @@
     # ------------------------------------------------------------ state of nodes and groups
 
     def _update_dead_members(self) -> None:
-        """Record when members died, and notify the groups that a new dead member led."""
+        """Record since when members are reported as dead; notify the groups that they led."""
         now = self._context.now
         involved = {
             member for replica in self._replicas.values() for member in replica.group.members
@@ -110,13 +110,14 @@
         self._led_since = {shard: self._led_since.get(shard, now) for shard in led}
 
     def _condition(self, replica: ReplicaId) -> MemberCondition:
+        """Return a member's condition: dead once reported dead for ``replace_after_seconds``."""
         if replica == self._context.replica and self.draining:
             return MemberCondition.LEAVING
         dead_since = self._dead_since.get(replica)
         if dead_since is not None:
             replace_after = self._settings.consensus.replace_after_seconds
-            dead = self._context.now - dead_since >= replace_after
-            return MemberCondition.DEAD if dead else MemberCondition.DOUBTFUL
+            is_replaceable = self._context.now - dead_since >= replace_after
+            return MemberCondition.DEAD if is_replaceable else MemberCondition.DOUBTFUL
         member = self._members.get(replica)
         if member is not None and member.state is MemberState.LEAVING:
             return MemberCondition.LEAVING
@@ -203,9 +204,9 @@
                 self._transfer(replica, chosen)
 
     def _balance(self) -> None:
-        """Transfer some led shards to nodes that lead fewer."""
-        pause = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
-        self._next_balance = self._context.now + pause
+        """Transfer up to ``TRANSFERS_PER_BALANCE_ROUND`` shards to nodes that lead fewer."""
+        delay = BALANCE_PERIOD_SECONDS * (1.0 + self._context.random.random())
+        self._next_balance = self._context.now + delay
         own_count = len(self._led_since)
         transferred: dict[ReplicaId, int] = {}
         for shard, since in self._led_since.items():
--- a/src/yokeline/shards/replica.py
+++ b/src/yokeline/shards/replica.py
@@ -60,7 +60,7 @@
     def replica_members_committed(
         self, replica: ShardReplica, removed: tuple[ReplicaId, ...]
     ) -> None:
-        """A configuration was committed that no longer includes ``removed``."""
+        """A group membership was committed that no longer includes ``removed``."""
         ...
 
     def replica_applied(self, replica: ShardReplica, command: Command, result: ApplyResult) -> None:
@@ -71,8 +71,8 @@
         """Entries were committed and applied."""
         ...
 
-    def replica_restored(self, replica: ShardReplica, snapshot: Snapshot) -> None:
-        """A snapshot replaced the state of the replica."""
+    def replica_snapshot_installed(self, replica: ShardReplica, snapshot: Snapshot) -> None:
+        """A snapshot was installed: it replaced the state of the replica."""
         ...
 
 
@@ -82,13 +82,13 @@
 
 
 class ShardReplica:
-    """Carries out the effects of one Raft group, in order and without recursion.
+    """Applies the effects that one Raft group returns, in order and without recursion.
 
     Attributes:
         shard: The shard.
         group: The Raft group.
-        machine: State after the entry ``applied_index``.
-        committed_members: Members of the last applied configuration.
+        state_machine: State after the entry ``applied_index``.
+        committed_members: Members by the last applied membership entry.
         hard_state: Term and vote, to be kept after the replica has left the group.
         last_message_at: Monotonic time at which the last message of the group arrived.
     """
@@ -104,14 +104,15 @@
         """Run ``group``; compact its log after every ``snapshot_entries`` entries."""
         self.shard = shard
         self.group = group
-        self.machine = RunStateMachine()
+        self.state_machine = RunStateMachine()
         self.applied_index = 0
         self.committed_members = group.members
         self.hard_state = hard_state
         self.last_message_at = 0.0
         self._observer = observer
         self._snapshot_entries = snapshot_entries
-        self._ready_term: int | None = None
+        # Term of the leadership that was reported to the observer; an entry of it is applied.
+        self._applied_leader_term: int | None = None
         self._leadership_reported = False
         self._queue: deque[RaftEffect] = deque()
         self._is_carrying_out = False
@@ -121,23 +122,27 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this replica leads and has applied everything committed before."""
+        """Whether the Raft role is leader and an entry of the current term has been applied.
+
+        All entries that were committed in earlier terms have then been applied too. Neither the
+        lease nor contact with a quorum is checked.
+        """
         group = self.group
-        return group.role is RaftRole.LEADER and group.term == self._ready_term
+        return group.role is RaftRole.LEADER and group.term == self._applied_leader_term
 
     @property
     def membership_applied(self) -> bool:
-        """Whether the configuration in force is committed and applied."""
+        """Whether the group membership in use is committed and applied here."""
         return set(self.committed_members) == set(self.group.members)
 
     @property
     def is_carrying_out(self) -> bool:
-        """Whether effects are being carried out, so that the caller runs in a callback of one."""
+        """Whether Raft effects are being applied, so that the caller runs within a callback."""
         return self._is_carrying_out
 
     @property
     def announced_members(self) -> tuple[ReplicaId, ...]:
-        """Members that a leader announces: during a change, those of both configurations."""
+        """Members that a leader announces: during a change, those of both memberships."""
         if self.membership_applied:
             return self.committed_members
         return tuple(sorted({*self.committed_members, *self.group.members}))
@@ -145,14 +150,17 @@
     def is_removed_by(self, update: ShardLeader) -> bool:
         """Return whether a leader update proves that this replica was removed permanently.
 
-        The local log proves nothing: a removed replica may never receive the entry that removes
-        it, and a replica that is added again replays its earlier removal while it catches up.
-        An update without this replica means that no configuration with it was in force at the
-        leader when everything up to ``update.revision`` was committed, so that a quorum of other
-        members holds those entries. If the local log ends at this index or before, no member
-        depends on this replica.
+        It does if ``update.term`` has a higher lineage, because a recovery has replaced the
+        group, or if all of these hold:
 
-        An update of a higher lineage is always a proof: a recovery has replaced the group.
+        * ``update.members`` is not empty and does not include this replica;
+        * this replica is not a leader, and ``update.term`` is not below its term;
+        * ``update.revision``, the index that the leader had applied, is not below
+          ``group.last_index``. A quorum of other members then holds every entry up to that index,
+          so that no commit relies on this replica.
+
+        The local log is not evidence: a removed replica may never receive the entry that removes
+        it, and a replica that is added again replays its earlier removal while it catches up.
         """
         if is_obsolete(self.group.term, update.term):
             return True
@@ -187,14 +195,14 @@
         self.carry_out(self.group.read(token, now))
 
     def change_members(self, proposal: Proposal) -> bool:
-        """Carry out the effects of a proposed membership change; return whether accepted."""
+        """Apply the Raft effects of a membership proposal; return whether it was accepted."""
         self.carry_out(proposal.effects)
         return proposal.accepted
 
     # ------------------------------------------------------------ effects
 
     def carry_out(self, effects: Iterable[RaftEffect]) -> None:
-        """Carry out effects, after those that are already queued."""
+        """Apply Raft effects, after those that are already queued."""
         self._queue.extend(effects)
         if self._is_carrying_out:
             return
@@ -212,13 +220,13 @@
             case Committed():
                 self._apply_all(effect.entries)
             case Restored():
-                self._restore(effect.snapshot)
+                self._install_snapshot(effect.snapshot)
             case RoleChanged():
                 self._role_changed(effect)
             case MembersChanged():
                 self._observer.replica_state_changed(self)
             case ReadReady():
-                self._complete_read(effect.token, Success(self.machine))
+                self._complete_read(effect.token, Success(self.state_machine))
             case ReadFailed():
                 self._complete_read(effect.token, Failure(not_leader(self.shard)))
             case HardStateChanged():
@@ -227,7 +235,7 @@
                 assert_never(effect)
 
     def _role_changed(self, change: RoleChanged) -> None:
-        still_leads = change.role is RaftRole.LEADER and change.term == self._ready_term
+        still_leads = change.role is RaftRole.LEADER and change.term == self._applied_leader_term
         if self._leadership_reported and not still_leads:
             self._transition_not_leading()
         if change.role is not RaftRole.LEADER:
@@ -235,12 +243,12 @@
         self._observer.replica_state_changed(self)
 
     def _transition_leading(self, term: int) -> None:
-        self._ready_term = term
+        self._applied_leader_term = term
         self._leadership_reported = True
         self._observer.replica_gained_leadership(self)
 
     def _transition_not_leading(self) -> None:
-        self._ready_term = None
+        self._applied_leader_term = None
         self._leadership_reported = False
         self._observer.replica_lost_leadership(self)
 
@@ -293,7 +301,7 @@
             # Skipping the entry would make this replica diverge from the others.
             raise YokelineException(decoded.failure())
         command = decoded.unwrap()
-        result = self.machine.apply(command)
+        result = self.state_machine.apply(command)
         self._observer.replica_applied(self, command, result)
         pending = self._proposals.pop(entry.index, None)
         if pending is None:
@@ -303,18 +311,19 @@
         else:
             pending.done(Failure(not_leader(self.shard)))
 
-    def _restore(self, snapshot: Snapshot) -> None:
-        self.machine = RunStateMachine.restore(snapshot.data)
+    def _install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the state by a snapshot from the leader or from a recovered copy."""
+        self.state_machine = RunStateMachine.restore(snapshot.data)
         self.applied_index = snapshot.last_index
         self.committed_members = snapshot.members
-        self._observer.replica_restored(self, snapshot)
+        self._observer.replica_snapshot_installed(self, snapshot)
         self._observer.replica_state_changed(self)
 
     def _compact_if_due(self) -> None:
         snapshot = self.group.snapshot
         compacted_index = 0 if snapshot is None else snapshot.last_index
         if self.applied_index - compacted_index >= self._snapshot_entries:
-            self.group.compact(self.applied_index, self.machine.snapshot())
+            self.group.compact(self.applied_index, self.state_machine.snapshot())
 
     def export_copy(self) -> StoredShard:
         """Return the snapshot and the log, including uncommitted entries, as a copy."""
--- a/src/yokeline/shards/router.py
+++ b/src/yokeline/shards/router.py
@@ -1,8 +1,9 @@
 """Routes operations to the leaders of their shards and reports the outcomes.
 
-A request without a reply is sent again under the same id, either to the same leader, which
-serves each id once, or to the next leader, since operations are idempotent by their ids. At
-the deadline, a write is reported as not run only if every node that received it rejected it.
+A request without a reply is sent again. The same leader detects the repetition by the request
+id (``shard_server``), while the request is served or its reply is cached. Another leader detects
+it by the run id or turn key, which the state machine deduplicates. At the deadline, a write is
+reported as not run only if every attempt got a not-leader reply.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
         self._server = server
         self._targets = TargetChooser(context.replica, host)
         self._pending: dict[RequestId, PendingRequest] = {}
-        self._by_wire_id: dict[RequestId, PendingRequest] = {}
+        self._by_attempt_id: dict[RequestId, PendingRequest] = {}
         self._by_shard: dict[ShardId, dict[RequestId, PendingRequest]] = {}
         self._deadlines: DeadlineQueue[RequestId] = DeadlineQueue()
         host.observe_leaders(self._leader_changed)
@@ -73,7 +74,7 @@
         Args:
             shard: Shard of the operation.
             operation: The operation.
-            deadline_seconds: Seconds after which ``done`` is called at the latest.
+            deadline_seconds: Remaining seconds, after which ``done`` is called at the latest.
             done: Receives the result, or an error whose ``execution`` holds for all attempts.
             on_events: Receives the events of a watched run.
         """
@@ -81,13 +82,13 @@
         deadline = self._context.now + deadline_seconds
         pending = PendingRequest(request, shard, operation, deadline, done, on_events)
         self._pending[request] = pending
-        self._by_wire_id[request] = pending
+        self._by_attempt_id[request] = pending
         self._by_shard.setdefault(shard, {})[request] = pending
         self._dispatch(pending)
         return request
 
     def cancel(self, request: RequestId) -> None:
-        """Cancel a request: its callbacks are not called again. Effects that it had remain."""
+        """Cancel a request: its callbacks are not called again. Committed changes remain."""
         pending = self._pending.get(request)
         if pending is None:
             return
@@ -114,10 +115,10 @@
     def _send(self, pending: PendingRequest, target: ReplicaId) -> None:
         pending.note_sent(target)
         message = ShardRequest(
-            request=pending.wire_id,
+            request=pending.attempt_id,
             shard=pending.shard,
             operation=encode_operation(pending.current_operation()),
-            deadline=self._leader_deadline_seconds(pending),
+            deadline=self._leader_timeout_seconds(pending),
         )
         self._context.send_peer(target, message)
         wait = min(RESEND_BASE_SECONDS * 2.0**pending.resends, RESEND_MAX_SECONDS)
@@ -141,14 +142,15 @@
         ticket = self._server.serve(
             pending.current_operation(),
             pending.shard,
-            deadline_seconds=self._leader_deadline_seconds(pending),
+            deadline_seconds=self._leader_timeout_seconds(pending),
             done=done,
             on_events=push,
         )
         if attempt == pending.attempts and pending.request in self._pending:
             pending.ticket = ticket
 
-    def _leader_deadline_seconds(self, pending: PendingRequest) -> float:
+    def _leader_timeout_seconds(self, pending: PendingRequest) -> float:
+        """Return the remaining seconds until the leader has to reply."""
         left = max(0.0, pending.deadline - self._context.now)
         return left - min(DEADLINE_MARGIN_SECONDS, left / 2.0)
 
@@ -185,7 +187,7 @@
 
     def _retry(self, pending: PendingRequest) -> None:
         """Send a request again, after a backoff or after silence of its target."""
-        pending.rejected_by = None
+        pending.not_leader_node = None
         if pending.target is not None:
             pending.resends += 1
             self._context.counters["yokeline_requests_resent_total"] += 1
@@ -213,7 +215,7 @@
         if self._pending.get(pending.request) is not pending:
             return
         self._abandon_local_operation(pending)
-        pending.rejected_by = None
+        pending.not_leader_node = None
         pending.resends = 0
         pending.attempts += 1
         self._dispatch(pending)
@@ -228,13 +230,13 @@
         if pending.ticket is not None:
             self._abandon_local_operation(pending)
         elif pending.target not in (None, self._context.replica):
-            self._context.send_peer(pending.target, ShardCancel(request=pending.wire_id))
+            self._context.send_peer(pending.target, ShardCancel(request=pending.attempt_id))
 
     # ------------------------------------------------------------ replies
 
     def receive_reply(self, sender: ReplicaId, reply: ShardReply) -> None:
         """Process the reply of another node."""
-        pending = self._by_wire_id.get(reply.request)
+        pending = self._by_attempt_id.get(reply.request)
         if pending is None:
             self._context.counters[LATE_REPLIES_METRIC] += 1
             return
@@ -250,8 +252,8 @@
             self._handle_result(pending, sender, decode_result(reply.result))
 
     def _handle_not_leader(self, pending: PendingRequest, sender: ReplicaId) -> None:
-        """Handle a rejection: the node does not lead the shard and did nothing."""
-        pending.note_rejected(sender)
+        """Handle a not-leader reply: the node does not lead the shard and did nothing."""
+        pending.note_not_leader_reply(sender)
         if pending.target != sender:
             return
         leader = self._host.leader_of(pending.shard)
@@ -293,7 +295,7 @@
 
     def _forget(self, pending: PendingRequest) -> None:
         del self._pending[pending.request]
-        del self._by_wire_id[pending.wire_id]
+        del self._by_attempt_id[pending.attempt_id]
         shard_requests = self._by_shard[pending.shard]
         del shard_requests[pending.request]
         if not shard_requests:
@@ -304,7 +306,7 @@
 
     def receive_events(self, sender: ReplicaId, message: RunEvents) -> None:
         """Process events of a watched run."""
-        pending = self._by_wire_id.get(message.request)
+        pending = self._by_attempt_id.get(message.request)
         if pending is None or pending.target != sender:
             self._context.counters["yokeline_late_events_total"] += 1
             return
@@ -328,8 +330,8 @@
         if pending.gaps > MAX_EVENT_GAPS:
             return
         self._cancel_at_target(pending)
-        del self._by_wire_id[pending.wire_id]
-        pending.wire_id = self._context.new_request_id()
-        self._by_wire_id[pending.wire_id] = pending
+        del self._by_attempt_id[pending.attempt_id]
+        pending.attempt_id = self._context.new_request_id()
+        self._by_attempt_id[pending.attempt_id] = pending
         pending.attempts += 1
         self._dispatch(pending)
--- a/src/yokeline/shards/shard_server.py
+++ b/src/yokeline/shards/shard_server.py
@@ -19,7 +19,7 @@
 MAX_RESULT_BYTES = DEFAULT_FRAME_LIMIT - 65_536
 """Largest encoded result; leaves room for the rest of the frame."""
 MAX_CACHED_REPLIES = 1024
-"""Final replies kept for routers that send a request again."""
+"""Maximum number of final replies cached for repeated requests."""
 MAX_CACHED_REPLY_BYTES = 8 * 1024 * 1024
 """Total size of the results in the cached replies."""
 
@@ -27,11 +27,11 @@
 class _ActiveRequest:
     """A request that is being served."""
 
-    __slots__ = ("request", "sender", "ticket")
+    __slots__ = ("message", "sender", "ticket")
 
     def __init__(self, sender: ReplicaId, request: ShardRequest) -> None:
         self.sender = sender
-        self.request = request
+        self.message = request
         self.ticket: str | None = None
 
 
@@ -58,7 +58,7 @@
         elif self._host.leads(request.shard):
             self._serve(sender, request)
         else:
-            self._refuse(sender, request)
+            self._reply_not_leader(sender, request)
 
     def receive_cancel(self, sender: ReplicaId, cancel: ShardCancel) -> None:
         """Stop serving a request that its sender has cancelled."""
@@ -71,6 +71,7 @@
         return len(self._active)
 
     def _serve(self, sender: ReplicaId, request: ShardRequest) -> None:
+        """Serve a request, whose ``deadline`` field holds the remaining seconds."""
         decoded = decode_operation(request.operation)
         if isinstance(decoded, Failure):
             self._reply(sender, ShardReply(request=request.request, error=decoded.failure()))
@@ -89,7 +90,7 @@
     def _finish(
         self, active: _ActiveRequest, result: Result[OperationResult, YokelineError]
     ) -> None:
-        if self._active.pop(active.request.request, None) is None:
+        if self._active.pop(active.message.request, None) is None:
             return
         if isinstance(result, Failure):
             self._finish_failed(active, result.failure())
@@ -99,14 +100,14 @@
             error = result_too_large(len(data), MAX_RESULT_BYTES)
             self._finish_failed(active, error)
             return
-        reply = ShardReply(request=active.request.request, result=data)
+        reply = ShardReply(request=active.message.request, result=data)
         self._cache_reply(reply)
         self._reply(active.sender, reply)
 
     def _finish_failed(self, active: _ActiveRequest, error: YokelineError) -> None:
-        request = active.request
+        request = active.message
         if is_leadership_error(error) and error.execution is Execution.NOT_RUN:
-            self._refuse(active.sender, request)
+            self._reply_not_leader(active.sender, request)
             return
         reply = ShardReply(
             request=request.request,
@@ -117,8 +118,8 @@
             self._cache_reply(reply)
         self._reply(active.sender, reply)
 
-    def _refuse(self, sender: ReplicaId, request: ShardRequest) -> None:
-        """Reply that this node does not lead the shard and did nothing."""
+    def _reply_not_leader(self, sender: ReplicaId, request: ShardRequest) -> None:
+        """Send a not-leader reply: this node does not lead the shard and did nothing."""
         leader = self._host.leader_of(request.shard)
         reply = ShardReply(request=request.request, not_leader=True, leader=leader)
         self._reply(sender, reply)
@@ -127,9 +128,9 @@
         self._context.send_peer(sender, reply)
 
     def _push(self, active: _ActiveRequest, events: tuple[RunEvent, ...]) -> None:
-        if active.request.request not in self._active:
+        if active.message.request not in self._active:
             return
-        message = RunEvents(request=active.request.request, events=encode_events(events))
+        message = RunEvents(request=active.message.request, events=encode_events(events))
         self._context.send_peer(active.sender, message)
 
     def _cache_reply(self, reply: ShardReply) -> None:
@@ -144,7 +145,7 @@
             self._cached_bytes -= len(self._cached_replies.pop(oldest).result)
 
     def _abandon(self, active: _ActiveRequest) -> None:
-        del self._active[active.request.request]
+        del self._active[active.message.request]
         if active.ticket is not None:
             self._server.abandon(active.ticket)
 
--- a/tests/unit/runs/support.py
+++ b/tests/unit/runs/support.py
@@ -92,7 +92,7 @@
     ) -> None:
         done(Success(self.state))
 
-    def machine(self, _shard: ShardId) -> RunStateMachine:
+    def state_machine(self, _shard: ShardId) -> RunStateMachine:
         return self.state
 
     def leads(self, _shard: ShardId) -> bool:
@@ -101,7 +101,7 @@
     def term(self, _shard: ShardId) -> int:
         return self.current_term
 
-    def may_send(self, _shard: ShardId) -> bool:
+    def holds_lease(self, _shard: ShardId) -> bool:
         return self.leading and self.lease_valid
 
 
--- a/tests/unit/shards/test_placement.py
+++ b/tests/unit/shards/test_placement.py
@@ -15,7 +15,7 @@
     choose_member,
     decode_placement,
     encode_placement,
-    first_placement,
+    initial_placement,
 )
 
 
@@ -50,6 +50,7 @@
             for item in group:
                 peers.setdefault(item, set()).update(group)
         self.assertEqual(len(peers), 400)
+        # COPYSET_PERMUTATIONS times the 4 other members of a group.
         self.assertLessEqual(max(len(others) - 1 for others in peers.values()), 16)
         loads = Counter(item for group in placement.groups for item in group)
         self.assertLessEqual(max(loads.values()), 2 * min(loads.values()))
@@ -71,7 +72,7 @@
     def test_placement_text_is_checked(self) -> None:
         settings = Settings(node=NodeSection(name="n"), cluster=ClusterSection(shards=4))
         members = tuple(member(f"node-{number}", "zone") for number in range(5))
-        placement = first_placement(members, settings)
+        placement = initial_placement(members, settings)
         text = encode_placement(placement)
         self.assertEqual(decode_placement(text, settings), Success(placement))
         other = Settings(node=NodeSection(name="n"), cluster=ClusterSection(shards=8))
