--- a/benchmarks/engine_choice.py
+++ b/benchmarks/engine_choice.py
@@ -29,8 +29,8 @@
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext
-from yokeline.scheduling.engine_model import EngineModel, ServedTurn
-from yokeline.scheduling.engine_profiles import ToldProfile
+from yokeline.scheduling.engine_model import EngineLatencyModel, ServedTurn
+from yokeline.scheduling.engine_profiles import ReportedProfile
 from yokeline.scheduling.engine_subsets import ZoneMember
 
 ZONES = ("a", "b", "c", "d")
@@ -82,8 +82,8 @@
         self.zone = own.zone
         self.subset = subset
         self.book = EngineTable(own.name)
-        self.model = EngineModel()
-        self.model.take_usual(EVENT_SECONDS)
+        self.model = EngineLatencyModel()
+        self.model.set_typical_pace(EVENT_SECONDS)
         self.beliefs = PrefixCacheIndex()
         self.idle: dict[str, deque[float]] = defaultdict(deque)
         for engine in fleet.engines:
@@ -92,8 +92,8 @@
             self.book.set_nodes(own.zone, nodes)
         for state in self.book.all():
             pace = fleet.speed(state.engine.engine_id) * EVENT_SECONDS
-            state.reported_profile = ToldProfile(
-                pace_seconds=pace, samples=SAMPLES, spell=1.0, told_at=PLAY_SECONDS
+            state.reported_profile = ReportedProfile(
+                pace_seconds=pace, samples=SAMPLES, spell=1.0, reported_at=PLAY_SECONDS
             )
 
     def opens(self, engine_id: str, now: float) -> bool:
@@ -223,8 +223,8 @@
         unread = PROMPT_TOKENS - choice.cached_tokens
         return ServedTurn(
             engine_id=state.engine.engine_id,
-            unread=unread,
-            beside=choice.load,
+            uncached_tokens=unread,
+            concurrent_turns=choice.load,
             first_event_seconds=speed * (EVENT_SECONDS + unread * TOKEN_SECONDS),
             event_seconds=speed * EVENT_SECONDS,
             events=EVENTS,
--- a/benchmarks/engine_profiles.py
+++ b/benchmarks/engine_profiles.py
@@ -21,8 +21,8 @@
 from yokeline.forwarding.model import Call, Engine, ModelTraits
 from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.messages import EngineTurns, TurnServed
-from yokeline.scheduling.engine_model import EngineModel
-from yokeline.scheduling.engine_profiles import MAX_SAMPLES, EngineProfile, ToldProfile
+from yokeline.scheduling.engine_model import EngineLatencyModel
+from yokeline.scheduling.engine_profiles import MAX_SAMPLES, EngineProfile, ReportedProfile
 from yokeline.scheduling.engine_subsets import ZoneMember, preferred_engines
 
 ENGINE_ID = "engine-12345"
@@ -96,14 +96,16 @@
         address = Address("10.0.0.1", number + 1)
         book.put(Engine(engine_id=f"e{number:05}", pool=POOL, address=address, zone="a", slots=6))
     for state in book.all() if told else ():
-        state.reported_profile = ToldProfile(pace_seconds=PACE, samples=15, spell=1.0, told_at=NOW)
+        state.reported_profile = ReportedProfile(
+            pace_seconds=PACE, samples=15, spell=1.0, reported_at=NOW
+        )
     return book
 
 
 def _choice_microseconds(engines: int, *, told: bool) -> float:
     """Return the time of a choice for one engine."""
-    book, model, beliefs = _book(engines, told=told), EngineModel(), PrefixCacheIndex()
-    model.take_usual(PACE if told else 0.0)
+    book, model, beliefs = _book(engines, told=told), EngineLatencyModel(), PrefixCacheIndex()
+    model.set_typical_pace(PACE if told else 0.0)
     inputs = ChoiceInputs(
         call=Call(request_id="r", deadline=NOW, prompt_tokens=1000),
         traits=ModelTraits(slots=6, memory_tokens=1000, tokens_per_event=13),
--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -42,9 +42,9 @@
     Settle,
 )
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program
-from yokeline.scheduling.program_admission import Admission, Claims, Supply, decide
+from yokeline.scheduling.program_admission import Admission, BucketState, Claims, decide
 from yokeline.scheduling.program_sizes import ProgramSize
-from yokeline.scheduling.return_times import return_after_limit
+from yokeline.scheduling.retry_delays import retry_delay_after_limit
 
 TERM = 1
 ADMISSION_FIELDS = ("tenant", "kind", "requests", "began_at", "active_at")
@@ -295,7 +295,7 @@
         is_call = program.sent % 2 == 1
         most = FIRST_TRIES if not program.sent else 1 if is_call else TRIES
         if tries < most:
-            wait = return_after_limit(name, spent.retry_after)
+            wait = retry_delay_after_limit(name, spent.retry_after)
             self._outcome.told.append(wait)
             self._ledger.at(self._ledger.now + wait, lambda: self._send(program, tries + 1, 0))
             return
@@ -304,14 +304,14 @@
         program.is_over = True
 
 
-def decide_in_full(supply: Supply, held: Iterable[Claims], size: ProgramSize) -> Admission:
+def decide_in_full(supply: BucketState, held: Iterable[Claims], size: ProgramSize) -> Admission:
     """Let a program in if the bucket holds all claims and its own."""
     listed = list(held)
     claimed = sum(item.count * item.requests for item in listed)
     missing = claimed + size.requests - supply.level
     is_let_in = missing <= 0 or not listed
     return Admission(
-        is_let_in=is_let_in,
+        is_admitted=is_let_in,
         retry_after=0.0 if is_let_in else missing / supply.rate,
         programs=len(listed),
         claimed=claimed,
@@ -348,14 +348,14 @@
         )
         for _ in range(count)
     ]
-    supply = Supply(level=10.0, rate=count * 4.0)
+    supply = BucketState(level=10.0, rate=count * 4.0)
     size = ProgramSize(requests=11.0, deviation=3.0, seconds=2.2)
     repetitions = 100
     began = time.process_time()
     for _ in range(repetitions):
         decide(supply, held, size)
     seconds = (time.process_time() - began) / repetitions
-    is_let_in = decide(supply, held, size).is_let_in
+    is_let_in = decide(supply, held, size).is_admitted
     print(f"{count:5} unequal claims: {1e6 * seconds:6.0f} us a decision (let in: {is_let_in})")
 
 
--- a/benchmarks/room_waits.py
+++ b/benchmarks/room_waits.py
@@ -16,7 +16,7 @@
 from tests.unit.forwarding.room_replay import Load, Replayed, replay
 
 from yokeline.forwarding import admission, dispatcher, room_weighing
-from yokeline.scheduling.return_times import Returning
+from yokeline.scheduling.retry_delays import RefusedCaller
 from yokeline.scheduling.room_waits import PoolRoom, RoomDecision, RoomNeed, decide, longest_wait
 
 LOADS = {
@@ -47,7 +47,7 @@
     return RoomDecision(bears=longest_wait(need), expected=0.0, refusal=None)
 
 
-def fixed_return(caller: Returning, _expected_wait: float) -> float:
+def fixed_return(caller: RefusedCaller, _expected_wait: float) -> float:
     """Let all callers return after the same time."""
     return BEGUN_FIXED_RETURN_SECONDS if caller.has_begun else FIXED_RETURN_SECONDS
 
@@ -58,8 +58,8 @@
     with (
         patch.object(room_weighing, "decide", share_of_target),
         patch.object(room_weighing, "is_hopeless", lambda _still, _expected: False),
-        patch.object(dispatcher, "return_after", fixed_return),
-        patch.object(admission, "return_after_outage", lambda _caller: FIXED_RETURN_SECONDS),
+        patch.object(dispatcher, "retry_delay", fixed_return),
+        patch.object(admission, "retry_delay_after_outage", lambda _caller: FIXED_RETURN_SECONDS),
     ):
         yield
 
--- a/src/yokeline/experiment/cache_actions.py
+++ b/src/yokeline/experiment/cache_actions.py
@@ -75,7 +75,7 @@
         if held:
             self._holders.setdefault((pause.engine, key), {})[pause.run] = now + seconds
         else:
-            self._fleet.ledger.account(pause.engine).hold_ended(key)
+            self._fleet.ledger.engine(pause.engine).hold_ended(key)
         simulated.reschedule()
 
     def _program_ended(self, pause: ProgramPause, *, dropped: bool) -> None:
@@ -116,7 +116,7 @@
     def _release(self, engine: str, cache_key: RunId) -> None:
         if self._holders.pop((engine, cache_key), None) is None:
             return
-        self._fleet.ledger.account(engine).hold_ended(cache_key)
+        self._fleet.ledger.engine(engine).hold_ended(cache_key)
         simulated = self._fleet.engines[engine]
         simulated.model.release(cache_key, self._fleet.now_at(engine))
         simulated.reschedule()
--- a/src/yokeline/experiment/dispatcher.py
+++ b/src/yokeline/experiment/dispatcher.py
@@ -59,7 +59,7 @@
     def request(self, demand: CallDemand, call: EngineCall) -> simpy.Event:
         """Queue a call; the event's value is a :class:`CallOutcome`."""
         done = self._environment.event()
-        known = self._fleet.ledger.with_expected_answer(demand)
+        known = self._fleet.ledger.with_expected_completion(demand)
         pending = PendingCall(demand=known, call=call, done=done)
         if self._waiting:
             self._waiting.append(pending)
--- a/src/yokeline/experiment/fleet.py
+++ b/src/yokeline/experiment/fleet.py
@@ -14,9 +14,9 @@
 from yokeline.emulator.engine.parameters import EngineParameters
 from yokeline.experiment.engines import OutputHandler, SimulatedEngine
 from yokeline.experiment.metrics import CacheTotals
-from yokeline.scheduling.account import LoadState
+from yokeline.scheduling.engine_state_tracker import CallEnd, EngineConfig, EngineStateTracker
 from yokeline.scheduling.interface import CallDemand, EngineView
-from yokeline.scheduling.ledger import CallEnd, EngineFacts, EngineLedger
+from yokeline.scheduling.tracked_engine import LoadState
 
 POOL = "agents"
 ENGINE_PORT = 8000
@@ -41,12 +41,12 @@
     ) -> None:
         """Create idle engines; ``handle`` gets their outputs after the ledger."""
         self.parameters = parameters
-        self.ledger = EngineLedger()
+        self.ledger = EngineStateTracker()
         self._environment = environment
         self._handle = handle
         history = ContextHistory()
         self.engines: dict[str, SimulatedEngine] = {}
-        self._facts: dict[str, EngineFacts] = {}
+        self._facts: dict[str, EngineConfig] = {}
         for number in range(count):
             facts = _facts(number, parameters)
             self._facts[facts.name] = facts
@@ -63,7 +63,7 @@
         now = self._environment.now
         return tuple(self.ledger.view(facts, demand, now) for facts in self._facts.values())
 
-    def facts(self, engine: str) -> EngineFacts:
+    def facts(self, engine: str) -> EngineConfig:
         """Return the configured facts of an engine."""
         return self._facts[engine]
 
@@ -108,9 +108,9 @@
         )
 
 
-def _facts(number: int, parameters: EngineParameters) -> EngineFacts:
+def _facts(number: int, parameters: EngineParameters) -> EngineConfig:
     address = Address(f"10.0.0.{number + 1}", ENGINE_PORT)
-    return EngineFacts(
+    return EngineConfig(
         name=f"{POOL}/{address}",
         address=address,
         pool=POOL,
--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -11,7 +11,7 @@
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.model import Call, Route, RoutingTable, continues_program
 from yokeline.forwarding.tenants import StateNames, Tenant, scoped
-from yokeline.scheduling.return_times import Returning, return_after_outage
+from yokeline.scheduling.retry_delays import RefusedCaller, retry_delay_after_outage
 
 UNKNOWN_KEY = "unknown_key"
 STALE_CONFIGURATION = "stale_configuration"
@@ -65,7 +65,7 @@
     if route.public:
         return _admitted(call, tenant if is_current else None, operation)
     if not is_current:
-        caller = Returning(
+        caller = RefusedCaller(
             request_id=call.request_id,
             has_begun=continues_program(route, call),
             time_left=min(call.deadline, route.timeout),
@@ -73,7 +73,7 @@
         return Denied(
             status=UNAVAILABLE,
             reason=STALE_CONFIGURATION,
-            retry_after=return_after_outage(caller),
+            retry_after=retry_delay_after_outage(caller),
         )
     if tenant is None:
         return Denied(status=UNAUTHORIZED, reason=UNKNOWN_KEY)
--- a/src/yokeline/forwarding/dispatcher.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -13,7 +13,7 @@
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.room_weighing import Look, RoomWeighing, would_lose_work
 from yokeline.forwarding.waiting import WaitingRequests
-from yokeline.scheduling.return_times import Returning, return_after
+from yokeline.scheduling.retry_delays import RefusedCaller, retry_delay
 from yokeline.scheduling.room_waits import RoomRefusal
 
 
@@ -58,13 +58,13 @@
             return
         name = f'yokeline_forwarding_room_refusals_total{{cause="{refusal.value}"}}'
         self._state.outcomes.counters[name] += 1
-        caller = Returning(
+        caller = RefusedCaller(
             request_id=exchange.call.request_id,
             has_begun=would_lose_work(exchange),
             time_left=exchange.deadline - self._state.now,
         )
         expected = exchange.room_wait.expected if exchange.room_wait is not None else 0.0
-        retry_after = return_after(caller, expected)
+        retry_after = retry_delay(caller, expected)
         fields = self._weighing.refusal_fields(exchange, refusal)
         self._responder.refuse(
             exchange, UNAVAILABLE, "no_engine", retry_after=retry_after, **fields
--- a/src/yokeline/forwarding/engine_choice.py
+++ b/src/yokeline/forwarding/engine_choice.py
@@ -8,7 +8,7 @@
 from yokeline.forwarding.model import Call, ModelTraits
 from yokeline.forwarding.prefix_cache import PrefixCacheIndex
 from yokeline.ledger.operations import CachedContext
-from yokeline.scheduling.engine_model import EngineModel
+from yokeline.scheduling.engine_model import EngineLatencyModel
 
 CROSS_ZONE_PENALTY_SECONDS = 0.016
 """Cost of another zone: the way there and back, and the prompt's bytes between zones."""
@@ -81,7 +81,7 @@
     affinity_engine_id: str = ""
     cached_context: CachedContext | None = None
     is_new_program: bool = False
-    model: EngineModel | None = None
+    model: EngineLatencyModel | None = None
     is_retryable: bool = True
 
 
@@ -133,7 +133,7 @@
 ) -> EngineChoice:
     if inputs.model is not None:
         choice = _estimate_turn(state, prefix_cache, inputs, inputs.model, now)
-        typical_seconds = inputs.model.usual_seconds
+        typical_seconds = inputs.model.typical_turn_seconds
     else:
         choice = _estimate_call(state, pool.median_call_seconds)
         typical_seconds = pool.median_call_seconds or AFFINITY_BONUS_SECONDS
@@ -167,7 +167,7 @@
     state: EngineState,
     prefix_cache: PrefixCacheIndex,
     inputs: ChoiceInputs,
-    model: EngineModel,
+    model: EngineLatencyModel,
     now: float,
 ) -> EngineChoice:
     """Return the turn's own time, what it costs the turns beside it, and the wait for a place."""
@@ -176,11 +176,11 @@
     cached_tokens = _cached_tokens(state, prefix_cache, inputs)
     prediction = model.predict(
         state.engine.engine_id,
-        unread=max(0, inputs.call.prompt_tokens - cached_tokens),
-        beside=load,
+        uncached_tokens=max(0, inputs.call.prompt_tokens - cached_tokens),
+        concurrent_turns=load,
         now=now,
-        told=state.reported_profile,
-        told_slowness=state.reported_slowness,
+        reported_profile=state.reported_profile,
+        reported_slowness=state.reported_slowness,
         hinted_events=_hinted_events(inputs),
     )
     queue_seconds = max(0, load - slots + 1) * prediction.seconds / slots
--- a/src/yokeline/forwarding/engines.py
+++ b/src/yokeline/forwarding/engines.py
@@ -22,7 +22,7 @@
 from yokeline.scheduling.engine_profiles import (
     FAULT_FADE_SECONDS,
     FAULT_WEIGHT,
-    ToldProfile,
+    ReportedProfile,
     usual_pace,
 )
 from yokeline.scheduling.engine_subsets import ZoneMember, preferred_engines, rank
@@ -79,7 +79,7 @@
     running_elsewhere: int = 0
     reported_failure_rate: float = 0.0
     reported_slowness: float = 1.0
-    reported_profile: ToldProfile | None = None
+    reported_profile: ReportedProfile | None = None
     full_until: float = 0.0
     rejected_caller: str = ""
     rejected_at: float = -math.inf
@@ -128,12 +128,12 @@
         self.suspect_until = 0.0
 
 
-def _reported_profile(item: EngineTurns, now: float) -> ToldProfile:
-    return ToldProfile(
+def _reported_profile(item: EngineTurns, now: float) -> ReportedProfile:
+    return ReportedProfile(
         pace_seconds=item.pace * PACE_UNIT_SECONDS,
         samples=item.samples,
         spell=item.spell_percent / PERCENT,
-        told_at=now,
+        reported_at=now,
     )
 
 
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -67,7 +67,7 @@
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.history_fetches import HistoryFetches
 from yokeline.registry.watch import WATCH_SECONDS
-from yokeline.scheduling.return_times import Returning, return_after_outage
+from yokeline.scheduling.retry_delays import RefusedCaller, retry_delay_after_outage
 
 DEADLINE_RETRY_AFTER_SECONDS = 0.1
 START_NEWS_SECONDS = WATCH_SECONDS
@@ -376,13 +376,13 @@
             self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
-        caller = Returning(
+        caller = RefusedCaller(
             request_id=call.request_id,
             has_begun=bool(call.previous_turn),
             time_left=call.deadline,
         )
         self._outcomes.refuse_unadmitted(
-            event, UNAVAILABLE, "no_configuration", retry_after=return_after_outage(caller)
+            event, UNAVAILABLE, "no_configuration", retry_after=retry_delay_after_outage(caller)
         )
 
     def _begin(self, exchange: Exchange) -> None:
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/limits.py
@@ -19,7 +19,7 @@
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.operations import Draw, Drawn, OperationResult, QuotaSpent, RateLimit
-from yokeline.scheduling.return_times import return_after_limit
+from yokeline.scheduling.retry_delays import retry_delay_after_limit
 
 LEDGER_SECONDS = 2.0
 """Longest wait for the ledger's answer; then the request is refused, not run. A change of leader
@@ -157,7 +157,7 @@
 
         It does not wait here: its time to wait is best spent on all of its turns.
         """
-        self._refuse(exchange, return_after_limit(exchange.call.request_id, spent.retry_after))
+        self._refuse(exchange, retry_delay_after_limit(exchange.call.request_id, spent.retry_after))
 
     def _wait_or_refuse(
         self, exchange: Exchange, seconds: float, again: Callable[[Exchange], None]
--- a/src/yokeline/forwarding/place_shares.py
+++ b/src/yokeline/forwarding/place_shares.py
@@ -13,7 +13,7 @@
 from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
 from yokeline.forwarding.exchange import Exchange
 from yokeline.ledger.messages import PoolShares
-from yokeline.scheduling.passing_over import PassingOver
+from yokeline.scheduling.service_deficits import ServiceDeficits
 
 _NOBODY: frozenset[str] = frozenset()
 
@@ -30,7 +30,7 @@
         self.levels: dict[str, float] = {}
         self._told: dict[str, frozenset[str]] = {}
         self._lapses_at = -math.inf
-        self._passing = PassingOver()
+        self._deficits = ServiceDeficits()
 
     def take_told(self, shares: tuple[PoolShares, ...], now: float) -> None:
         """Note what the leader told."""
@@ -53,7 +53,7 @@
         told = self._told.get(pool, _NOBODY)
         if not told or now >= self._lapses_at:
             return _NOBODY
-        owed = [tenant for tenant in told if self._passing.is_owed(tenant)]
+        owed = [tenant for tenant in told if self._deficits.has_deficit(tenant)]
         return told.difference(owed) if owed else told
 
     def is_held_back(self, exchange: Exchange, now: float) -> bool:
@@ -63,9 +63,9 @@
     def note_served(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that got a place."""
         if exchange.is_first_turn and exchange.sends == 1:
-            self._passing.note(exchange.tenant_name, now, is_served=True)
+            self._deficits.note(exchange.tenant_name, now, is_served=True)
 
     def note_unserved(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that ceased to wait without a place."""
         if exchange.is_first_turn and not exchange.sends:
-            self._passing.note(exchange.tenant_name, now, is_served=False)
+            self._deficits.note(exchange.tenant_name, now, is_served=False)
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -10,7 +10,7 @@
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import Pool, RouteKind
 from yokeline.forwarding.prefix_cache import PrefixCacheIndex
-from yokeline.scheduling.engine_model import NO_PACE, EngineModel, ObservedPace, ServedTurn
+from yokeline.scheduling.engine_model import NO_PACE, EngineLatencyModel, ObservedPace, ServedTurn
 from yokeline.scheduling.program_times import ProgramTimes
 
 MAX_AFFINITIES = 4096
@@ -48,7 +48,7 @@
         self._turn_seconds: dict[str, float] = {}
         self._call_seconds: dict[str, float] = {}
         self._begin_shares: dict[str, float] = {}
-        self._models: dict[str, EngineModel] = {}
+        self._models: dict[str, EngineLatencyModel] = {}
 
     def choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         """Return the engine for a request; those that had it come last, if at all.
@@ -121,8 +121,8 @@
         event_seconds = (exchange.last_event_at - exchange.first_event_at) / gaps if gaps else 0.0
         turn = ServedTurn(
             engine_id=exchange.engine.engine.engine_id,
-            unread=exchange.uncached_tokens,
-            beside=(exchange.load_when_sent + max(0, exchange.engine.load - 1)) / 2,
+            uncached_tokens=exchange.uncached_tokens,
+            concurrent_turns=(exchange.load_when_sent + max(0, exchange.engine.load - 1)) / 2,
             first_event_seconds=exchange.first_event_at - exchange.sent_at,
             event_seconds=event_seconds if gaps >= LEAST_GAPS else None,
             events=exchange.relayed_events,
@@ -134,9 +134,9 @@
         known = (self._engines.get(name) for name in reversed(exchange.attempts.engine_ids))
         return [state for state in known if state is not None and not state.engine.draining]
 
-    def _model(self, pool: str) -> EngineModel:
-        model = self._models.setdefault(pool, EngineModel())
-        model.take_usual(self._engines.usual_pace(pool))
+    def _model(self, pool: str) -> EngineLatencyModel:
+        model = self._models.setdefault(pool, EngineLatencyModel())
+        model.set_typical_pace(self._engines.usual_pace(pool))
         return model
 
     def note_call(self, exchange: Exchange, now: float) -> None:
--- a/src/yokeline/forwarding/settlements.py
+++ b/src/yokeline/forwarding/settlements.py
@@ -95,7 +95,7 @@
                 engine_id=engine_id,
                 failed=failed,
                 slowness=round(pace.slowness, 3),
-                pace=round(pace.alone_seconds / PACE_UNIT_SECONDS),
+                pace=round(pace.pace_seconds / PACE_UNIT_SECONDS),
             )
             self._ledger.turns.end(exchange.names.operation, served)
         elif exchange.route.kind is not RouteKind.STREAMING:
--- a/src/yokeline/forwarding/waiting.py
+++ b/src/yokeline/forwarding/waiting.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from yokeline.forwarding.exchange import Exchange
-from yokeline.scheduling.queue_order import OrderKey, Standing, order_key
+from yokeline.scheduling.queue_order import OrderKey, QueuePosition, order_key
 
 MAX_WAITING = 512
 """Requests of one pool that may wait at a node; beyond it the least urgent is refused."""
@@ -15,19 +15,19 @@
 _NOBODY: frozenset[str] = frozenset()
 
 
-def standing_of(exchange: Exchange, held_back: frozenset[str] = _NOBODY) -> Standing:
+def standing_of(exchange: Exchange, held_back: frozenset[str] = _NOBODY) -> QueuePosition:
     """Return what decides the place of a request in the queue.
 
     ``held_back`` are the tenants whose new programs leave places to others.
     """
     program_time_left = exchange.call.program_time_left
-    return Standing(
+    return QueuePosition(
         is_interrupted=exchange.relayed_events > 0,
         is_late=program_time_left is not None and program_time_left <= 0,
         has_begun=exchange.program_started,
         is_held_back=exchange.is_unstarted_first_turn_of(held_back),
         priority=exchange.priority,
-        over_at=exchange.arrived_at + (program_time_left or 0.0),
+        program_deadline=exchange.arrived_at + (program_time_left or 0.0),
     )
 
 
--- a/src/yokeline/ledger/admission_controller.py
+++ b/src/yokeline/ledger/admission_controller.py
@@ -22,7 +22,7 @@
     Settle,
 )
 from yokeline.ledger.state import LedgerState
-from yokeline.scheduling.program_admission import Admission, Supply
+from yokeline.scheduling.program_admission import Admission, BucketState
 
 MAX_PROGRAMS_PER_TICK = 500
 """Program accounts that a new leader reads in one event-loop iteration."""
@@ -100,7 +100,7 @@
         )
         if operation.program and self._is_rebuilt(term):
             decision = self._claims.decide(candidate, supply, leader_time)
-        if decision is not None and not decision.is_let_in:
+        if decision is not None and not decision.is_admitted:
             self.refused[CAUSE_CLAIMS] += 1
             wait = max(decision.retry_after, spent.retry_after if spent is not None else 0.0)
             records = self._log_limit.take(
@@ -172,7 +172,7 @@
         return term == self._term and not self._unread_programs
 
     def _refusal_record(
-        self, operation: Reserve, supply: Supply, decision: Admission, wait: float
+        self, operation: Reserve, supply: BucketState, decision: Admission, wait: float
     ) -> LogRecord:
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from yokeline.ledger.state import Program
-from yokeline.scheduling.program_admission import Admission, Claims, Supply, claims_of, decide
-from yokeline.scheduling.program_lateness import MeanTimeShare
+from yokeline.scheduling.program_admission import Admission, BucketState, Claims, claims_of, decide
 from yokeline.scheduling.program_sizes import ProgramSize, SizeEstimate
+from yokeline.scheduling.time_limit_usage import TimeLimitUsage
 
 MAX_IDLE_SECONDS = 2.0
 """Maximum idle time after which a program without an open turn releases its claim; used while the
@@ -142,7 +142,7 @@
         self.held: Counter[tuple[str, int]] = Counter()
         """Number of claims by kind and requests sent; equal claims are evaluated together."""
         self.refused_kinds: dict[str, _RefusedKind] = {}
-        self.time_shares: dict[str, MeanTimeShare] = {}
+        self.time_shares: dict[str, TimeLimitUsage] = {}
         self.last_timely_refusal_at = -math.inf
         """Time of the latest refusal of a program that could meet its deadline."""
 
@@ -152,7 +152,7 @@
     def observe_size(self, claim: _Claim) -> None:
         self.sizes.observe_size(claim)
         self._fallback_sizes.observe_size(claim)
-        share = self.time_shares.pop(claim.kind, None) or MeanTimeShare()
+        share = self.time_shares.pop(claim.kind, None) or TimeLimitUsage()
         share.observe(claim.active_at - claim.began_at, claim.time_limit)
         self.time_shares[claim.kind] = share
         if len(self.time_shares) > MAX_KINDS_PER_TENANT:
@@ -211,7 +211,7 @@
 
     def note_decision(self, kind: str, now: float, decision: Admission) -> None:
         known = self.refused_kinds.pop(kind, None)
-        if decision.is_let_in:
+        if decision.is_admitted:
             return
         self.refused_kinds[kind] = _RefusedKind(
             refused_since=known.refused_since if known is not None else now,
@@ -222,7 +222,7 @@
 
 
 def _decide_in_time(
-    tenant_claims: _TenantClaims, kind: str, supply: Supply, size: ProgramSize, now: float
+    tenant_claims: _TenantClaims, kind: str, supply: BucketState, size: ProgramSize, now: float
 ) -> Admission:
     cached = tenant_claims.cached_refusal(kind, now)
     if cached is not None:
@@ -236,7 +236,7 @@
 def _decide_late(
     tenant_claims: _TenantClaims,
     candidate: CandidateProgram,
-    supply: Supply,
+    supply: BucketState,
     size: ProgramSize,
     now: float,
 ) -> Admission:
@@ -245,11 +245,11 @@
         supply, [*tenant_claims.claims(), *tenant_claims.claims_of_refused_kinds("", now)], size
     )
     yields = now - tenant_claims.last_timely_refusal_at < LATE_YIELD_SECONDS
-    if decision.is_let_in and not yields:
+    if decision.is_admitted and not yields:
         return decision
     retry_after = max(MIN_LATE_RETRY_SECONDS, decision.retry_after)
     return msgspec.structs.replace(
-        decision, is_let_in=False, retry_after=retry_after, cannot_end_in_time=True
+        decision, is_admitted=False, retry_after=retry_after, cannot_end_in_time=True
     )
 
 
@@ -279,7 +279,9 @@
             tenant_claims.size(kind) if tenant_claims is not None else self._shared_sizes.size(kind)
         )
 
-    def decide(self, candidate: CandidateProgram, supply: Supply, now: float) -> Admission | None:
+    def decide(
+        self, candidate: CandidateProgram, supply: BucketState, now: float
+    ) -> Admission | None:
         """Decide whether a program may begin; None if the size of its kind is unknown."""
         self.sweep(now)
         size = self.size_of(candidate.tenant, candidate.kind)
@@ -289,7 +291,7 @@
         if self._is_late(candidate):
             return _decide_late(tenant_claims, candidate, supply, size, now)
         decision = _decide_in_time(tenant_claims, candidate.kind, supply, size, now)
-        if not decision.is_let_in:
+        if not decision.is_admitted:
             tenant_claims.last_timely_refusal_at = now
             self._note_time_limit(candidate)
         return decision
--- a/src/yokeline/ledger/quotas.py
+++ b/src/yokeline/ledger/quotas.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from yokeline.ledger.operations import QuotaSpent, RateLimit
-from yokeline.scheduling.program_admission import Supply
+from yokeline.scheduling.program_admission import BucketState
 
 RESERVED_SHARE = 0.25
 """Share of a bucket that is reserved for programs that have begun. Refusing a program before its
@@ -115,15 +115,15 @@
         required = required_level(bucket, is_new=is_new)
         return _refusal(bucket, required, level) if level < required else None
 
-    def available_supply(self, limit: RateLimit, time: float) -> Supply:
+    def available_supply(self, limit: RateLimit, time: float) -> BucketState:
         """Return the tokens and rate of a tenant at a time; changes nothing."""
         bucket = self.accounts.get(limit.tenant)
         if bucket is None:
-            return Supply(level=max(MIN_BURST, limit.burst), rate=limit.rate)
+            return BucketState(level=max(MIN_BURST, limit.burst), rate=limit.rate)
         copy = msgspec.structs.replace(bucket)
         copy.refill(time)
         copy.update_limit(limit)
-        return Supply(level=copy.level, rate=copy.rate)
+        return BucketState(level=copy.level, rate=copy.rate)
 
     def transition_forget(self) -> None:
         """Delete buckets that have been full for long."""
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -132,7 +132,7 @@
     return EngineTurns(
         engine_id=engine_id,
         running=NOT_COUNTED if record.is_app else record.running,
-        failed_percent=round(PERCENT * profile.failed.value(now)),
+        failed_percent=round(PERCENT * profile.failure_rate.value(now)),
         slowness_percent=round(PERCENT * record.slowness.value(now)),
         pace=round(pace.seconds / PACE_UNIT_SECONDS),
         samples=round(pace.samples),
--- a/src/yokeline/scheduling/steward.py
+++ b/src/yokeline/scheduling/cache_reconciler.py
@@ -19,7 +19,7 @@
 from yokeline.errors import YokelineError
 from yokeline.identifiers import RUN_PREFIX, RunId
 from yokeline.scheduling.engine_catalog import EngineCatalog, EngineRecord
-from yokeline.scheduling.ledger import EngineLedger
+from yokeline.scheduling.engine_state_tracker import EngineStateTracker
 from yokeline.server.context import NodeContext
 
 INVENTORY_PERIOD_SECONDS = 20.0
@@ -40,7 +40,7 @@
 
 
 PresenceHandler = Callable[[RunPresence], None]
-RunExists = Callable[[RunId, str, PresenceHandler], None]
+RunLookup = Callable[[RunId, str, PresenceHandler], None]
 """Looks up a root run of a tenant; the handler may be called immediately or later."""
 
 
@@ -49,28 +49,28 @@
     done(RunPresence.UNKNOWN)
 
 
-def stewards_nothing(_engine: str) -> bool:
+def reconciles_nothing(_engine: str) -> bool:
     """Return False: this node is the steward of no engine."""
     return False
 
 
-class CacheSteward:
+class CacheReconciler:
     """Reads the inventories of the engines that this node is the steward of."""
 
     def __init__(
         self,
         context: NodeContext,
         catalog: EngineCatalog,
-        ledger: EngineLedger,
-        stewards: Callable[[str], bool],
-        run_exists: RunExists,
+        ledger: EngineStateTracker,
+        reconciles: Callable[[str], bool],
+        look_up_run: RunLookup,
     ) -> None:
         """Create the steward; the first inventories are read after a delay."""
         self._context = context
         self._catalog = catalog
         self._ledger = ledger
-        self._stewards = stewards
-        self._run_exists = run_exists
+        self._reconciles = reconciles
+        self._look_up_run = look_up_run
         self._client = EngineClient(context)
         self._next_inventory_at = context.now + FIRST_INVENTORY_SECONDS
         self._cursors: dict[str, str] = {}
@@ -85,7 +85,7 @@
             return
         self._next_inventory_at = self._context.now + INVENTORY_PERIOD_SECONDS
         for record in self._catalog.records.values():
-            if self._stewards(record.name):
+            if self._reconciles(record.name):
                 read = functools.partial(self._inventory_received, record)
                 self._client.inventory(record.address, read)
 
@@ -98,7 +98,7 @@
         self._remove_evicted_contexts(record.name, entries)
         for entry in self._entries_to_check(record.name, entries):
             done = functools.partial(self._presence_received, record, entry)
-            self._run_exists(RunId(entry.cache_key), entry.cache_salt, done)
+            self._look_up_run(RunId(entry.cache_key), entry.cache_salt, done)
 
     def _remove_evicted_contexts(self, engine: str, entries: tuple[CacheEntry, ...]) -> None:
         cached = {entry.cache_key for entry in entries}
@@ -108,7 +108,7 @@
 
     def _entries_to_check(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
         """Return the entries of inactive runs to look up, continuing after the last inventory."""
-        account = self._ledger.account(engine)
+        account = self._ledger.engine(engine)
         cursor = self._cursors.get(engine, "")
         candidates = [
             entry
--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -13,8 +13,16 @@
 from yokeline.errors import ErrorKind, YokelineError
 from yokeline.identifiers import RunId
 from yokeline.labels.objects import EnginePool
-from yokeline.scheduling.account import LoadState
+from yokeline.scheduling.cache_reconciler import (
+    CacheReconciler,
+    PresenceHandler,
+    RunLookup,
+    RunPresence,
+    presence_unknown,
+    reconciles_nothing,
+)
 from yokeline.scheduling.engine_catalog import EngineCatalog, EngineRecord, LoadReport, MachineEntry
+from yokeline.scheduling.engine_state_tracker import CallEnd, EngineStateTracker
 from yokeline.scheduling.interface import (
     CacheAction,
     CallDemand,
@@ -26,15 +34,7 @@
     WaitCause,
     WaitForEngine,
 )
-from yokeline.scheduling.ledger import CallEnd, EngineLedger
-from yokeline.scheduling.steward import (
-    CacheSteward,
-    PresenceHandler,
-    RunExists,
-    RunPresence,
-    presence_unknown,
-    stewards_nothing,
-)
+from yokeline.scheduling.tracked_engine import LoadState
 from yokeline.server.context import HttpAnswer, NodeContext
 from yokeline.settings import Settings
 
@@ -64,8 +64,8 @@
         pools: Callable[[], tuple[EnginePool, ...]],
         machines: Callable[[], tuple[MachineEntry, ...]],
         *,
-        stewards: Callable[[str], bool] = stewards_nothing,
-        run_exists: RunExists = presence_unknown,
+        reconciles: Callable[[str], bool] = reconciles_nothing,
+        look_up_run: RunLookup = presence_unknown,
     ) -> None:
         """Create an empty directory.
 
@@ -75,15 +75,17 @@
             policy: The scheduling policy.
             pools: Returns the configured engine pools; read by :meth:`refresh`.
             machines: Returns the machine list; read by :meth:`refresh`.
-            stewards: Returns whether this node is the steward of an engine, by its name.
-            run_exists: Asks the leader of a run's shard whether a root run is still needed.
+            reconciles: Returns whether this node is the steward of an engine, by its name.
+            look_up_run: Asks the leader of a run's shard whether a root run is still needed.
         """
         self._context = context
         self._settings = settings.scheduling
         self._policy = policy
-        self._ledger = EngineLedger()
+        self._ledger = EngineStateTracker()
         self._catalog = EngineCatalog(pools, machines)
-        self._steward = CacheSteward(context, self._catalog, self._ledger, stewards, run_exists)
+        self._reconciler = CacheReconciler(
+            context, self._catalog, self._ledger, reconciles, look_up_run
+        )
 
     def refresh(self) -> None:
         """Apply the configured engine pools and the machine list."""
@@ -102,7 +104,7 @@
 
     def sent_to(self, engine: str) -> int:
         """Return the number of this node's calls in progress at an engine."""
-        return self._ledger.account(engine).calls
+        return self._ledger.engine(engine).calls
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
@@ -110,7 +112,7 @@
         if not allowed:
             return Failure(_no_engine_error(demand))
         preferred = [record for record in allowed if record.name not in demand.avoid] or allowed
-        demand = self._ledger.with_expected_answer(demand)
+        demand = self._ledger.with_expected_completion(demand)
         now = self._context.now
         views = [self._ledger.view(record.facts(), demand, now) for record in preferred]
         choice = self._policy.choose(demand, views, now)
@@ -146,7 +148,7 @@
 
     def hold_ended(self, engine: str, cache_key: RunId) -> Address | None:
         """Remove a hold whose context is in use again; return the address to release it at."""
-        had_hold = self._ledger.account(engine).hold_ended(cache_key)
+        had_hold = self._ledger.engine(engine).hold_ended(cache_key)
         return self.address_of(engine) if had_hold else None
 
     def pause_ended(self, kind: PauseKind, name: str, seconds: float) -> None:
@@ -191,14 +193,14 @@
         """Return when the next load poll or inventory is due."""
         records = self._catalog.records.values()
         due = [record.next_poll for record in records if not record.is_polling]
-        return min([*due, self._steward.next_deadline()])
+        return min([*due, self._reconciler.next_deadline()])
 
     def tick(self) -> None:
         """Poll the loads and inventories that are due."""
         for record in self._catalog.records.values():
             if not record.is_polling and record.next_poll <= self._context.now:
                 self._poll_load(record)
-        self._steward.tick()
+        self._reconciler.tick()
 
     def _poll_load(self, record: EngineRecord) -> None:
         record.is_polling = True
--- a/src/yokeline/scheduling/engine_catalog.py
+++ b/src/yokeline/scheduling/engine_catalog.py
@@ -9,7 +9,7 @@
 from yokeline.effects import Address
 from yokeline.labels.objects import EnginePool
 from yokeline.labels.selectors import Selector, parse_selector
-from yokeline.scheduling.ledger import EngineFacts
+from yokeline.scheduling.engine_state_tracker import EngineConfig
 
 UNREACHABLE_AFTER_FAILURES = 2
 """Consecutive failed load polls after which an engine gets no calls."""
@@ -65,9 +65,9 @@
         serves = not model or not self.pool.models or model in self.pool.models
         return serves and self.state() == "live"
 
-    def facts(self) -> EngineFacts:
+    def facts(self) -> EngineConfig:
         """Return the configured values that the ledger needs to make a view."""
-        return EngineFacts(
+        return EngineConfig(
             name=self.name,
             address=self.address,
             pool=self.pool.name,
--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -18,7 +18,7 @@
 from yokeline.scheduling.engine_profiles import (
     UNKNOWN_PACE,
     EngineProfile,
-    ToldProfile,
+    ReportedProfile,
     merge_paces,
 )
 
@@ -123,16 +123,17 @@
     """Measurements of a turn that one engine served completely.
 
     Attributes:
-        unread: Prompt tokens that the engine was expected to prefill when the turn was sent.
-        beside: Concurrent turns at the engine, averaged over the turn's start and end.
+        uncached_tokens: Prompt tokens that the engine was expected to prefill when the turn was
+            sent.
+        concurrent_turns: Concurrent turns at the engine, averaged over the turn's start and end.
         first_event_seconds: Time from sending the turn to its first event.
         event_seconds: Mean interval between events; None with too few events to measure it.
         events: Number of its events.
     """
 
     engine_id: str
-    unread: int
-    beside: float
+    uncached_tokens: int
+    concurrent_turns: float
     first_event_seconds: float
     event_seconds: float | None
     events: int
@@ -156,18 +157,18 @@
     Attributes:
         slowness: Its interval between events relative to the usual one in the pool at that load; 0
             with too few events to measure it.
-        alone_seconds: Its interval between events with the effect of concurrent turns removed; 0 if
+        pace_seconds: Its interval between events with the effect of concurrent turns removed; 0 if
             unknown.
     """
 
     slowness: float = 0.0
-    alone_seconds: float = 0.0
+    pace_seconds: float = 0.0
 
 
 NO_PACE = ObservedPace()
 
 
-class EngineModel:
+class EngineLatencyModel:
     """One node's model of the engines of a pool, from its own turns and the leader's reports."""
 
     def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
@@ -187,73 +188,80 @@
         return self._usual_relative_pace * self._prefill_fit.slope
 
     @property
-    def usual_seconds(self) -> float:
+    def typical_turn_seconds(self) -> float:
         """Seconds of an average turn that runs alone and has its prompt cached."""
         return self._usual_relative_pace * (
             self._prefill_fit.intercept + self.events * self._interval_fit.intercept
         )
 
-    def slowdown_factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
+    def slowdown_factor(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None = None
+    ) -> float:
         """Return an engine's baseline pace as a multiple of the pool's usual one."""
-        return self._baseline_pace(engine_id, now, told) / self._usual_pace
+        return self._baseline_pace(engine_id, now, reported_profile) / self._usual_pace
 
-    def take_usual(self, seconds: float) -> None:
+    def set_typical_pace(self, seconds: float) -> None:
         """Set the usual pace of the pool's engines as reported by the leader; 0 if unknown."""
         self._told_usual_pace = seconds
         self._set_reference_pace(seconds)
 
     def observe(
-        self, turn: ServedTurn, now: float, told: ToldProfile | None = None
+        self, turn: ServedTurn, now: float, reported_profile: ReportedProfile | None = None
     ) -> ObservedPace:
-        """Learn from a turn that ended now; ``told`` is the leader's profile of its engine."""
+        """Learn from a turn that ended now.
+
+        ``reported_profile`` is the profile of its engine that the ledger's leader reported.
+        """
         self.events += EVENTS_WEIGHT * (turn.events - self.events)
         if turn.event_seconds is None:
-            self._observe_prefill(turn, now, told)
+            self._observe_prefill(turn, now, reported_profile)
             return NO_PACE
         event_seconds = max(MIN_SECONDS, turn.event_seconds)
-        alone_seconds = event_seconds / self._load_slowdown(turn.beside)
+        alone_seconds = event_seconds / self._load_slowdown(turn.concurrent_turns)
         slowness = self._slowness_ratio(alone_seconds)
         self._set_reference_pace(alone_seconds)
         profile = self._profiles.setdefault(turn.engine_id, EngineProfile())
         profile.note_pace(alone_seconds, now)
         self._update_own_usual_pace(profile.pace(now).seconds)
         self._turns_observed += 1
-        self._observe_prefill(turn, now, told)
-        relative = self._relative_pace(turn.engine_id, now, told)
-        self._interval_fit.observe(turn.beside, event_seconds / relative)
+        self._observe_prefill(turn, now, reported_profile)
+        relative = self._relative_pace(turn.engine_id, now, reported_profile)
+        self._interval_fit.observe(turn.concurrent_turns, event_seconds / relative)
         is_fit_ready = self._turns_observed >= MIN_TURNS
-        return ObservedPace(slowness=slowness, alone_seconds=alone_seconds if is_fit_ready else 0.0)
+        return ObservedPace(slowness=slowness, pace_seconds=alone_seconds if is_fit_ready else 0.0)
 
     def predict(
         self,
         engine_id: str,
         *,
-        unread: int,
-        beside: int,
+        uncached_tokens: int,
+        concurrent_turns: int,
         now: float,
-        told: ToldProfile | None = None,
-        told_slowness: float = 1.0,
+        reported_profile: ReportedProfile | None = None,
+        reported_slowness: float = 1.0,
         hinted_events: float | None = None,
     ) -> Prediction:
         """Return what a turn costs at an engine.
 
         Args:
             engine_id: The engine.
-            unread: Prompt tokens that it would have to prefill.
-            beside: Turns in progress there.
+            uncached_tokens: Prompt tokens that it would have to prefill.
+            concurrent_turns: Turns in progress there.
             now: When the turn would be sent.
-            told: The engine's profile as reported by the leader; None if it reported none.
-            told_slowness: Slowness that the leader reported, for leaders that report no profiles.
+            reported_profile: The engine's profile as reported by the ledger's leader; None if it
+                reported none.
+            reported_slowness: Slowness that the ledger's leader reported, for leaders that report
+                no profiles.
             hinted_events: The caller's estimate of the turn's events, limited by
                 :data:`MAX_HINT_FACTOR`.
         """
         events = self._expected_events(hinted_events)
-        relative = self._current_relative_pace(engine_id, now, told, told_slowness)
-        prefill_seconds = relative * self._prefill_fit.slope * unread
-        decode_seconds = relative * events * self._interval_fit.predict(beside)
+        relative = self._current_relative_pace(engine_id, now, reported_profile, reported_slowness)
+        prefill_seconds = relative * self._prefill_fit.slope * uncached_tokens
+        decode_seconds = relative * events * self._interval_fit.predict(concurrent_turns)
         slowdown_seconds = relative * events * self._interval_fit.slope
         seconds = relative * self._prefill_fit.intercept + prefill_seconds + decode_seconds
-        return Prediction(seconds, beside * (prefill_seconds + slowdown_seconds))
+        return Prediction(seconds, concurrent_turns * (prefill_seconds + slowdown_seconds))
 
     @property
     def _usual_pace(self) -> float:
@@ -272,9 +280,9 @@
         """
         self._reference_pace = self._reference_pace or seconds
 
-    def _load_slowdown(self, beside: float) -> float:
+    def _load_slowdown(self, concurrent_turns: float) -> float:
         """Return the factor by which concurrent turns slow a turn down."""
-        return self._interval_fit.predict(beside) / self._interval_fit.predict(0.0)
+        return self._interval_fit.predict(concurrent_turns) / self._interval_fit.predict(0.0)
 
     def _slowness_ratio(self, alone_seconds: float) -> float:
         ratio = alone_seconds / self._usual_pace
@@ -284,34 +292,44 @@
         weight = max(USUAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
         self._own_usual_pace += weight * (pace - self._own_usual_pace)
 
-    def _observe_prefill(self, turn: ServedTurn, now: float, told: ToldProfile | None) -> None:
-        relative = self._relative_pace(turn.engine_id, now, told)
-        self._prefill_fit.observe(turn.unread, turn.first_event_seconds / relative)
+    def _observe_prefill(
+        self, turn: ServedTurn, now: float, reported_profile: ReportedProfile | None
+    ) -> None:
+        relative = self._relative_pace(turn.engine_id, now, reported_profile)
+        self._prefill_fit.observe(turn.uncached_tokens, turn.first_event_seconds / relative)
 
-    def _baseline_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
+    def _baseline_pace(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None
+    ) -> float:
         profile = self._profiles.get(engine_id)
         own = profile.pace(now) if profile is not None else UNKNOWN_PACE
-        other = told.pace(now) if told is not None else UNKNOWN_PACE
+        other = reported_profile.pace(now) if reported_profile is not None else UNKNOWN_PACE
         return merge_paces(own, other, self._usual_pace)
 
-    def _relative_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
+    def _relative_pace(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None
+    ) -> float:
         """Return an engine's baseline pace as a multiple of the reference pace."""
         if not self._reference_pace:
             return 1.0
-        return self._baseline_pace(engine_id, now, told) / self._reference_pace
+        return self._baseline_pace(engine_id, now, reported_profile) / self._reference_pace
 
     def _current_relative_pace(
-        self, engine_id: str, now: float, told: ToldProfile | None, told_slowness: float
+        self,
+        engine_id: str,
+        now: float,
+        reported_profile: ReportedProfile | None,
+        reported_slowness: float,
     ) -> float:
         """Return an engine's relative pace including its current spell."""
-        relative = self._relative_pace(engine_id, now, told)
-        if told is not None:
-            return relative * told.spell_at(now)
+        relative = self._relative_pace(engine_id, now, reported_profile)
+        if reported_profile is not None:
+            return relative * reported_profile.spell_at(now)
         profile = self._profiles.get(engine_id)
         relative *= profile.spell(now) if profile is not None else 1.0
-        if told_slowness <= 1:
+        if reported_slowness <= 1:
             return relative
-        return max(relative, told_slowness * self._usual_relative_pace)
+        return max(relative, reported_slowness * self._usual_relative_pace)
 
     def _expected_events(self, hinted: float | None) -> float:
         if hinted is None:
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -74,38 +74,38 @@
     return remaining * spell + (1.0 - remaining)
 
 
-class ToldProfile(msgspec.Struct, frozen=True, kw_only=True):
+class ReportedProfile(msgspec.Struct, frozen=True, kw_only=True):
     """An engine's profile as reported by another process.
 
     Attributes:
         spell: Current pace as a multiple of the baseline; 1 outside of a spell.
-        told_at: When the report arrived, by this process's clock.
+        reported_at: When the report arrived, by this process's clock.
     """
 
     pace_seconds: float
     samples: float
     spell: float
-    told_at: float
+    reported_at: float
 
     def pace(self, now: float) -> Pace:
         """Return the baseline pace with its decayed weight."""
-        return Pace(self.pace_seconds, faded_samples(self.samples, now - self.told_at))
+        return Pace(self.pace_seconds, faded_samples(self.samples, now - self.reported_at))
 
     def spell_at(self, now: float) -> float:
         """Return the decayed factor of the spell."""
-        return faded_spell(self.spell, now - self.told_at)
+        return faded_spell(self.spell, now - self.reported_at)
 
 
 class EngineProfile:
     """Pace and failure rate of one engine process, as observed here.
 
     Attributes:
-        failed: Failure rate of its latest requests.
+        failure_rate: Failure rate of its latest requests.
     """
 
     def __init__(self) -> None:
         """Create a profile without observations."""
-        self.failed = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
+        self.failure_rate = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
         self._samples: list[float] = []
         self._sample_started_at = -math.inf
         self._last_turn_at = -math.inf
@@ -115,7 +115,7 @@
 
     def note_outcome(self, now: float, *, failed: bool) -> None:
         """Add the outcome of a request to the failure rate."""
-        self.failed.observe(float(failed), now)
+        self.failure_rate.observe(float(failed), now)
 
     def note_pace(self, seconds: float, now: float) -> None:
         """Add a turn's interval between events, with the effect of concurrent turns removed."""
--- a/src/yokeline/scheduling/ledger.py
+++ b/src/yokeline/scheduling/engine_state_tracker.py
@@ -11,7 +11,6 @@
 
 from yokeline.effects import Address
 from yokeline.identifiers import RunId
-from yokeline.scheduling.account import EngineAccount, LoadState, SentCall
 from yokeline.scheduling.cache_types import (
     CacheAction,
     CacheDecision,
@@ -23,6 +22,7 @@
 from yokeline.scheduling.forecast import PauseForecast
 from yokeline.scheduling.interface import CallDemand, EngineView
 from yokeline.scheduling.pauses import PausePredictor
+from yokeline.scheduling.tracked_engine import LoadState, SentCall, TrackedEngine
 
 DEFAULT_PAUSE_SECONDS = 10.0
 """Time for which a paused program stays active without a forecast of its pause."""
@@ -32,7 +32,7 @@
 """Programs whose contexts are kept in memory; others are read from their runs' logs."""
 
 
-class EngineFacts(msgspec.Struct, frozen=True, kw_only=True):
+class EngineConfig(msgspec.Struct, frozen=True, kw_only=True):
     """Configured values of an engine, and whether it takes new calls."""
 
     name: str
@@ -58,7 +58,7 @@
     completion_tokens: int = 0
 
 
-class EngineLedger:
+class EngineStateTracker:
     """State of all engines, as one node knows them.
 
     Attributes:
@@ -70,31 +70,31 @@
         """Create an empty ledger."""
         self.pauses = PausePredictor()
         self.completion_lengths = CompletionLengths()
-        self._accounts: dict[str, EngineAccount] = {}
+        self._accounts: dict[str, TrackedEngine] = {}
         self._sent: dict[str, SentCall] = {}
         self._contexts: dict[RunId, dict[str, dict[RunId, int]]] = {}
 
-    def account(self, engine: str) -> EngineAccount:
+    def engine(self, engine: str) -> TrackedEngine:
         """Return the account of an engine, created at its first use."""
         account = self._accounts.get(engine)
         if account is None:
-            account = self._accounts[engine] = EngineAccount()
+            account = self._accounts[engine] = TrackedEngine()
         return account
 
     def forget_engine(self, engine: str) -> None:
         """Remove an engine; its account is kept if it has calls in progress."""
-        if not self.account(engine).calls:
+        if not self.engine(engine).calls:
             del self._accounts[engine]
         for contexts in self._contexts.values():
             contexts.pop(engine, None)
 
     def report_received(self, engine: str, report: LoadState, taken_at: float) -> None:
         """Store a load report that shows the state at ``taken_at``."""
-        self.account(engine).report_received(report, taken_at)
+        self.engine(engine).report_received(report, taken_at)
 
-    def view(self, facts: EngineFacts, demand: CallDemand, now: float) -> EngineView:
+    def view(self, facts: EngineConfig, demand: CallDemand, now: float) -> EngineView:
         """Return an engine's state as the policy sees it for one call."""
-        account = self.account(facts.name)
+        account = self.engine(facts.name)
         account.expire_pauses(now)
         report = account.report or LoadState()
         return EngineView(
@@ -123,7 +123,7 @@
             return demand.previous_tokens if engine == demand.previous_engine else 0
         return known
 
-    def with_expected_answer(self, demand: CallDemand) -> CallDemand:
+    def with_expected_completion(self, demand: CallDemand) -> CallDemand:
         """Fill in the expected completion length, unless the demand has one."""
         expected = self.completion_lengths.expected(demand.program)
         if demand.expected_completion_tokens or expected is None:
@@ -134,7 +134,7 @@
     def call_sent(self, engine: str, demand: CallDemand, call_id: str, now: float) -> None:
         """Record a call that was sent to an engine, replacing an earlier one of the same id."""
         self.call_ended(call_id, CallEnd(ok=False), now)
-        account = self.account(engine)
+        account = self.engine(engine)
         uncached = max(0, demand.prompt_tokens - self._cached_tokens(engine, demand))
         call = SentCall(
             engine=engine,
@@ -150,14 +150,14 @@
         """Record text of a call; only the first one matters."""
         call = self._sent.get(call_id)
         if call is not None and call.first_text_at is None:
-            self.account(call.engine).prefill_ended(call, now)
+            self.engine(call.engine).prefill_ended(call, now)
 
     def call_ended(self, call_id: str, end: CallEnd, now: float) -> None:
         """Record the end of a call; on success its context is in the engine's cache."""
         call = self._sent.pop(call_id, None)
         if call is None:
             return
-        account = self.account(call.engine)
+        account = self.engine(call.engine)
         context = end.prompt_tokens + end.completion_tokens
         if end.ok:
             self._observe_call(account, call, end, now)
@@ -168,7 +168,7 @@
         account.call_ended(call, context, now)
 
     def _observe_call(
-        self, account: EngineAccount, call: SentCall, end: CallEnd, now: float
+        self, account: TrackedEngine, call: SentCall, end: CallEnd, now: float
     ) -> None:
         self.completion_lengths.observe(call.demand.program, end.completion_tokens)
         if call.first_text_at is None:
@@ -189,14 +189,14 @@
     def pause_context(
         self,
         pause: ProgramPause,
-        facts: EngineFacts,
+        facts: EngineConfig,
         *,
         hold_max_seconds: float,
         now: float,
         forecast: PauseForecast | None = None,
     ) -> PauseContext:
         """Return the inputs of a cache decision; ``forecast`` defaults to the learned one."""
-        account = self.account(pause.engine)
+        account = self.engine(pause.engine)
         account.expire_pauses(now)
         report = account.report or LoadState()
         return PauseContext(
@@ -220,7 +220,7 @@
 
     def pause_started(self, context: PauseContext, decision: CacheDecision, now: float) -> None:
         """Record a pause and the decision on its context."""
-        account = self.account(context.engine)
+        account = self.engine(context.engine)
         if decision.action is CacheAction.HOLD:
             until = now + decision.hold_seconds
             account.hold_made(context.cache_key, context.context_tokens, until)
@@ -237,7 +237,7 @@
 
     def context_removed(self, engine: str, cache_key: RunId) -> None:
         """Record that an engine no longer caches a program's context."""
-        account = self.account(engine)
+        account = self.engine(engine)
         account.hold_ended(cache_key)
         account.deactivate_program(cache_key)
         contexts = self._contexts.get(cache_key, {}).get(engine, {})
@@ -247,7 +247,7 @@
 
     def idle_contexts_at(self, engine: str) -> tuple[RunId, ...]:
         """Return the inactive programs whose context is expected in an engine's cache."""
-        account = self.account(engine)
+        account = self.engine(engine)
         return tuple(
             cache_key
             for cache_key, engines in self._contexts.items()
@@ -262,7 +262,7 @@
         """Forget a program; return the engines that may still cache its context."""
         engines = self.engines_with_context(cache_key)
         for engine in engines:
-            account = self.account(engine)
+            account = self.engine(engine)
             account.hold_ended(cache_key)
             account.deactivate_program(cache_key)
         self._contexts.pop(cache_key, None)
--- a/src/yokeline/scheduling/engine_subsets.py
+++ b/src/yokeline/scheduling/engine_subsets.py
@@ -23,7 +23,7 @@
 SUBSET_HEADROOM = 2.0
 """Size of a subset relative to the engines that the node's share of the load would fill; others may
 be loaded by other nodes, slow or gone."""
-LEAST_ENGINES = 3
+MIN_ENGINES = 3
 """Minimum size of a subset: one engine may fail and another be full."""
 _HASH_SPAN = 2**64
 
@@ -45,7 +45,7 @@
 
     A node prefers this number times ``engines / nodes`` engines on average.
     """
-    return min(nodes, math.ceil(max(SUBSET_HEADROOM, LEAST_ENGINES * nodes / engines)))
+    return min(nodes, math.ceil(max(SUBSET_HEADROOM, MIN_ENGINES * nodes / engines)))
 
 
 def preferred_engines(
@@ -67,7 +67,7 @@
             node, nodes_by_zone.get(zone) or _all_members(nodes_by_zone), group
         )
     }
-    minimum = min(LEAST_ENGINES, len(engines))
+    minimum = min(MIN_ENGINES, len(engines))
     if len(preferred) < minimum:
         preferred |= _fallback_engines(node, engines, preferred, minimum - len(preferred))
     return frozenset(preferred)
--- a/src/yokeline/scheduling/interface.py
+++ b/src/yokeline/scheduling/interface.py
@@ -4,8 +4,9 @@
 wait (:meth:`SchedulingPolicy.choose`), in which order calls wait (:meth:`SchedulingPolicy.order`),
 which priority they get at the engine (:meth:`SchedulingPolicy.engine_priority`), and what happens
 to the cached context when a program pauses or ends (:meth:`SchedulingPolicy.cache_decision`). All
-inputs are arguments: :class:`EngineView` values are built by ``scheduling.ledger.EngineLedger`` and
-forecasts by ``scheduling.pauses.PausePredictor``, in production and in experiments.
+inputs are arguments: :class:`EngineView` values are built by
+``scheduling.engine_state_tracker.EngineStateTracker`` and forecasts by
+``scheduling.pauses.PausePredictor``, in production and in experiments.
 """
 
 from __future__ import annotations
--- a/src/yokeline/scheduling/program_admission.py
+++ b/src/yokeline/scheduling/program_admission.py
@@ -25,7 +25,7 @@
 """Halvings in the search for the earliest start."""
 
 
-class Supply(msgspec.Struct, frozen=True, kw_only=True):
+class BucketState(msgspec.Struct, frozen=True, kw_only=True):
     """State of a tenant's token bucket.
 
     Attributes:
@@ -57,7 +57,7 @@
     """The decision on a new program, and its inputs.
 
     Attributes:
-        is_let_in: Whether it may begin.
+        is_admitted: Whether it may begin.
         retry_after: Seconds until it could begin if no other program did before; 0 if it may now.
         programs: Programs that hold claims.
         claimed: Requests that they are expected to send.
@@ -65,7 +65,7 @@
         cannot_end_in_time: Whether it was refused because too little of its time limit is left.
     """
 
-    is_let_in: bool
+    is_admitted: bool
     retry_after: float
     programs: int
     claimed: float
@@ -92,7 +92,7 @@
     )
 
 
-def decide(supply: Supply, claims: Iterable[Claims], size: ProgramSize) -> Admission:
+def decide(supply: BucketState, claims: Iterable[Claims], size: ProgramSize) -> Admission:
     """Decide whether a new program may begin.
 
     A tenant's only program may begin regardless of its size, since waiting would not help it.
@@ -106,7 +106,7 @@
         upper_bound = (total + margin - supply.level) / supply.rate
         retry_after = _earliest_start(_Slack(supply, held, size), size, upper_bound)
     return Admission(
-        is_let_in=retry_after <= 0.0,
+        is_admitted=retry_after <= 0.0,
         retry_after=retry_after,
         programs=sum(item.count for item in held),
         claimed=claimed,
@@ -126,7 +126,7 @@
     slightly, since the margin is a concave function of time.
     """
 
-    def __init__(self, supply: Supply, claims: list[Claims], new: ProgramSize) -> None:
+    def __init__(self, supply: BucketState, claims: list[Claims], new: ProgramSize) -> None:
         due_rate = sum(item.count * item.requests / item.seconds for item in claims)
         variance_rate = sum(item.count * item.deviation**2 / item.seconds for item in claims)
         time, due, variance = 0.0, 0.0, new.deviation**2
--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -13,7 +13,7 @@
 
 from yokeline.scheduling.medians import median
 
-LEAST_PROGRAMS = 5
+MIN_PROGRAMS = 5
 """Programs that must have ended before a size is known; the median of five tolerates two that
 loop."""
 AVERAGING_PROGRAMS = 40
@@ -83,7 +83,7 @@
             self._size = _updated(self._size, sample, weight)
             return
         self._initial_samples.append(sample)
-        if len(self._initial_samples) >= LEAST_PROGRAMS:
+        if len(self._initial_samples) >= MIN_PROGRAMS:
             self._size = _initial_size(self._initial_samples)
             self._initial_samples.clear()
 
--- a/src/yokeline/scheduling/queue_order.py
+++ b/src/yokeline/scheduling/queue_order.py
@@ -10,7 +10,7 @@
 OrderKey = tuple[int, int, int, int, int, float]
 
 
-class Standing(msgspec.Struct, frozen=True, kw_only=True):
+class QueuePosition(msgspec.Struct, frozen=True, kw_only=True):
     """Properties that determine a request's position in the queue; fixed while it waits.
 
     Attributes:
@@ -19,7 +19,7 @@
         has_begun: Its program has had a turn before.
         is_held_back: It begins a program of a tenant that exceeds its share.
         priority: The priority that the operator set; 0 is the highest.
-        over_at: Deadline of its program (monotonic seconds).
+        program_deadline: Deadline of its program (monotonic seconds).
     """
 
     is_interrupted: bool = False
@@ -27,10 +27,10 @@
     has_begun: bool = False
     is_held_back: bool = False
     priority: int = 0
-    over_at: float = 0.0
+    program_deadline: float = 0.0
 
 
-def order_key(standing: Standing) -> OrderKey:
+def order_key(standing: QueuePosition) -> OrderKey:
     """Return the sort key of a request; the lowest is served first."""
     return (
         0 if standing.is_interrupted else 1,
@@ -38,5 +38,5 @@
         1 if standing.is_late else 0,
         0 if standing.has_begun else 1,
         standing.priority,
-        standing.over_at,
+        standing.program_deadline,
     )
--- a/src/yokeline/scheduling/return_times.py
+++ b/src/yokeline/scheduling/retry_delays.py
@@ -30,13 +30,13 @@
 """The earliest delay from such a node for a program that has begun."""
 OUTAGE_JITTER = 2.0
 """Width of the interval of delays from such a node; all callers of the fleet return within it."""
-LIMIT_SPREAD = 0.25
+LIMIT_JITTER = 0.25
 """Width of the interval of delays after a refusal by a tenant's limit; the earliest delay is
 exact."""
 _HASH_SPAN = 2**32
 
 
-class Returning(msgspec.Struct, frozen=True, kw_only=True):
+class RefusedCaller(msgspec.Struct, frozen=True, kw_only=True):
     """A refused caller.
 
     Attributes:
@@ -50,7 +50,7 @@
     time_left: float
 
 
-def return_after(caller: Returning, expected_wait: float) -> float:
+def retry_delay(caller: RefusedCaller, expected_wait: float) -> float:
     """Return the retry delay in seconds of a caller that was refused for lack of capacity.
 
     Args:
@@ -61,23 +61,23 @@
     return _with_jitter(caller, max(earliest, expected_wait), JITTER)
 
 
-def return_after_outage(caller: Returning) -> float:
+def retry_delay_after_outage(caller: RefusedCaller) -> float:
     """Return the retry delay in seconds from a node that is temporarily unable to serve."""
     earliest = BEGUN_OUTAGE_DELAY_SECONDS if caller.has_begun else OUTAGE_DELAY_SECONDS
     return _with_jitter(caller, earliest, OUTAGE_JITTER)
 
 
-def return_after_limit(request_id: str, seconds: float) -> float:
+def retry_delay_after_limit(request_id: str, seconds: float) -> float:
     """Return the retry delay in seconds after a refusal by a tenant's limit, at least ``seconds``.
 
     Args:
         request_id: The request's id.
         seconds: From now until the request could be admitted.
     """
-    return seconds * (1.0 + LIMIT_SPREAD * _hash_fraction(request_id))
+    return seconds * (1.0 + LIMIT_JITTER * _hash_fraction(request_id))
 
 
-def _with_jitter(caller: Returning, earliest: float, jitter: float) -> float:
+def _with_jitter(caller: RefusedCaller, earliest: float, jitter: float) -> float:
     """Return a delay between ``earliest`` and the latest one that the caller honours."""
     honoured = max(0.0, HONOURED_SHARE * caller.time_left)
     latest = min(earliest * (1.0 + jitter), MAX_DELAY_SECONDS, honoured)
--- a/src/yokeline/scheduling/passing_over.py
+++ b/src/yokeline/scheduling/service_deficits.py
@@ -30,7 +30,7 @@
 """Time constant with which the average returns to 1 without new programs."""
 
 
-class PassingOver(msgspec.Struct):
+class ServiceDeficits(msgspec.Struct):
     """Counts each tenant's service deficit at one node."""
 
     _deficits: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
@@ -42,7 +42,7 @@
         """Return the number of tenants counted."""
         return len(self._deficits)
 
-    def is_owed(self, tenant: str) -> bool:
+    def has_deficit(self, tenant: str) -> bool:
         """Return whether a tenant's deficit is at least one program."""
         return self._deficits.get(tenant, 0.0) >= 1.0
 
--- a/src/yokeline/scheduling/program_lateness.py
+++ b/src/yokeline/scheduling/time_limit_usage.py
@@ -13,7 +13,7 @@
 """Upper bound on the learned share: a program that has used none of its time is never late."""
 
 
-class MeanTimeShare:
+class TimeLimitUsage:
     """Mean share of their time limit that programs of one kind take.
 
     The ledger's leader sees whole programs. A node sees parts of them and therefore learns a
--- a/src/yokeline/scheduling/account.py
+++ b/src/yokeline/scheduling/tracked_engine.py
@@ -64,7 +64,7 @@
         return sum(self.contexts.values())
 
 
-class EngineAccount:
+class TrackedEngine:
     """State of one engine.
 
     Attributes:
--- a/src/yokeline/server/node.py
+++ b/src/yokeline/server/node.py
@@ -52,9 +52,9 @@
     ShardRequest,
 )
 from yokeline.runs.executor import Executor
+from yokeline.scheduling.cache_reconciler import PresenceHandler
 from yokeline.scheduling.directory import EngineDirectory, MachineEntry
 from yokeline.scheduling.policies import make_policy
-from yokeline.scheduling.steward import PresenceHandler
 from yokeline.server.admin import NodeAdmin
 from yokeline.server.bootstrap import PlacementBootstrap
 from yokeline.server.context import NodeContext
@@ -190,8 +190,8 @@
             ),
             lambda: self.configuration.view().pools(),
             self._machine_entries,
-            stewards=self._is_steward_of,
-            run_exists=self._read_presence,
+            reconciles=self._reconciles_engine,
+            look_up_run=self._read_presence,
         )
         self.executor = Executor(
             context,
@@ -349,7 +349,7 @@
     def _is_leaving(self, address: Address) -> bool:
         return str(address) in self.machine_list.leaving()
 
-    def _is_steward_of(self, engine: str) -> bool:
+    def _reconciles_engine(self, engine: str) -> bool:
         return self.host.leads(shard_of_name(engine, self.settings.cluster.shards))
 
     def _read_presence(self, run: RunId, tenant: str, done: PresenceHandler) -> None:
--- a/src/yokeline/server/run_presence.py
+++ b/src/yokeline/server/run_presence.py
@@ -7,7 +7,7 @@
 from yokeline.errors import ErrorKind, YokelineError
 from yokeline.identifiers import RunId, shard_of_run
 from yokeline.runs.model import FINAL_STATUSES
-from yokeline.scheduling.steward import PresenceHandler, RunPresence
+from yokeline.scheduling.cache_reconciler import PresenceHandler, RunPresence
 from yokeline.shards.operations import OperationResult, ReadRun, RunResult
 from yokeline.shards.router import ShardRouter
 
--- a/tests/property/test_engine_subsets.py
+++ b/tests/property/test_engine_subsets.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from yokeline.scheduling.engine_subsets import (
-    LEAST_ENGINES,
+    MIN_ENGINES,
     ZoneMember,
     nodes_per_engine,
     preferred_engines,
@@ -73,7 +73,7 @@
             for name, least in fleet.min_preferences().items():
                 self.assertGreaterEqual(counts[name], least)
             fewest = min(len(subset) for subset in chosen.values())
-            self.assertGreaterEqual(fewest, min(LEAST_ENGINES, len(fleet.engines)))
+            self.assertGreaterEqual(fewest, min(MIN_ENGINES, len(fleet.engines)))
 
     @SOME
     @given(st.integers(0, 2**32), st.integers(10, 30), st.integers(10, 30))
@@ -90,7 +90,7 @@
             own_zone[engine.zone] += 1
         has_all_zones = {node.zone for node in fleet.nodes} >= set(own_zone)
         for node in fleet.nodes:
-            is_apart = node.zone != gone.zone and own_zone[node.zone] >= LEAST_ENGINES
+            is_apart = node.zone != gone.zone and own_zone[node.zone] >= MIN_ENGINES
             if is_apart and has_all_zones:
                 after = preferred_engines(node, fleet.nodes, fleet.engines)
                 self.assertEqual(after, before[node.name])
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -411,7 +411,7 @@
             found: Admission | None = original(book, tenant, kind, *others)
             if found is None or kind == "small":
                 return found
-            return msgspec.structs.replace(found, is_let_in=False, retry_after=1.0)
+            return msgspec.structs.replace(found, is_admitted=False, retry_after=1.0)
 
         with patch.object(ClaimTracker, "decide", decided):
             self.assertTrue(self.caught("starved"))
--- a/tests/property/test_room_waits.py
+++ b/tests/property/test_room_waits.py
@@ -8,12 +8,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from yokeline.scheduling.return_times import (
+from yokeline.scheduling.retry_delays import (
     HONOURED_SHARE,
     MAX_DELAY_SECONDS,
-    Returning,
-    return_after,
-    return_after_outage,
+    RefusedCaller,
+    retry_delay,
+    retry_delay_after_outage,
 )
 from yokeline.scheduling.room_waits import PoolRoom, RoomNeed, decide, expected_wait, longest_wait
 
@@ -39,7 +39,7 @@
     error_ratio=st.floats(0.5, 4.0),
 )
 CALLERS = st.builds(
-    Returning,
+    RefusedCaller,
     request_id=st.integers(0, 10_000).map(str),
     has_begun=st.booleans(),
     time_left=st.floats(-1.0, 1000.0),
@@ -88,17 +88,17 @@
     @EXAMPLES
     @given(CALLERS, st.floats(0.0, 1000.0))
     def test_they_are_within_what_a_caller_honours(
-        self, caller: Returning, expected: float
+        self, caller: RefusedCaller, expected: float
     ) -> None:
         honoured = max(0.0, HONOURED_SHARE * caller.time_left)
-        for seconds in (return_after(caller, expected), return_after_outage(caller)):
+        for seconds in (retry_delay(caller, expected), retry_delay_after_outage(caller)):
             self.assertGreaterEqual(seconds, 0.0)
             self.assertLessEqual(seconds, min(MAX_DELAY_SECONDS, honoured) + ROUNDING)
 
     @EXAMPLES
     @given(CALLERS, st.floats(0.0, 1000.0), st.floats(0.0, 1000.0))
     def test_a_longer_queue_brings_nobody_back_sooner(
-        self, caller: Returning, expected: float, more: float
+        self, caller: RefusedCaller, expected: float, more: float
     ) -> None:
-        sooner, later = return_after(caller, expected), return_after(caller, expected + more)
+        sooner, later = retry_delay(caller, expected), retry_delay(caller, expected + more)
         self.assertGreaterEqual(later + ROUNDING, sooner)
--- a/tests/property/test_scheduling.py
+++ b/tests/property/test_scheduling.py
@@ -11,9 +11,9 @@
 from tests.unit.scheduling.support import CACHE_TOKENS, demand, engine, facts, pause
 from yokeline.identifiers import RunId
 from yokeline.scheduling.affinity import AffinityPolicy
+from yokeline.scheduling.engine_state_tracker import CallEnd, EngineStateTracker
 from yokeline.scheduling.forecast import BUCKET_BOUNDS_SECONDS, PauseForecast
 from yokeline.scheduling.interface import CacheAction, CallDemand, EngineChoice, EngineView
-from yokeline.scheduling.ledger import CallEnd, EngineLedger
 from yokeline.scheduling.policies import POLICY_NAMES, make_policy
 
 EXAMPLES = settings(derandomize=True, deadline=None, max_examples=60)
@@ -148,7 +148,7 @@
     @EXAMPLES
     @given(st.lists(st.tuples(st.sampled_from("stedp"), st.integers(0, 3)), max_size=40))
     def test_nothing_stays_counted_once_all_is_over(self, steps: list[tuple[str, int]]) -> None:
-        ledger = EngineLedger()
+        ledger = EngineStateTracker()
         runs = [RunId(f"run-{number}") for number in range(4)]
         for now, (step, number) in enumerate(steps):
             run, call = runs[number], f"call-{number}"
@@ -162,7 +162,7 @@
                 case "d":
                     ledger.context_removed("pool/e1", run)
                 case "p":
-                    ledger.account("pool/e1").run_paused(run, run, 500, now + 5.0)
+                    ledger.engine("pool/e1").run_paused(run, run, 500, now + 5.0)
         end = float(len(steps))
         for number in range(4):
             ledger.call_ended(f"call-{number}", CallEnd(ok=False), end)
--- a/tests/property/test_tenant_shares.py
+++ b/tests/property/test_tenant_shares.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from yokeline.scheduling.passing_over import MIN_SERVICE_RATIO, PassingOver
+from yokeline.scheduling.service_deficits import MIN_SERVICE_RATIO, ServiceDeficits
 from yokeline.scheduling.tenant_shares import (
     MAX_BEYOND,
     MIN_EXCESS,
@@ -135,12 +135,12 @@
         Checked over a long run, since a tenant may be a few slots behind at any moment.
         """
         source = random.Random(seed)
-        passing = PassingOver()
+        passing = ServiceDeficits()
         asked = {"hot": 0, "calm": 0}
         served = {"hot": 0, "calm": 0}
         for step in range(LONG_RUN):
             tenant = "hot" if source.random() < hot_part / 13 else "calm"
-            may_have = tenant == "calm" or passing.is_owed(tenant)
+            may_have = tenant == "calm" or passing.has_deficit(tenant)
             is_served = may_have and source.random() < rate / 12
             asked[tenant] += 1
             served[tenant] += is_served
@@ -154,10 +154,10 @@
         self, ends: list[tuple[str, bool]]
     ) -> None:
         """A tenant without a deficit has been served at the minimum rate, less one slot."""
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for step, (tenant, is_served) in enumerate(ends):
             passing.note(tenant, 0.01 * step, is_served=is_served)
         for tenant in "abc":
             own = [is_served for name, is_served in ends if name == tenant]
             if sum(own) >= MIN_SERVICE_RATIO * len(own):
-                self.assertFalse(passing.is_owed(tenant))
+                self.assertFalse(passing.has_deficit(tenant))
--- a/tests/unit/forwarding/test_preferences.py
+++ b/tests/unit/forwarding/test_preferences.py
@@ -8,7 +8,7 @@
 from yokeline.forwarding.engines import IDLE_CONNECTION_TTL_SECONDS, EngineTable
 from yokeline.forwarding.model import Call, Engine
 from yokeline.forwarding.prefix_cache import PrefixCacheIndex
-from yokeline.scheduling.engine_subsets import LEAST_ENGINES, ZoneMember
+from yokeline.scheduling.engine_subsets import MIN_ENGINES, ZoneMember
 
 ENGINES = 12
 NODES = 30
@@ -50,7 +50,7 @@
     def test_a_node_keeps_to_the_engines_that_it_prefers(self) -> None:
         engines = shared_book()
         preferred = {state.engine.engine_id for state in engines.all() if state.is_preferred}
-        self.assertIn(len(preferred), range(LEAST_ENGINES, ENGINES // 2 + 1))
+        self.assertIn(len(preferred), range(MIN_ENGINES, ENGINES // 2 + 1))
         self.assertIn(chosen(engines), preferred)
 
     def test_an_engine_with_an_idle_connection_comes_first_while_the_engine_keeps_it(self) -> None:
--- a/tests/unit/forwarding/test_tenants.py
+++ b/tests/unit/forwarding/test_tenants.py
@@ -13,7 +13,7 @@
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory, scoped
 from yokeline.ledger.messages import LedgerReply
 from yokeline.ledger.operations import Draw, Drawn, Granted, QuotaSpent, Reserve, Settle
-from yokeline.scheduling.return_times import LIMIT_SPREAD
+from yokeline.scheduling.retry_delays import LIMIT_JITTER
 
 
 def key(text: str) -> Credential:
@@ -246,7 +246,7 @@
         self.assertEqual(reply.status, 429)
         told = float(reply.headers["retry-after"])
         self.assertGreaterEqual(told, 0.2)
-        self.assertLessEqual(told, 0.2 * (1 + LIMIT_SPREAD) + 0.01)
+        self.assertLessEqual(told, 0.2 * (1 + LIMIT_JITTER) + 0.01)
         self.played.wait(0.3)
         self.assertEqual(len([op for op in self.played.operations() if isinstance(op, Reserve)]), 1)
 
--- a/tests/unit/ledger/test_admission_controller.py
+++ b/tests/unit/ledger/test_admission_controller.py
@@ -34,7 +34,7 @@
 from yokeline.ledger.state import LedgerCommand, LedgerState, Program, StoredTurn
 from yokeline.ledger.storage_node import storage_figures
 from yokeline.messages.structs import decode_struct, encode_struct
-from yokeline.scheduling.program_sizes import LEAST_PROGRAMS
+from yokeline.scheduling.program_sizes import MIN_PROGRAMS
 
 WIDE = RateLimit("hule", rate=1000.0, burst=1000.0, version=1)
 LIMIT = RateLimit("hule", rate=1.0, burst=200.0, version=2)
@@ -81,7 +81,7 @@
 
     def learn_size(self) -> None:
         """Let programs of 20 requests end under a wider limit."""
-        for number in range(LEAST_PROGRAMS):
+        for number in range(MIN_PROGRAMS):
             self.run_program(f"earlier{number}", WIDE)
         self.now += MAX_IDLE_SECONDS
 
@@ -116,7 +116,7 @@
         self,
     ) -> None:
         """Looping programs would otherwise inflate the expected size of their kind."""
-        for number in range(LEAST_PROGRAMS):
+        for number in range(MIN_PROGRAMS):
             name = f"loop{number}"
             self.run_program(name, WIDE)
             more = msgspec.structs.replace(first_turn(name, WIDE, f"{name}/more"), tokens=10**7)
@@ -208,7 +208,7 @@
 
 class Wiring(StorageCase):
     def learn_size(self, cluster: Cluster) -> None:
-        for program in range(LEAST_PROGRAMS):
+        for program in range(MIN_PROGRAMS):
             name = f"earlier{program}"
             cluster.ask(first_turn(name, WIDE))
             cluster.ask(Settle(request_id=f"{name}/0", program=name, tokens=1))
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -17,12 +17,12 @@
     ClaimTracker,
 )
 from yokeline.ledger.state import Program
-from yokeline.scheduling.program_admission import Admission, Supply
-from yokeline.scheduling.program_sizes import LEAST_PROGRAMS
+from yokeline.scheduling.program_admission import Admission, BucketState
+from yokeline.scheduling.program_sizes import MIN_PROGRAMS
 
 TENANT = "hule"
-FULL = Supply(level=1000.0, rate=100.0)
-LITTLE = Supply(level=2.0, rate=1.0)
+FULL = BucketState(level=1000.0, rate=100.0)
+LITTLE = BucketState(level=2.0, rate=1.0)
 
 
 def candidate(name: str, kind: str = "k", time_left: float | None = None) -> CandidateProgram:
@@ -47,9 +47,7 @@
         self.claims = ClaimTracker()
         self.now = 0.0
 
-    def run_programs(
-        self, requests: int = 10, kind: str = "k", count: int = LEAST_PROGRAMS
-    ) -> None:
+    def run_programs(self, requests: int = 10, kind: str = "k", count: int = MIN_PROGRAMS) -> None:
         """Let programs of a kind run and become idle."""
         for number in range(count):
             name = f"{kind}{self.now}/{number}"
@@ -60,7 +58,7 @@
     def update(self, name: str, program: Program, *, is_complete: bool = False) -> None:
         self.claims.update(name, program, is_complete=is_complete)
 
-    def decide(self, supply: Supply, kind: str = "k") -> Admission | None:
+    def decide(self, supply: BucketState, kind: str = "k") -> Admission | None:
         return self.claims.decide(candidate("new", kind), supply, self.now)
 
     def expected(self, kind: str = "k") -> float:
@@ -71,7 +69,7 @@
 
 class ProgramSizes(ClaimCase):
     def test_no_decision_before_enough_programs_have_ended(self) -> None:
-        self.run_programs(count=LEAST_PROGRAMS - 1)
+        self.run_programs(count=MIN_PROGRAMS - 1)
         self.assertIsNone(self.decide(LITTLE))
 
     def test_each_kind_of_a_tenant_has_its_own_size(self) -> None:
@@ -87,7 +85,7 @@
         first = self.claims.size_of("other", "long")
         assert first is not None
         self.assertEqual(first.requests, 20.0)
-        for number in range(LEAST_PROGRAMS):
+        for number in range(MIN_PROGRAMS):
             own = account(4, self.now, self.now + 2.0, kind="long")
             own.tenant = "other"
             self.update(f"other{number}", own)
@@ -159,9 +157,9 @@
         self.run_programs(10)
         admitted = 0
         for number in range(50):
-            decision = self.decide(Supply(level=35.0, rate=0.01))
+            decision = self.decide(BucketState(level=35.0, rate=0.01))
             assert decision is not None
-            if decision.is_let_in:
+            if decision.is_admitted:
                 self.claims.add_provisional(candidate(f"p{number}"), self.now)
                 admitted += 1
         self.assertEqual(admitted, 3)
@@ -217,40 +215,40 @@
     def test_a_refused_kind_gets_priority(self) -> None:
         self.run_programs(2, "small")
         self.run_programs(20, "large")
-        supply = Supply(level=15.0, rate=1.0)
+        supply = BucketState(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
-        self.assertEqual((large.is_let_in, small.is_let_in), (False, True))
+        self.assertEqual((large.is_admitted, small.is_admitted), (False, True))
         self.now += KIND_PRIORITY_SECONDS + 0.1
         large, small = self.decide(supply, "large"), self.decide(supply, "small")
         assert large is not None and small is not None
-        self.assertEqual((large.is_let_in, small.is_let_in), (False, False))
+        self.assertEqual((large.is_admitted, small.is_admitted), (False, False))
         self.now += REFUSAL_CACHE_SECONDS
-        later = self.decide(Supply(level=40.0, rate=1.0), "large")
+        later = self.decide(BucketState(level=40.0, rate=1.0), "large")
         assert later is not None
-        self.assertTrue(later.is_let_in)
+        self.assertTrue(later.is_admitted)
         self.now += REFUSAL_CACHE_SECONDS
         small = self.decide(supply, "small")
         assert small is not None
-        self.assertTrue(small.is_let_in)
+        self.assertTrue(small.is_admitted)
 
     def test_a_refused_kind_loses_priority_without_retries(self) -> None:
         self.run_programs(2, "small")
         self.run_programs(20, "large")
-        supply = Supply(level=15.0, rate=1.0)
+        supply = BucketState(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="small", has_open_turn=True))
         large = self.decide(supply, "large")
         assert large is not None
         self.now += large.retry_after + RETRY_GRACE_SECONDS + 0.1
         small = self.decide(supply, "small")
         assert small is not None
-        self.assertTrue(small.is_let_in)
+        self.assertTrue(small.is_admitted)
 
     def test_two_large_kinds_do_not_wait_for_each_other(self) -> None:
         self.run_programs(200, "one")
         self.run_programs(200, "two")
-        supply = Supply(level=15.0, rate=1.0)
+        supply = BucketState(level=15.0, rate=1.0)
         self.update("p", account(1, self.now, self.now, kind="one"))
         for _ in range(5):
             for kind in ("one", "two"):
@@ -258,7 +256,7 @@
             self.now += MAX_IDLE_SECONDS / 4
         self.now += MAX_IDLE_SECONDS
         decision = [self.decide(supply, kind) for kind in ("one", "two")]
-        self.assertTrue(any(item is not None and item.is_let_in for item in decision))
+        self.assertTrue(any(item is not None and item.is_admitted for item in decision))
 
 
 class LatePrograms(ClaimCase):
@@ -268,14 +266,14 @@
 
     def run_timed_programs(self, seconds: float) -> None:
         """Let programs with a time limit of four seconds run and become idle."""
-        for number in range(LEAST_PROGRAMS):
+        for number in range(MIN_PROGRAMS):
             name = f"t{number}"
             self.claims.add_provisional(candidate(name, time_left=self.time_limit), self.now)
             self.update(name, account(10, self.now, self.now + seconds))
         self.now += seconds + MAX_IDLE_SECONDS
         self.claims.sweep(self.now)
 
-    def ask(self, name: str, time_left: float, supply: Supply) -> Admission:
+    def ask(self, name: str, time_left: float, supply: BucketState) -> Admission:
         decision = self.claims.decide(candidate(name, time_left=time_left), supply, self.now)
         assert decision is not None
         return decision
@@ -287,33 +285,33 @@
     def test_a_late_program_yields_to_others(self) -> None:
         self.run_timed_programs(3.0)
         self.exhaust_limit()
-        self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_let_in)
+        self.assertFalse(self.ask("late", self.time_limit, LITTLE).is_admitted)
         self.now += 2 * REFUSAL_CACHE_SECONDS
         late = self.ask("late", 2.0, FULL)
         self.assertTrue(late.cannot_end_in_time)
-        self.assertFalse(late.is_let_in)
-        self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_let_in)
+        self.assertFalse(late.is_admitted)
+        self.assertTrue(self.ask("fresh", self.time_limit, FULL).is_admitted)
 
     def test_a_retry_that_can_meet_its_deadline_is_treated_as_new(self) -> None:
         self.run_timed_programs(2.0)
         self.exhaust_limit()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
-        self.assertTrue(self.ask("p", 2.5, FULL).is_let_in)
+        self.assertTrue(self.ask("p", 2.5, FULL).is_admitted)
 
     def test_a_late_program_is_admitted_once_no_other_is_refused(self) -> None:
         self.run_timed_programs(3.0)
         self.exhaust_limit()
         self.ask("late", self.time_limit, LITTLE)
         self.now += LATE_YIELD_SECONDS
-        self.assertTrue(self.ask("late", 2.0, FULL).is_let_in)
+        self.assertTrue(self.ask("late", 2.0, FULL).is_admitted)
 
     def test_programs_without_a_deadline_are_never_late(self) -> None:
         self.run_programs(10)
         self.exhaust_limit()
         self.ask("p", self.time_limit, LITTLE)
         self.now += 2 * REFUSAL_CACHE_SECONDS
-        self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
+        self.assertTrue(self.ask("p", 0.1, FULL).is_admitted)
 
     def test_admitted_programs_of_a_tenant_at_twice_its_limit_meet_their_deadlines(self) -> None:
         """Each refused program retries up to five times; few are admitted too late."""
@@ -351,12 +349,12 @@
                 _, tries, name, first = asked
                 time_left = self.time_limit - (self.now - first)
                 known_time_left = time_left if knows_time else None
-                supply = Supply(level=max(0.0, level), rate=rate)
+                supply = BucketState(level=max(0.0, level), rate=rate)
                 decision = self.claims.decide(
                     candidate(name, time_left=known_time_left), supply, self.now
                 )
                 assert decision is not None
-                if decision.is_let_in:
+                if decision.is_admitted:
                     self.claims.add_provisional(
                         candidate(name, time_left=known_time_left), self.now
                     )
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -26,11 +26,11 @@
 from yokeline.scheduling.engine_model import (
     DEFAULT_PRIOR,
     OUTLIER_FACTOR,
-    EngineModel,
+    EngineLatencyModel,
     LinearFit,
     ServedTurn,
 )
-from yokeline.scheduling.engine_profiles import ToldProfile, usual_pace
+from yokeline.scheduling.engine_profiles import ReportedProfile, usual_pace
 
 NODES = 72
 ENGINES = 24
@@ -52,8 +52,8 @@
     started_at: float
     ended_at: float
     first_event: float
-    unread: int
-    beside: int
+    uncached_tokens: int
+    concurrent_turns: int
 
 
 class Fleet:
@@ -91,8 +91,8 @@
 def served_turn(turn: Turn) -> ServedTurn:
     return ServedTurn(
         engine_id=turn.engine,
-        unread=turn.unread,
-        beside=turn.beside,
+        uncached_tokens=turn.uncached_tokens,
+        concurrent_turns=turn.concurrent_turns,
         first_event_seconds=turn.first_event,
         event_seconds=(turn.ended_at - turn.started_at - turn.first_event) / (EVENTS - 1),
         events=EVENTS,
@@ -138,10 +138,12 @@
     def observe(self, turn: Turn) -> None:
         observed = served_turn(turn)
         assert observed.event_seconds is not None
-        self.prefill_fits[turn.node].observe(turn.unread, turn.first_event)
-        ratio = observed.event_seconds / self.interval_fits[turn.node].predict(turn.beside)
+        self.prefill_fits[turn.node].observe(turn.uncached_tokens, turn.first_event)
+        ratio = observed.event_seconds / self.interval_fits[turn.node].predict(
+            turn.concurrent_turns
+        )
         ratio = min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
-        self.interval_fits[turn.node].observe(turn.beside, observed.event_seconds)
+        self.interval_fits[turn.node].observe(turn.concurrent_turns, observed.event_seconds)
         factor = self.factors[turn.node].get(turn.engine, 1.0)
         self.factors[turn.node][turn.engine] = factor + 0.1 * (ratio - factor)
         average = self.slowness.setdefault(turn.engine, FadingAverage(1.0, 0.15, 4.0))
@@ -153,10 +155,10 @@
 
     def __init__(self, *, with_spell: bool) -> None:
         super().__init__()
-        self.models = [EngineModel() for _ in range(NODES)]
+        self.models = [EngineLatencyModel() for _ in range(NODES)]
         self.leader = TurnsUnderWay()
         self.with_spell = with_spell
-        self.told: list[dict[str, ToldProfile]] = [{} for _ in range(NODES)]
+        self.told: list[dict[str, ReportedProfile]] = [{} for _ in range(NODES)]
         self._sequence = 0
 
     def receive_leader_report(self, node: int, now: float) -> None:
@@ -167,14 +169,14 @@
             if item.pace:
                 self.told[node][item.engine_id] = self._profile(item, now)
         usual = usual_pace(item.pace_seconds for item in self.told[node].values())
-        self.models[node].take_usual(usual)
+        self.models[node].set_typical_pace(usual)
 
-    def _profile(self, item: EngineTurns, now: float) -> ToldProfile:
-        return ToldProfile(
+    def _profile(self, item: EngineTurns, now: float) -> ReportedProfile:
+        return ReportedProfile(
             pace_seconds=item.pace * PACE_UNIT_SECONDS,
             samples=item.samples,
             spell=item.spell_percent / PERCENT if self.with_spell else 1.0,
-            told_at=now,
+            reported_at=now,
         )
 
     def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
@@ -182,14 +184,19 @@
         told = self.told[node].get(engine)
         model = self.models[node]
         return model.predict(
-            engine, unread=unread, beside=beside, now=now, told=told, hinted_events=EVENTS - 1
+            engine,
+            uncached_tokens=unread,
+            concurrent_turns=beside,
+            now=now,
+            reported_profile=told,
+            hinted_events=EVENTS - 1,
         ).seconds
 
     def observe(self, turn: Turn) -> None:
         model, told = self.models[turn.node], self.told[turn.node].get(turn.engine)
         observed = model.observe(served_turn(turn), turn.ended_at, told)
         self._sequence += 1
-        pace = round(observed.alone_seconds / PACE_UNIT_SECONDS)
+        pace = round(observed.pace_seconds / PACE_UNIT_SECONDS)
         report = NodeTurns(
             self._sequence, (), (TurnServed(turn.engine, False, observed.slowness, pace=pace),)
         )
@@ -222,6 +229,8 @@
         number += 1
         heapq.heappush(under_way, (turn.ended_at, number, turn))
         for predictor in predictors.values():
-            predicted = predictor.predict(node, engine, turn.unread, turn.beside, now)
+            predicted = predictor.predict(
+                node, engine, turn.uncached_tokens, turn.concurrent_turns, now
+            )
             actual = turn.ended_at - turn.started_at
             predictor.errors.append((now, abs(predicted - actual) / actual))
--- a/tests/unit/scheduling/support.py
+++ b/tests/unit/scheduling/support.py
@@ -6,9 +6,9 @@
 
 from yokeline.effects import Address
 from yokeline.identifiers import RunId
+from yokeline.scheduling.engine_state_tracker import EngineConfig
 from yokeline.scheduling.forecast import PauseForecast
 from yokeline.scheduling.interface import CallDemand, EngineView, PauseContext, PauseKind
-from yokeline.scheduling.ledger import EngineFacts
 
 ADDRESS = Address("10.0.0.1", 80)
 CACHE_TOKENS = 100_000
@@ -49,9 +49,9 @@
     return msgspec.structs.replace(base, **changes)
 
 
-def facts(name: str = "pool/e1") -> EngineFacts:
+def facts(name: str = "pool/e1") -> EngineConfig:
     """Return the configured values of an engine."""
-    return EngineFacts(
+    return EngineConfig(
         name=name, address=ADDRESS, pool="pool", labels={}, slots=4, cache_tokens=CACHE_TOKENS
     )
 
--- a/tests/unit/scheduling/test_directory.py
+++ b/tests/unit/scheduling/test_directory.py
@@ -12,10 +12,14 @@
 from yokeline.effects import Address, HttpFailed, HttpRequest, HttpResponse
 from yokeline.identifiers import NodeName, ReplicaId, RunId
 from yokeline.labels.objects import EnginePool
+from yokeline.scheduling.cache_reconciler import (
+    INVENTORY_PERIOD_SECONDS,
+    PresenceHandler,
+    RunPresence,
+)
 from yokeline.scheduling.directory import EngineDirectory, MachineEntry
 from yokeline.scheduling.interface import CacheAction, PauseKind, ProgramPause
 from yokeline.scheduling.policies import make_policy
-from yokeline.scheduling.steward import INVENTORY_PERIOD_SECONDS, PresenceHandler, RunPresence
 from yokeline.server.context import NodeContext
 from yokeline.settings import NodeSection, Settings
 
@@ -48,8 +52,8 @@
             make_policy("affinity"),
             lambda: self.pools,
             lambda: self.machines,
-            stewards=lambda engine: engine == FIRST,
-            run_exists=self._run_exists,
+            reconciles=lambda engine: engine == FIRST,
+            look_up_run=self._run_exists,
         )
         self.directory.refresh()
 
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -4,14 +4,14 @@
 import unittest
 
 from yokeline.scheduling.engine_model import (
-    EngineModel,
+    EngineLatencyModel,
     LinearFit,
     ObservedPace,
     Prediction,
     PriorPoint,
     ServedTurn,
 )
-from yokeline.scheduling.engine_profiles import ToldProfile
+from yokeline.scheduling.engine_profiles import ReportedProfile
 
 PREFILL_SECONDS_PER_TOKEN = 1 / 40_000
 PACE = 0.015
@@ -26,8 +26,8 @@
     noise_factor = 1 + noise * (2 * source.random() - 1)
     return ServedTurn(
         engine_id=engine_id,
-        unread=unread,
-        beside=beside,
+        uncached_tokens=unread,
+        concurrent_turns=beside,
         first_event_seconds=noise_factor * speed * (0.02 + unread * PREFILL_SECONDS_PER_TOKEN),
         event_seconds=noise_factor * speed * (PACE + SLOWDOWN_PER_TURN * beside),
         events=source.randint(4, 16),
@@ -38,38 +38,42 @@
     """A model whose clock advances by a second with each turn."""
 
     def __init__(self) -> None:
-        self.model = EngineModel()
+        self.model = EngineLatencyModel()
         self.now = 100.0
 
-    def observe(self, turn: ServedTurn, told: ToldProfile | None = None) -> ObservedPace:
+    def observe(
+        self, turn: ServedTurn, reported_profile: ReportedProfile | None = None
+    ) -> ObservedPace:
         self.now += 1.0
-        return self.model.observe(turn, self.now, told)
+        return self.model.observe(turn, self.now, reported_profile)
 
     def predict(
         self,
         engine_id: str,
         *,
-        unread: int,
-        beside: int,
-        told: ToldProfile | None = None,
-        told_slowness: float = 1.0,
+        uncached_tokens: int,
+        concurrent_turns: int,
+        reported_profile: ReportedProfile | None = None,
+        reported_slowness: float = 1.0,
         hinted_events: float | None = None,
     ) -> Prediction:
         return self.model.predict(
             engine_id,
-            unread=unread,
-            beside=beside,
+            uncached_tokens=uncached_tokens,
+            concurrent_turns=concurrent_turns,
             now=self.now,
-            told=told,
-            told_slowness=told_slowness,
+            reported_profile=reported_profile,
+            reported_slowness=reported_slowness,
             hinted_events=hinted_events,
         )
 
     def slowdown_factor(self, engine_id: str) -> float:
         return self.model.slowdown_factor(engine_id, self.now)
 
-    def told(self, pace: float, *, samples: float = 15, spell: float = 1.0) -> ToldProfile:
-        return ToldProfile(pace_seconds=pace, samples=samples, spell=spell, told_at=self.now)
+    def told(self, pace: float, *, samples: float = 15, spell: float = 1.0) -> ReportedProfile:
+        return ReportedProfile(
+            pace_seconds=pace, samples=samples, spell=spell, reported_at=self.now
+        )
 
     @property
     def events(self) -> float:
@@ -80,8 +84,8 @@
         return self.model.prefill_seconds_per_token
 
     @property
-    def usual_seconds(self) -> float:
-        return self.model.usual_seconds
+    def typical_turn_seconds(self) -> float:
+        return self.model.typical_turn_seconds
 
 
 class Learning(unittest.TestCase):
@@ -101,7 +105,7 @@
         expected = (
             0.02 + 1000 * PREFILL_SECONDS_PER_TOKEN + model.events * (PACE + 6 * SLOWDOWN_PER_TURN)
         )
-        predicted = model.predict("e", unread=1000, beside=6).seconds
+        predicted = model.predict("e", uncached_tokens=1000, concurrent_turns=6).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.1)
 
     def test_an_engine_that_turns_slow_is_known_after_few_turns_and_forgiven(self) -> None:
@@ -111,7 +115,10 @@
             model.observe(served_turn(source, "a"))
             model.observe(served_turn(source, "b", speed=4.0))
             model.observe(served_turn(source, "c"))
-        slow, usual = (model.predict(name, unread=0, beside=2).seconds for name in ("b", "a"))
+        slow, usual = (
+            model.predict(name, uncached_tokens=0, concurrent_turns=2).seconds
+            for name in ("b", "a")
+        )
         self.assertGreater(slow, 1.8 * usual)
         for _ in range(30):
             for name in ("a", "b", "c"):
@@ -125,36 +132,42 @@
 
     def test_what_other_nodes_saw_counts_where_this_one_saw_nothing(self) -> None:
         model = self.trained()
-        told = model.predict("e", unread=0, beside=0, told_slowness=3.0).seconds
-        self.assertGreater(told, 2 * model.predict("e", unread=0, beside=0).seconds)
+        told = model.predict(
+            "e", uncached_tokens=0, concurrent_turns=0, reported_slowness=3.0
+        ).seconds
+        self.assertGreater(
+            told, 2 * model.predict("e", uncached_tokens=0, concurrent_turns=0).seconds
+        )
 
     def test_one_wild_turn_bends_nothing(self) -> None:
         model = self.trained()
-        before = model.predict("e", unread=1000, beside=3).seconds
+        before = model.predict("e", uncached_tokens=1000, concurrent_turns=3).seconds
         source = random.Random(3)
         model.observe(served_turn(source, speed=200.0))
-        after = model.predict("e", unread=1000, beside=3).seconds
+        after = model.predict("e", uncached_tokens=1000, concurrent_turns=3).seconds
         self.assertLess(after, 1.3 * before)
 
     def test_events_that_all_came_at_once_divide_by_nothing(self) -> None:
         observer = Observer()
         turn = ServedTurn(
             engine_id="e",
-            unread=0,
-            beside=0,
+            uncached_tokens=0,
+            concurrent_turns=0,
             first_event_seconds=0.0,
             event_seconds=0.0,
             events=5,
         )
         for _ in range(20):
             observer.observe(turn)
-        self.assertGreater(observer.predict("e", unread=0, beside=0).seconds, 0)
+        self.assertGreater(observer.predict("e", uncached_tokens=0, concurrent_turns=0).seconds, 0)
 
     def test_a_guess_of_the_length_counts_within_bounds(self) -> None:
         model = self.trained()
-        usual = model.predict("e", unread=0, beside=2).seconds
+        usual = model.predict("e", uncached_tokens=0, concurrent_turns=2).seconds
         longer, absurd = (
-            model.predict("e", unread=0, beside=2, hinted_events=factor * model.events).seconds
+            model.predict(
+                "e", uncached_tokens=0, concurrent_turns=2, hinted_events=factor * model.events
+            ).seconds
             for factor in (3.0, 1000.0)
         )
         self.assertGreater(longer, 2 * usual)
@@ -162,10 +175,10 @@
 
     def test_before_anything_is_seen_reading_is_dear_and_nothing_is_zero(self) -> None:
         model = Observer()
-        cached = model.predict("e", unread=0, beside=3)
-        moved = model.predict("e", unread=5000, beside=0)
+        cached = model.predict("e", uncached_tokens=0, concurrent_turns=3)
+        moved = model.predict("e", uncached_tokens=5000, concurrent_turns=0)
         self.assertGreater(moved.cost, cached.cost)
-        self.assertGreater(model.usual_seconds, 0)
+        self.assertGreater(model.typical_turn_seconds, 0)
 
     def test_a_change_of_the_whole_pool_is_followed(self) -> None:
         model = self.trained()
@@ -173,7 +186,7 @@
         for _ in range(150):
             model.observe(served_turn(source, speed=3.0))
         expected = 3.0 * (0.02 + model.events * (PACE + 2 * SLOWDOWN_PER_TURN))
-        predicted = model.predict("other", unread=0, beside=2).seconds
+        predicted = model.predict("other", uncached_tokens=0, concurrent_turns=2).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.25)
 
 
@@ -182,21 +195,27 @@
 
     def test_a_node_that_has_just_started_predicts_with_what_it_was_told(self) -> None:
         observer = Observer()
-        observer.model.take_usual(PACE)
-        fast = observer.predict("f", unread=0, beside=0, told=observer.told(0.7 * PACE))
-        slow = observer.predict("s", unread=0, beside=0, told=observer.told(1.7 * PACE))
+        observer.model.set_typical_pace(PACE)
+        fast = observer.predict(
+            "f", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(0.7 * PACE)
+        )
+        slow = observer.predict(
+            "s", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(1.7 * PACE)
+        )
         self.assertAlmostEqual(slow.seconds / fast.seconds, 1.7 / 0.7, delta=0.1)
 
     def test_an_engine_of_which_nothing_is_known_is_taken_for_a_usual_one(self) -> None:
         observer = Observer()
-        observer.model.take_usual(PACE)
-        known = observer.predict("u", unread=0, beside=0, told=observer.told(PACE)).seconds
-        unknown = observer.predict("new", unread=0, beside=0).seconds
+        observer.model.set_typical_pace(PACE)
+        known = observer.predict(
+            "u", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(PACE)
+        ).seconds
+        unknown = observer.predict("new", uncached_tokens=0, concurrent_turns=0).seconds
         self.assertAlmostEqual(unknown / known, 1.0, delta=0.01)
 
     def test_much_that_was_seen_elsewhere_outweighs_one_turn_here_and_little_does_not(self) -> None:
         observer = Observer()
-        observer.model.take_usual(PACE)
+        observer.model.set_typical_pace(PACE)
         source = random.Random(6)
         for _ in range(10):
             observer.observe(served_turn(source, "known"))
@@ -210,12 +229,16 @@
 
     def test_a_told_spell_fades_and_a_lasting_pace_stays(self) -> None:
         observer = Observer()
-        observer.model.take_usual(PACE)
+        observer.model.set_typical_pace(PACE)
         in_spell, slow = observer.told(PACE, spell=2.5), observer.told(2.5 * PACE)
         observer.now += 3.0
-        usual = observer.predict("u", unread=0, beside=0).seconds
-        after = observer.predict("u", unread=0, beside=0, told=in_spell).seconds
-        lasting = observer.predict("u", unread=0, beside=0, told=slow).seconds
+        usual = observer.predict("u", uncached_tokens=0, concurrent_turns=0).seconds
+        after = observer.predict(
+            "u", uncached_tokens=0, concurrent_turns=0, reported_profile=in_spell
+        ).seconds
+        lasting = observer.predict(
+            "u", uncached_tokens=0, concurrent_turns=0, reported_profile=slow
+        ).seconds
         self.assertLess(after, 1.15 * usual)
         self.assertGreater(lasting, 2.2 * usual)
 
@@ -227,13 +250,13 @@
             for _ in range(60):
                 observer.observe(served_turn(source, "others", speed=speed))
             observed = [observer.observe(served_turn(source, "e", noise=0.0)) for _ in range(9)]
-            told.append(sorted(item.alone_seconds for item in observed)[4])
+            told.append(sorted(item.pace_seconds for item in observed)[4])
         self.assertAlmostEqual(told[0] / told[1], 1.0, delta=0.05)
         self.assertAlmostEqual(told[0] / PACE, 1.0, delta=0.1)
 
     def test_a_node_that_has_seen_too_little_tells_no_pace(self) -> None:
         observer = Observer()
-        self.assertEqual(observer.observe(served_turn(random.Random(8))).alone_seconds, 0.0)
+        self.assertEqual(observer.observe(served_turn(random.Random(8))).pace_seconds, 0.0)
 
 
 class Lines(unittest.TestCase):
--- a/tests/unit/scheduling/test_engine_profiles.py
+++ b/tests/unit/scheduling/test_engine_profiles.py
@@ -77,7 +77,7 @@
 
     def test_failures_are_kept_apart(self) -> None:
         self.profile.note_outcome(self.now, failed=True)
-        self.assertGreater(self.profile.failed.value(self.now), 0.1)
+        self.assertGreater(self.profile.failure_rate.value(self.now), 0.1)
         self.assertEqual(self.profile.pace(self.now), UNKNOWN_PACE)
 
 
--- a/tests/unit/scheduling/test_engine_subsets.py
+++ b/tests/unit/scheduling/test_engine_subsets.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from yokeline.scheduling.engine_subsets import (
-    LEAST_ENGINES,
+    MIN_ENGINES,
     ZoneMember,
     nodes_per_engine,
     preferred_engines,
@@ -38,7 +38,7 @@
         least = nodes_per_engine(node_count // ZONES, engine_count // ZONES)
         self.assertGreaterEqual(min(counts), least)
         self.assertLessEqual(max(counts), most_to_mean * statistics.fmean(counts))
-        self.assertGreaterEqual(min(len(subset) for subset in chosen.values()), LEAST_ENGINES)
+        self.assertGreaterEqual(min(len(subset) for subset in chosen.values()), MIN_ENGINES)
         return chosen
 
     def test_few_engines_and_many_nodes(self) -> None:
@@ -90,7 +90,7 @@
         engines = [item for item in members("engine", 24) if item.zone != "zone-0"]
         counts = preference_counts(subsets(nodes, engines), engines)
         self.assertGreaterEqual(
-            min(len(subset) for subset in subsets(nodes, engines).values()), LEAST_ENGINES
+            min(len(subset) for subset in subsets(nodes, engines).values()), MIN_ENGINES
         )
         self.assertGreater(min(counts), 0)
 
@@ -102,7 +102,7 @@
     def test_a_node_that_is_not_listed_yet_prefers_some(self) -> None:
         nodes, engines = members("edge", 20), members("engine", 24)
         new = ZoneMember("new", "zone-1")
-        self.assertGreaterEqual(len(preferred_engines(new, nodes, engines)), LEAST_ENGINES)
+        self.assertGreaterEqual(len(preferred_engines(new, nodes, engines)), MIN_ENGINES)
 
     def test_a_pool_of_two_engines_is_preferred_whole_and_one_of_none_not_at_all(self) -> None:
         nodes, engines = members("edge", 20), members("engine", 2)
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -7,11 +7,15 @@
 from tests.unit.scheduling.support import RUN, demand, facts
 from yokeline.identifiers import RunId
 from yokeline.scheduling import engine_speed
-from yokeline.scheduling.account import LoadState
 from yokeline.scheduling.cache_types import CacheAction, CacheCause, CacheDecision, ProgramPause
+from yokeline.scheduling.engine_state_tracker import (
+    DEFAULT_PAUSE_SECONDS,
+    CallEnd,
+    EngineStateTracker,
+)
 from yokeline.scheduling.interface import CallDemand, EngineView, PauseKind
-from yokeline.scheduling.ledger import DEFAULT_PAUSE_SECONDS, CallEnd, EngineLedger
 from yokeline.scheduling.pauses import MIN_SAMPLES, PausePredictor
+from yokeline.scheduling.tracked_engine import LoadState
 
 ENGINE = "pool/e1"
 ENDED = CallEnd(ok=True, prompt_tokens=4000, completion_tokens=100)
@@ -20,7 +24,7 @@
 
 class LedgerTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.ledger = EngineLedger()
+        self.ledger = EngineStateTracker()
 
     def view(self, now: float, call: CallDemand | None = None) -> EngineView:
         return self.ledger.view(facts(), call or demand(), now)
@@ -115,7 +119,7 @@
         self.assertEqual(self.ledger.program_ended(RUN), (ENGINE,))
         self.assertEqual(self.ledger.program_ended(RUN), ())
         self.assertEqual(self.view(2.0).active_tokens, 0)
-        self.assertEqual(self.ledger.account(ENGINE).held_tokens(2.0), 0)
+        self.assertEqual(self.ledger.engine(ENGINE).held_tokens(2.0), 0)
 
 
 class ActiveProgramTest(LedgerTest):
@@ -149,7 +153,7 @@
 
     def test_hold_counts_until_its_end(self) -> None:
         self.pause(PauseKind.TOOL, 1.0, CacheAction.HOLD)
-        account = self.ledger.account(ENGINE)
+        account = self.ledger.engine(ENGINE)
         self.assertEqual((account.held_tokens(5.9), account.held_tokens(6.0)), (4100, 0))
 
 
--- a/tests/unit/scheduling/test_program_admission.py
+++ b/tests/unit/scheduling/test_program_admission.py
@@ -4,8 +4,8 @@
 
 from yokeline.scheduling.program_admission import (
     Admission,
+    BucketState,
     Claims,
-    Supply,
     claims_of,
     decide,
 )
@@ -23,7 +23,7 @@
 def decision(
     level: float, rate: float, claims: list[Claims], size: ProgramSize = SIZE
 ) -> Admission:
-    return decide(Supply(level=level, rate=rate), claims, size)
+    return decide(BucketState(level=level, rate=rate), claims, size)
 
 
 class Claiming(unittest.TestCase):
@@ -41,29 +41,29 @@
 
 class Decisions(unittest.TestCase):
     def test_a_bucket_that_holds_everything_lets_in(self) -> None:
-        self.assertTrue(decision(30.0, 0.001, held(2)).is_let_in)
+        self.assertTrue(decision(30.0, 0.001, held(2)).is_admitted)
 
     def test_what_comes_in_while_programs_run_counts(self) -> None:
         """Six programs of 5 requests per second, the new one included, need a refill of 30."""
-        self.assertTrue(decision(0.0, 30.0, held(5)).is_let_in)
-        self.assertFalse(decision(0.0, 29.0, held(5)).is_let_in)
+        self.assertTrue(decision(0.0, 30.0, held(5)).is_admitted)
+        self.assertFalse(decision(0.0, 29.0, held(5)).is_admitted)
 
     def test_what_is_due_sooner_than_it_comes_in_does_not_fit_though_the_sum_would(self) -> None:
         quick = Claims(count=1, requests=20.0, seconds=0.1, deviation=0.0)
         slow = Claims(count=1, requests=20.0, seconds=10.0, deviation=0.0)
-        self.assertFalse(decision(10.0, 10.0, [quick, slow]).is_let_in)
-        self.assertTrue(decision(25.0, 10.0, [quick, slow]).is_let_in)
+        self.assertFalse(decision(10.0, 10.0, [quick, slow]).is_admitted)
+        self.assertTrue(decision(25.0, 10.0, [quick, slow]).is_admitted)
 
     def test_a_refusal_tells_when_there_is_room(self) -> None:
         """Three programs of 5 requests per second use up a refill of 15 until they end."""
         refused = decision(0.0, 15.0, held(3))
-        self.assertFalse(refused.is_let_in)
+        self.assertFalse(refused.is_admitted)
         self.assertAlmostEqual(refused.retry_after, 2.0, delta=0.05)
 
     def test_that_time_is_true_while_nothing_else_comes(self) -> None:
         for level, rate, count in ((0.0, 15.0, 3), (4.0, 40.0, 12), (1.0, 3.0, 5), (9.0, 60.0, 30)):
             refused = decision(level, rate, held(count))
-            self.assertFalse(refused.is_let_in)
+            self.assertFalse(refused.is_admitted)
             for share in (0.8, 1.01):
                 passed = refused.retry_after * share
                 used = min(10.0, 5.0 * passed)
@@ -75,7 +75,7 @@
                     deviation=0.0,
                 )
                 again = decision(now, rate, [rest])
-                self.assertEqual(again.is_let_in, share > 1.0, (level, rate, count, share))
+                self.assertEqual(again.is_admitted, share > 1.0, (level, rate, count, share))
 
     def test_the_margin_grows_with_the_root_of_the_number_of_claims(self) -> None:
         few = decision(0.0, 1.0, held(4, size=VARIABLE), VARIABLE).margin
@@ -87,22 +87,22 @@
             return next(
                 count
                 for count in range(1, 100)
-                if not decision(20.0, 100.0, held(count, size=size), size).is_let_in
+                if not decision(20.0, 100.0, held(count, size=size), size).is_admitted
             )
 
         self.assertLess(most(VARIABLE), most(SIZE))
 
     def test_the_only_program_of_a_tenant_is_let_in_however_large(self) -> None:
         huge = ProgramSize(requests=500.0, deviation=10.0, seconds=1.0)
-        self.assertTrue(decision(5.0, 1.0, [], huge).is_let_in)
-        self.assertFalse(decision(5.0, 1.0, held(1), huge).is_let_in)
+        self.assertTrue(decision(5.0, 1.0, [], huge).is_admitted)
+        self.assertFalse(decision(5.0, 1.0, held(1), huge).is_admitted)
 
     def test_a_lowered_limit_lets_nothing_in_until_claims_fit(self) -> None:
-        self.assertTrue(decision(20.0, 100.0, held(15)).is_let_in)
+        self.assertTrue(decision(20.0, 100.0, held(15)).is_admitted)
         lowered = decision(20.0, 10.0, held(15))
-        self.assertFalse(lowered.is_let_in)
+        self.assertFalse(lowered.is_admitted)
         self.assertGreater(lowered.retry_after, 10.0)
-        self.assertTrue(decision(20.0, 10.0, held(1)).is_let_in)
+        self.assertTrue(decision(20.0, 10.0, held(1)).is_admitted)
 
     def test_a_bucket_in_debt_lets_nothing_in(self) -> None:
-        self.assertFalse(decision(-1.0, 100.0, held(1)).is_let_in)
+        self.assertFalse(decision(-1.0, 100.0, held(1)).is_admitted)
--- a/tests/unit/scheduling/test_program_sizes.py
+++ b/tests/unit/scheduling/test_program_sizes.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from yokeline.scheduling.program_sizes import LEAST_PROGRAMS, OUTLIER_FACTOR, SizeEstimate
+from yokeline.scheduling.program_sizes import MIN_PROGRAMS, OUTLIER_FACTOR, SizeEstimate
 
 
 def estimate_from(*requests: int, seconds: float = 2.0) -> SizeEstimate:
@@ -15,8 +15,8 @@
 
 class Sizes(unittest.TestCase):
     def test_nothing_is_known_until_some_programs_have_ended(self) -> None:
-        self.assertIsNone(estimate_from(*[11] * (LEAST_PROGRAMS - 1)).size)
-        size = estimate_from(*[11] * LEAST_PROGRAMS).size
+        self.assertIsNone(estimate_from(*[11] * (MIN_PROGRAMS - 1)).size)
+        size = estimate_from(*[11] * MIN_PROGRAMS).size
         assert size is not None
         self.assertEqual((size.requests, size.deviation, size.seconds), (11.0, 0.0, 2.0))
         self.assertEqual(size.rate, 5.5)
@@ -42,6 +42,6 @@
         self.assertLess(later.requests, 13.0)
 
     def test_programs_that_send_all_at_once_have_a_pace(self) -> None:
-        size = estimate_from(*[5] * LEAST_PROGRAMS, seconds=0.0).size
+        size = estimate_from(*[5] * MIN_PROGRAMS, seconds=0.0).size
         assert size is not None
         self.assertLess(size.rate, 1000.0)
--- a/tests/unit/scheduling/test_queue_order.py
+++ b/tests/unit/scheduling/test_queue_order.py
@@ -4,27 +4,31 @@
 
 import unittest
 
-from yokeline.scheduling.queue_order import Standing, order_key
+from yokeline.scheduling.queue_order import QueuePosition, order_key
 
 
 class Order(unittest.TestCase):
-    def assert_before(self, first: Standing, second: Standing) -> None:
+    def assert_before(self, first: QueuePosition, second: QueuePosition) -> None:
         self.assertLess(order_key(first), order_key(second))
 
     def test_a_stream_that_broke_off_goes_first(self) -> None:
-        self.assert_before(Standing(is_interrupted=True, over_at=9.0), Standing(has_begun=True))
+        self.assert_before(
+            QueuePosition(is_interrupted=True, program_deadline=9.0), QueuePosition(has_begun=True)
+        )
 
     def test_a_begun_program_goes_before_a_new_one(self) -> None:
-        self.assert_before(Standing(has_begun=True, over_at=9.0), Standing())
+        self.assert_before(QueuePosition(has_begun=True, program_deadline=9.0), QueuePosition())
 
     def test_a_late_one_goes_after_those_in_time(self) -> None:
-        self.assert_before(Standing(over_at=9.0), Standing(is_late=True, has_begun=True))
+        self.assert_before(
+            QueuePosition(program_deadline=9.0), QueuePosition(is_late=True, has_begun=True)
+        )
 
     def test_a_tenant_that_leaves_places_goes_after_late_ones_of_others(self) -> None:
-        self.assert_before(Standing(is_late=True), Standing(is_held_back=True))
+        self.assert_before(QueuePosition(is_late=True), QueuePosition(is_held_back=True))
 
     def test_otherwise_the_one_that_is_over_first_goes_first(self) -> None:
-        self.assert_before(Standing(over_at=1.0), Standing(over_at=2.0))
+        self.assert_before(QueuePosition(program_deadline=1.0), QueuePosition(program_deadline=2.0))
 
 
 if __name__ == "__main__":
--- a/tests/unit/scheduling/test_tenant_shares.py
+++ b/tests/unit/scheduling/test_tenant_shares.py
@@ -5,7 +5,7 @@
 import math
 import unittest
 
-from yokeline.scheduling.passing_over import MAX_DEFICIT, MAX_TENANTS, PassingOver
+from yokeline.scheduling.service_deficits import MAX_DEFICIT, MAX_TENANTS, ServiceDeficits
 from yokeline.scheduling.tenant_shares import MAX_BEYOND, Shares, TenantDemand, shares_of
 
 
@@ -57,42 +57,42 @@
 
 class Bounds(unittest.TestCase):
     def test_who_is_passed_over_is_owed_a_place_in_the_end(self) -> None:
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for _ in range(50):
             passing.note("calm", 0.0, is_served=True)
         passed_over = 0
-        while not passing.is_owed("hot"):
+        while not passing.has_deficit("hot"):
             passing.note("hot", 0.0, is_served=False)
             passed_over += 1
         self.assertLessEqual(passed_over, 4)
 
     def test_a_place_that_was_got_is_owed_no_more(self) -> None:
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for _ in range(4):
             passing.note("hot", 0.0, is_served=False)
-        self.assertTrue(passing.is_owed("hot"))
+        self.assertTrue(passing.has_deficit("hot"))
         passing.note("hot", 0.0, is_served=True)
-        self.assertFalse(passing.is_owed("hot"))
+        self.assertFalse(passing.has_deficit("hot"))
 
     def test_places_owed_are_bounded(self) -> None:
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for _ in range(2000):
             passing.note("calm", 0.0, is_served=True)
             passing.note("hot", 0.0, is_served=False)
         for _ in range(int(1.5 * MAX_DEFICIT)):
             passing.note("hot", 0.0, is_served=True)
-        self.assertFalse(passing.is_owed("hot"))
+        self.assertFalse(passing.has_deficit("hot"))
 
     def test_where_nobody_is_served_nobody_is_owed_a_place(self) -> None:
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for _ in range(300):
             passing.note("calm", 0.0, is_served=False)
         for _ in range(8):
             passing.note("hot", 0.0, is_served=False)
-        self.assertFalse(passing.is_owed("hot"))
+        self.assertFalse(passing.has_deficit("hot"))
 
     def test_the_tenants_counted_are_bounded(self) -> None:
-        passing = PassingOver()
+        passing = ServiceDeficits()
         for number in range(MAX_TENANTS + 5):
             passing.note(f"t{number}", 0.0, is_served=True)
         self.assertEqual(len(passing), MAX_TENANTS)
