--- a/benchmarks/room_waits.py
+++ b/benchmarks/room_waits.py
@@ -38,13 +38,13 @@
 def share_of_target(need: RoomNeed, _room: PoolRoom) -> RoomDecision:
     """Let every request wait for a share of its target."""
     share = BEGUN_TARGET_SHARE if need.has_begun else TARGET_SHARE
-    bears = min(share * need.target_latency, need.time_left)
-    return RoomDecision(bears=bears, expected=0.0, refusal=None)
+    max_wait = min(share * need.target_latency, need.time_left)
+    return RoomDecision(max_wait=max_wait, expected=0.0, refusal=None)
 
 
 def slack_alone(need: RoomNeed, _room: PoolRoom) -> RoomDecision:
     """Let every request wait for what it can bear."""
-    return RoomDecision(bears=longest_wait(need), expected=0.0, refusal=None)
+    return RoomDecision(max_wait=longest_wait(need), expected=0.0, refusal=None)
 
 
 def fixed_return(caller: RefusedCaller, _expected_wait: float) -> float:
--- a/benchmarks/tenant_shares.py
+++ b/benchmarks/tenant_shares.py
@@ -17,7 +17,7 @@
 import time
 from collections.abc import Callable
 
-from tests.unit.scheduling.share_replay import HOT, Load, Replay, Result, Way
+from tests.unit.scheduling.share_replay import HOT, Load, Replay, Result, SharingMode
 
 from benchmarks.dispatch import POOL, Node
 from yokeline.forwarding.waiting import WaitingRequests
@@ -56,7 +56,7 @@
     for name, load in LOADS.items():
         print(f"\n{name}")
         print(f"{'way':46}{'hot':>7}{'others':>8}{'least':>7}{'all':>7}{'wait ms':>9}{'turns':>7}")
-        for way in Way:
+        for way in SharingMode:
             results = [Replay(way, load, seed).run() for seed in SEEDS]
             print(f"{way.value:46}{_row(results)}")
 
--- a/src/yokeline/forwarding/room_weighing.py
+++ b/src/yokeline/forwarding/room_weighing.py
@@ -18,7 +18,7 @@
     expected_wait,
     is_hopeless,
 )
-from yokeline.scheduling.wait_errors import WaitErrors
+from yokeline.scheduling.wait_correction import WaitCorrection
 
 
 class Look(msgspec.Struct, frozen=True, kw_only=True):
@@ -41,7 +41,7 @@
         self._state = state
         self._views = RoomViews(state.engines, state.placement)
         self._weighed_by: dict[str, RoomView] = {}
-        self._errors = WaitErrors()
+        self._errors = WaitCorrection()
 
     def look(self, pool: str) -> Look:
         """Return what a look at a pool's queue goes by."""
@@ -97,7 +97,7 @@
             "begun": would_lose_work(exchange),
             "waited": round(now - exchange.waiting_since, 4),
             "expected_wait": round(wait.expected, 4) if wait is not None else None,
-            "bears": round(wait.bears, 4) if wait is not None else None,
+            "bears": round(wait.max_wait, 4) if wait is not None else None,
             "program_share": round(self._program_share(exchange), 3),
             "places": view.places,
             "place_seconds": _rounded(view.place_seconds),
@@ -113,10 +113,10 @@
     def _begin(self, exchange: Exchange, room: PoolRoom) -> RoomRefusal | None:
         decision = decide(self._need_of(exchange), room)
         exchange.room_wait = RoomWait(
-            until=self._state.now + decision.bears,
+            until=self._state.now + decision.max_wait,
             expected=decision.expected,
             first_expected=decision.expected / room.error_ratio,
-            bears=decision.bears,
+            max_wait=decision.max_wait,
         )
         self._state.expected_waits.observe(decision.expected)
         return decision.refusal
--- a/src/yokeline/scheduling/affinity.py
+++ b/src/yokeline/scheduling/affinity.py
@@ -71,7 +71,7 @@
             aging_seconds=aging_seconds,
             by_service=self._mechanisms.service,
             by_deadline=self._mechanisms.deadlines,
-            by_ageing=self._mechanisms.ageing,
+            by_aging=self._mechanisms.ageing,
         )
 
     def choose(
--- a/src/yokeline/scheduling/cache_reconciler.py
+++ b/src/yokeline/scheduling/cache_reconciler.py
@@ -1,9 +1,9 @@
 """Reconciles the caches of engines with the existing runs.
 
-Each engine has one steward: the node that leads the shard of the engine's name. It periodically
-reads the engine's inventory and drops the entries of runs that have ended or do not exist, so a
-lost release costs at most one period. The leader of the run's shard is asked first; without a clear
-answer the entries are kept.
+Each engine is reconciled by one node: the leader of the shard of the engine's name. That node
+periodically reads the engine's inventory and drops the entries of runs that have ended or do not
+exist, for example because the request to drop them was lost. Whether a run exists is looked up at
+the leader of the run's shard; without a definite answer its entries are kept.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
     """Whether a run still needs its context, according to the leader of its shard."""
 
     NEEDED = "needed"
-    """It is active, or an idle conversation."""
+    """The run is active, or an idle conversation."""
     GONE = "gone"
-    """It has ended, or a linearizable read found no such run."""
+    """The run has ended, or a linearizable read found no such run."""
     UNKNOWN = "unknown"
     """The lookup got no answer."""
 
@@ -50,12 +50,12 @@
 
 
 def reconciles_nothing(_engine: str) -> bool:
-    """Return False: this node is the steward of no engine."""
+    """Return False: this node reconciles the cache of no engine."""
     return False
 
 
 class CacheReconciler:
-    """Reads the inventories of the engines that this node is the steward of."""
+    """Reads the inventories of the engines that this node reconciles."""
 
     def __init__(
         self,
@@ -65,7 +65,7 @@
         reconciles: Callable[[str], bool],
         look_up_run: RunLookup,
     ) -> None:
-        """Create the steward; the first inventories are read after a delay."""
+        """Create the reconciler; the first inventories are read after a delay."""
         self._context = context
         self._catalog = catalog
         self._ledger = ledger
--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -2,9 +2,8 @@
 
 A hold pays off if the memory it is expected to occupy costs less than the rebuild it is expected to
 save. Both costs are proportional to the context's size, which therefore cancels out: a token-second
-of a crowded cache is priced at one rebuild per :data:`EVICTION_AGE_SECONDS`, the time for which the
-engine's LRU eviction keeps an unused token (the characteristic time of an LRU cache, Che, Tung and
-Wang 2002).
+of a crowded cache is priced at one rebuild per :data:`EVICTION_AGE_SECONDS`. A context that is not
+expected to be used within :data:`REUSE_HORIZON_SECONDS` is dropped instead.
 """
 
 from __future__ import annotations
@@ -18,16 +17,20 @@
 )
 
 CROWDED_CACHE_FRACTION = 0.8
-"""The cache is crowded once the active programs need this fraction of it. Used tokens are no
-measure, since an engine keeps idle context until it needs the memory."""
+"""A cache is crowded if the active programs need this fraction of it. The same fraction of used
+tokens, which include idle contexts, is a condition of dropping a context."""
 EVICTION_AGE_SECONDS = 30.0
+"""Price of a rebuild, in seconds of holding the context: the time for which the engine's LRU
+eviction is assumed to keep an unused token (the characteristic time of an LRU cache, Che, Tung and
+Wang 2002)."""
 REUSE_HORIZON_SECONDS = 300.0
-"""Time within which a crowded cache evicts an unused context."""
+"""Time ahead for which the probability of reuse is computed before a context is dropped."""
 MIN_REUSE_PROBABILITY = 0.02
-"""Below this probability of reuse within the horizon, a context is dropped."""
+"""Below this probability of reuse within the horizon, a context in a full cache is dropped."""
 HOLD_QUANTILE = 0.9
 """Quantile of the pause that a hold covers."""
 HOLD_MARGIN = 1.25
+"""Length of a hold relative to that quantile of the pause."""
 MIN_HOLD_SECONDS = 0.5
 MAX_HELD_CACHE_FRACTION = 0.5
 """Fraction of the cache that holds may occupy."""
@@ -57,7 +60,10 @@
 
 
 def _is_unlikely_reused(pause: PauseContext) -> bool:
-    """Return whether the context would be evicted before it is used again."""
+    """Return whether the cache is nearly full and the context is unlikely to be used again.
+
+    Here the tokens in the cache count, whether or not their programs are active.
+    """
     if pause.run != pause.cache_key:
         # A drop is by cache key and would remove the parents' context as well.
         return False
--- a/src/yokeline/scheduling/completion_lengths.py
+++ b/src/yokeline/scheduling/completion_lengths.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 SMOOTHING = 0.05
+"""Weight of one call in the mean length."""
 MAX_PROGRAMS = 4096
 """Least recently updated programs are removed beyond this number."""
 
--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -54,7 +54,7 @@
 
 
 class EngineDirectory:
-    """Combines the catalog of engines, their load, the scheduling policy and the cache steward."""
+    """Combines the engine catalog, engine load, scheduling policy and cache reconciler."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
             policy: The scheduling policy.
             pools: Returns the configured engine pools; read by :meth:`refresh`.
             machines: Returns the machine list; read by :meth:`refresh`.
-            reconciles: Returns whether this node is the steward of an engine, by its name.
+            reconciles: Returns whether this node reconciles an engine's cache, by its name.
             look_up_run: Asks the leader of a run's shard whether a root run is still needed.
         """
         self._context = context
--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -8,7 +8,7 @@
 comparable between nodes that use fast and slow engines.
 
 Before the first observation, :data:`DEFAULT_PRIOR` assumes slow prefill, so that the turns of a
-program stay where their prompt is cached. It weighs as little as a few observations.
+program are sent to the engine that caches its prompt. Its weight is that of a few observations.
 """
 
 from __future__ import annotations
@@ -140,7 +140,12 @@
 
 
 class Prediction(msgspec.Struct, frozen=True):
-    """Seconds that a turn takes, and by which it delays the concurrent turns."""
+    """Predicted effect of a turn.
+
+    Attributes:
+        seconds: Seconds that it takes.
+        delay_to_others: Seconds by which it delays the concurrent turns, in total.
+    """
 
     seconds: float
     delay_to_others: float
@@ -155,10 +160,10 @@
     """What one turn showed of its engine's pace.
 
     Attributes:
-        slowness: Its interval between events relative to the usual one in the pool at that load; 0
-            with too few events to measure it.
-        pace_seconds: Its interval between events with the effect of concurrent turns removed; 0 if
-            unknown.
+        slowness: The turn's interval between events, relative to the usual interval in the pool
+            with as many concurrent turns; 0 with too few events to measure it.
+        pace_seconds: The turn's interval between events with the effect of concurrent turns
+            removed; 0 if unknown.
     """
 
     slowness: float = 0.0
@@ -169,7 +174,10 @@
 
 
 class EngineLatencyModel:
-    """One node's model of the engines of a pool, from its own turns and the leader's reports."""
+    """One node's latency model of the engines of a pool.
+
+    It learns from the node's own turns and from the profiles that the ledger's leader reports.
+    """
 
     def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
         """Start from the prior."""
@@ -321,7 +329,7 @@
         reported_profile: ReportedProfile | None,
         reported_slowness: float,
     ) -> float:
-        """Return an engine's relative pace including its current spell."""
+        """Return an engine's relative pace including its temporary slowdown."""
         relative = self._relative_pace(engine_id, now, reported_profile)
         if reported_profile is not None:
             return relative * reported_profile.spell_at(now)
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -1,6 +1,7 @@
-"""Speed of one engine process: a baseline pace, and temporary deviations called spells.
+"""Speed of one engine process: a baseline pace, and temporary deviations from it.
 
-The pace is the interval, in seconds, between two events of a turn that runs alone. A node divides a
+The pace is the interval, in seconds, between two events of a turn that runs alone. A spell is a
+temporary slowdown, or speedup, relative to the baseline pace. A node divides a
 measured interval by the slowdown that its own fit attributes to concurrent turns, so paces measured
 by different nodes are comparable. Ratios to a node's usual pace would not be, since each node uses
 different engines.
@@ -22,8 +23,8 @@
 from yokeline.scheduling.medians import median
 
 SAMPLE_SECONDS = 0.5
-"""Turns that end within this time are averaged into one sample, so that a short spell affects one
-sample only."""
+"""Turns that end within this time are averaged into one sample, so that a short temporary slowdown
+affects one sample only."""
 MAX_SAMPLES = 15
 """Samples kept; the median follows a permanent change after half of them."""
 SPELL_FADE_SECONDS = 1.0
@@ -33,8 +34,7 @@
 MIN_SAMPLES_FOR_SPELL = 2 * SPELL_SAMPLES + 1
 """Below this number of samples a spell would determine the median itself."""
 MAX_SPELL_FACTOR = 3.0
-"""Bound on the factor of a spell, and the inverse of its lower bound, so that a stalled process is
-not taken for a slow engine."""
+"""Upper bound on the factor of a temporary slowdown, and the inverse of the lower bound."""
 SILENCE_FADE_SECONDS = 30.0
 """Time constant with which the weight of samples decays without new turns."""
 PRIOR_SAMPLES = 0.5
@@ -52,7 +52,7 @@
     """A baseline pace and its weight.
 
     Attributes:
-        seconds: Interval between two events of a turn that runs alone; 0 without samples.
+        seconds: The pace; 0 without samples.
         samples: Weight, as a number of samples.
     """
 
@@ -78,7 +78,9 @@
     """An engine's profile as reported by another process.
 
     Attributes:
-        spell: Current pace as a multiple of the baseline; 1 outside of a spell.
+        pace_seconds: Baseline pace; 0 if unknown.
+        samples: Weight of the baseline pace at the time of the report.
+        spell: Current pace as a multiple of the baseline; 1 without a temporary slowdown.
         reported_at: When the report arrived, by this process's clock.
     """
 
@@ -155,7 +157,7 @@
         del self._samples[:-MAX_SAMPLES]
 
 
-def merge_paces(own: Pace, told: Pace, usual: float) -> float:
+def merge_paces(own: Pace, reported: Pace, usual: float) -> float:
     """Return the baseline pace that follows from own samples and a reported profile.
 
     The result is a geometric mean, weighted by samples; the pool's usual pace counts as
@@ -163,7 +165,7 @@
     replaced by it.
     """
     weight, log_ratio_sum = PRIOR_SAMPLES, 0.0
-    for pace in (own, told):
+    for pace in (own, reported):
         if pace.seconds > 0:
             weight += pace.samples
             log_ratio_sum += pace.samples * math.log(pace.seconds / usual)
--- a/src/yokeline/scheduling/engine_state_tracker.py
+++ b/src/yokeline/scheduling/engine_state_tracker.py
@@ -27,6 +27,7 @@
 DEFAULT_PAUSE_SECONDS = 10.0
 """Time for which a paused program stays active without a forecast of its pause."""
 ACTIVE_PAUSE_QUANTILE = 0.9
+"""Quantile of its predicted pause for which a program stays active without a call."""
 MAX_ACTIVE_PAUSE_SECONDS = 60.0
 MAX_PROGRAMS = 20_000
 """Programs whose contexts are kept in memory; others are read from their runs' logs."""
--- a/src/yokeline/scheduling/engine_subsets.py
+++ b/src/yokeline/scheduling/engine_subsets.py
@@ -21,10 +21,10 @@
 import xxhash
 
 SUBSET_HEADROOM = 2.0
-"""Size of a subset relative to the engines that the node's share of the load would fill; others may
-be loaded by other nodes, slow or gone."""
+"""Size of a subset relative to the number of engines that the node's share of the load would
+fill."""
 MIN_ENGINES = 3
-"""Minimum size of a subset: one engine may fail and another be full."""
+"""Minimum size of a subset, unless the pool has fewer engines."""
 _HASH_SPAN = 2**64
 
 
--- a/src/yokeline/scheduling/estimate.py
+++ b/src/yokeline/scheduling/estimate.py
@@ -8,12 +8,11 @@
 """Assumed completion length, as a fraction of the limit, for programs without observations."""
 
 FULL_BATCH_SLOWDOWN = 1.0
-"""Slowdown of decoding in a full batch, relative to a call that runs alone."""
+"""Additional decode time in a full batch, relative to the decode time of a call that runs alone."""
 
 EVICTION_WEIGHT = 0.5
 """Weight of the prefill cost of evicted tokens; not all of them would have been used again."""
 
-
 STALL_WEIGHT = 1.0
 """Weight of the delay that a prefill causes each call that decodes at the same engine."""
 
@@ -36,7 +35,10 @@
 
 
 def decode_seconds(demand: CallDemand, engine: EngineView) -> float:
-    """Return the expected seconds of decoding at the engine's current batch size."""
+    """Return the expected seconds to decode the whole answer at the engine's current batch size.
+
+    ``EngineView.decode_seconds`` is the time per token without interference by other calls.
+    """
     batch_factor = 1.0 + FULL_BATCH_SLOWDOWN * min(1.0, engine.running / engine.slots)
     return expected_completion_tokens(demand) * engine.decode_seconds * batch_factor
 
--- a/src/yokeline/scheduling/interface.py
+++ b/src/yokeline/scheduling/interface.py
@@ -57,11 +57,15 @@
         cache_key: Root run of the program whose context the call extends.
         model: Model that must be served.
         engine_selector: Selector on engine labels; empty matches all.
-        prompt_tokens: Estimated tokens of the whole context.
-        completion_tokens: Limit on the tokens of the answer.
-        previous_engine: Engine of this run's last finished model call, read from the run's log so
-            that a new leader knows where the context is cached; empty if there was none.
+        prompt_tokens: Estimated tokens of the prompt, which contains the whole conversation.
+        completion_tokens: Maximum tokens of the answer, not its actual length.
+        previous_engine: Engine of this run's last finished model call, where its context is cached;
+            empty if there was none. It is read from the run's log, so that it is known after the
+            run's shard elects another leader.
         previous_tokens: Tokens of context (prompt and answer) there after that call.
+        priority: Scheduling priority; higher values are served first, unlike
+            :attr:`yokeline.scheduling.queue_order.QueuePosition.priority`.
+        worth: Weight of the program in fair sharing: its attained service is divided by it.
         attained_service: Tokens served to the whole program so far.
         deadline_wall: Wall seconds by which the caller wants the run's answer.
         avoid: Engines that failed this call before; used only if no other is left.
@@ -110,7 +114,8 @@
         cache_tokens: Size of its cache.
         cache_used: Tokens in its cache, as last reported.
         prefill_rate: Observed prefill rate, tokens per second.
-        decode_seconds: Observed seconds per generated token.
+        decode_seconds: Observed seconds per generated token without interference by other
+            calls.
         pending_prefill: Prompt tokens sent there and not yet prefilled, as far as known.
         active_programs: Programs with a call there, or paused with context there.
         active_tokens: Context tokens of the active programs.
@@ -211,7 +216,7 @@
 
 
 class EngineDirectoryInterface(Protocol):
-    """The engine directory, as the executor uses it."""
+    """The methods of the engine directory that the executor of runs calls."""
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
@@ -253,7 +258,7 @@
             prompt_tokens: Tokens of the prompt, without the answer.
             cached_tokens: Prompt tokens that the engine had in its cache.
             ok: Whether the answer is complete.
-            completion_tokens: Tokens of the answer.
+            completion_tokens: Actual tokens of the answer.
         """
         ...
 
--- a/src/yokeline/scheduling/ordering.py
+++ b/src/yokeline/scheduling/ordering.py
@@ -23,13 +23,13 @@
         aging_seconds: Waiting time that raises a call by one priority step.
         by_service: Least attained service of the whole program first; otherwise by arrival.
         by_deadline: Programs past their deadline are served last within their priority.
-        by_ageing: Priority rises with waiting time.
+        by_aging: Priority rises with waiting time.
     """
 
     aging_seconds: float = 10.0
     by_service: bool = True
     by_deadline: bool = True
-    by_ageing: bool = True
+    by_aging: bool = True
 
 
 OrderKey = tuple[int, bool, bool, float, float, str, int]
@@ -42,8 +42,11 @@
 
 
 def aged_priority(demand: CallDemand, now: float, rules: OrderRules) -> int:
-    """Return the priority of a call, raised by one step per ``aging_seconds`` of waiting."""
-    if not rules.by_ageing:
+    """Return the priority of a call, raised by one step per ``aging_seconds`` of waiting.
+
+    Higher values are served first.
+    """
+    if not rules.by_aging:
         return demand.priority
     waited = max(0.0, now - demand.waiting_since)
     return demand.priority + math.floor(waited / rules.aging_seconds)
@@ -52,8 +55,10 @@
 def order_key(demand: CallDemand, index: int, now: float, rules: OrderRules) -> OrderKey:
     """Return the sort key of a call; the lowest is served first.
 
-    Within a priority, started programs precede new ones: their contexts already occupy cache, and
-    admitting a new program would cause thrashing.
+    The aged priority is negated, since higher priorities are served first. A program is new if it
+    has attained no service, and late if its deadline has passed at ``now``. Within a priority,
+    started programs precede new ones: their contexts already occupy cache, and admitting a new
+    program would cause thrashing.
     """
     new = not demand.attained_service
     late = rules.by_deadline and demand.deadline is not None and demand.deadline < now
--- a/src/yokeline/scheduling/program_admission.py
+++ b/src/yokeline/scheduling/program_admission.py
@@ -92,7 +92,7 @@
     )
 
 
-def decide(supply: BucketState, claims: Iterable[Claims], size: ProgramSize) -> Admission:
+def decide(bucket: BucketState, claims: Iterable[Claims], size: ProgramSize) -> Admission:
     """Decide whether a new program may begin.
 
     A tenant's only program may begin regardless of its size, since waiting would not help it.
@@ -102,9 +102,9 @@
     total = claimed + size.requests
     margin = _margin(sum(item.count * item.deviation**2 for item in held) + size.deviation**2)
     retry_after = 0.0
-    if held and total + margin > supply.level:
-        upper_bound = (total + margin - supply.level) / supply.rate
-        retry_after = _earliest_start(_Slack(supply, held, size), size, upper_bound)
+    if held and total + margin > bucket.level:
+        upper_bound = (total + margin - bucket.level) / bucket.rate
+        retry_after = _earliest_start(_Slack(bucket, held, size), size, upper_bound)
     return Admission(
         is_admitted=retry_after <= 0.0,
         retry_after=retry_after,
@@ -126,13 +126,13 @@
     slightly, since the margin is a concave function of time.
     """
 
-    def __init__(self, supply: BucketState, claims: list[Claims], new: ProgramSize) -> None:
+    def __init__(self, bucket: BucketState, claims: list[Claims], new: ProgramSize) -> None:
         due_rate = sum(item.count * item.requests / item.seconds for item in claims)
         variance_rate = sum(item.count * item.deviation**2 / item.seconds for item in claims)
         time, due, variance = 0.0, 0.0, new.deviation**2
-        self._rate = supply.rate
+        self._rate = bucket.rate
         self.times = [time]
-        self.requests = [supply.level - _margin(variance)]
+        self.requests = [bucket.level - _margin(variance)]
         for item in sorted(claims, key=lambda item: item.seconds):
             elapsed = item.seconds - time
             time = item.seconds
@@ -141,7 +141,7 @@
             due_rate -= item.count * item.requests / time
             variance_rate -= item.count * item.deviation**2 / time
             self.times.append(time)
-            self.requests.append(supply.level + supply.rate * time - due - _margin(variance))
+            self.requests.append(bucket.level + bucket.rate * time - due - _margin(variance))
 
     def value_at(self, time: float) -> float:
         """Return the slack at a time."""
--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -1,4 +1,6 @@
-"""Sizes of programs of one kind, learned from the programs that ended.
+"""Sizes of programs, learned for each kind of program from those that ended.
+
+The ledger assigns programs to kinds; a size is the number of requests and the duration.
 
 Sizes vary, and a few programs loop without end. So a size has a mean and a mean deviation, recent
 programs weigh more, and the weight of an outlier is bounded.
@@ -14,12 +16,12 @@
 from yokeline.scheduling.medians import median
 
 MIN_PROGRAMS = 5
-"""Programs that must have ended before a size is known; the median of five tolerates two that
-loop."""
+"""Programs that must have ended before a size is known."""
 AVERAGING_PROGRAMS = 40
 """Programs averaged with equal weight at first; later the window of the moving average."""
 OUTLIER_FACTOR = 4.0
-"""A program counts for at most this multiple of the usual size."""
+"""A program counts for at most this multiple of the mean size, or of the
+median size among the first :data:`MIN_PROGRAMS`."""
 MIN_DURATION_SECONDS = 0.05
 """Minimum duration, for programs that send all their requests at once."""
 
--- a/src/yokeline/scheduling/program_times.py
+++ b/src/yokeline/scheduling/program_times.py
@@ -4,9 +4,8 @@
 the time limit; a program counts once it has been idle for long enough. The wait before the first
 turn is excluded, since the share serves to limit it.
 
-Programs that continue at another node appear shorter than they are, and never longer. So a high
-quantile is learned instead of the mean. If between a third and three quarters of the programs stay,
-the 0.8 quantile of all observations lies between the 0.4 and 0.73 quantiles of those that stay.
+A program that continues at another node appears shorter than it is, and never longer. So a high
+quantile of the observations is learned instead of their mean.
 """
 
 from __future__ import annotations
@@ -24,6 +23,7 @@
 """Upper bound, so that a first turn may always wait a little; a program that ends late is worth
 more than one that is refused."""
 QUANTILE = 0.8
+"""Quantile of the observed shares that is learned."""
 QUANTILE_STEP = 0.05
 """Step of the quantile estimate: a larger observation raises the share by the quantile times this,
 a smaller one lowers it by the remainder times this."""
--- a/src/yokeline/scheduling/queue_order.py
+++ b/src/yokeline/scheduling/queue_order.py
@@ -15,10 +15,12 @@
 
     Attributes:
         is_interrupted: Its caller has already received part of a stream that broke off.
-        is_late: Its program's time limit had passed when the request arrived.
-        has_begun: Its program has had a turn before.
+        is_late: Its program's time limit had passed when the request arrived. It is not evaluated
+            again while the request waits.
+        has_begun: Its program has had a turn before this request.
         is_held_back: It begins a program of a tenant that exceeds its share.
-        priority: The priority that the operator set; 0 is the highest.
+        priority: The priority that the operator set; lower values are served first and 0 is the
+            highest, unlike :attr:`yokeline.scheduling.interface.CallDemand.priority`.
         program_deadline: Deadline of its program (monotonic seconds).
     """
 
@@ -30,13 +32,13 @@
     program_deadline: float = 0.0
 
 
-def order_key(standing: QueuePosition) -> OrderKey:
+def order_key(position: QueuePosition) -> OrderKey:
     """Return the sort key of a request; the lowest is served first."""
     return (
-        0 if standing.is_interrupted else 1,
-        1 if standing.is_held_back else 0,
-        1 if standing.is_late else 0,
-        0 if standing.has_begun else 1,
-        standing.priority,
-        standing.program_deadline,
+        0 if position.is_interrupted else 1,
+        1 if position.is_held_back else 0,
+        1 if position.is_late else 0,
+        0 if position.has_begun else 1,
+        position.priority,
+        position.program_deadline,
     )
--- a/src/yokeline/scheduling/retry_delays.py
+++ b/src/yokeline/scheduling/retry_delays.py
@@ -11,11 +11,11 @@
 import xxhash
 
 MIN_DELAY_SECONDS = 0.2
-"""Minimum delay: about the duration of a turn."""
+"""Minimum delay of a program that has not begun."""
 BEGUN_MIN_DELAY_SECONDS = 0.1
 """Minimum delay of a program that has begun; the delay counts against its time limit."""
 MAX_DELAY_SECONDS = 2.0
-"""Maximum delay; the load is not known further ahead."""
+"""Maximum delay."""
 HONOURED_SHARE = 1 / 3
 """Callers honour a delay up to this share of their remaining time."""
 JITTER = 1.0
@@ -24,15 +24,16 @@
 """Latest start of the interval relative to its end, so that delays are spread even if the interval
 is cut short by what callers honour."""
 OUTAGE_DELAY_SECONDS = 0.3
-"""Earliest delay from a node that is temporarily unable to serve; another node is as likely to get
-the retry."""
+"""Earliest delay after a refusal by a node that is temporarily unable to serve."""
 BEGUN_OUTAGE_DELAY_SECONDS = 0.15
-"""The earliest delay from such a node for a program that has begun."""
+"""Earliest delay, for a program that has begun, after a refusal by a node that is temporarily
+unable to serve."""
 OUTAGE_JITTER = 2.0
-"""Width of the interval of delays from such a node; all callers of the fleet return within it."""
+"""Width of the interval of delays after a refusal by a node that is temporarily unable to serve,
+relative to the earliest delay."""
 LIMIT_JITTER = 0.25
-"""Width of the interval of delays after a refusal by a tenant's limit; the earliest delay is
-exact."""
+"""Width of the interval of delays after a refusal by a tenant's limit, relative to the earliest
+delay."""
 _HASH_SPAN = 2**32
 
 
--- a/src/yokeline/scheduling/room_waits.py
+++ b/src/yokeline/scheduling/room_waits.py
@@ -2,7 +2,7 @@
 
 A request that waits in vain has lost that time, and one refused too early loses a slot that was
 about to become free. So a request waits only if a slot is expected to be free within its longest
-acceptable wait.
+acceptable wait, or for a first turn within a share of it. Room means free request slots.
 """
 
 from __future__ import annotations
@@ -22,15 +22,15 @@
 """A first turn waits if the expected wait is within this share of its longest wait, since the
 expectation may be too low."""
 HOPELESS_FACTOR = 2.0
-"""A wait is aborted if the expected wait exceeds the remaining one by this factor. It is well above
-the usual variation of the estimate."""
+"""A wait is aborted if the expected wait exceeds this multiple of the remaining longest wait."""
 
 
 class RoomRefusal(enum.Enum):
     """Why a request was refused for lack of capacity."""
 
     EXPECTED_WAIT = "expected_wait"
-    """The expected wait exceeds its longest wait."""
+    """The expected wait exceeds the limit: the longest wait, or for a first turn
+    :data:`EXPECTED_WAIT_SHARE` of it. Also if the request may not wait at all."""
     WAITED = "waited"
     """Its longest wait has passed."""
     HOPELESS = "hopeless"
@@ -75,8 +75,8 @@
         ahead: Requests before this one in the queues of all nodes.
         excess: Requests that must leave the engines before a queued request gets a slot.
         place_seconds: Mean time that a request occupies a slot; None if unknown.
-        share: Share of the freed slots that such requests get; later turns of begun programs take
-            the others.
+        share: Share of the freed slots that requests of this one's class get: for a first turn,
+            those left over by the later turns of begun programs.
         error_ratio: Recent ratio of actual to expected waits.
     """
 
@@ -95,25 +95,25 @@
         until: When it is refused at the latest (monotonic seconds).
         expected: Seconds until a slot is expected to be free, by the latest estimate.
         first_expected: The first estimate, without the correction by ``error_ratio``.
-        bears: Its longest wait in seconds.
+        max_wait: Its longest wait in seconds.
     """
 
     until: float
     expected: float
     first_expected: float
-    bears: float
+    max_wait: float
 
 
 class RoomDecision(msgspec.Struct, frozen=True, kw_only=True):
     """Whether a request without a slot waits.
 
     Attributes:
-        bears: Its longest wait in seconds.
+        max_wait: Its longest wait in seconds.
         expected: Seconds until a slot is expected to be free; 0 if unknown.
         refusal: Why it is refused immediately; None if it waits.
     """
 
-    bears: float
+    max_wait: float
     expected: float
     refusal: RoomRefusal | None
 
@@ -121,7 +121,9 @@
 def decide(need: RoomNeed, room: PoolRoom) -> RoomDecision:
     """Decide whether a request waits.
 
-    Requests without a program and interrupted streams wait regardless of the expected wait.
+    It is refused if the expected wait exceeds its longest wait or, for a first turn,
+    :data:`EXPECTED_WAIT_SHARE` of its longest wait, and if it may not wait at all. Requests without
+    a program and interrupted streams wait regardless of the expected wait.
     """
     max_wait = longest_wait(need)
     expected = expected_wait(room)
@@ -129,7 +131,7 @@
     limit = max_wait if need.has_begun else EXPECTED_WAIT_SHARE * max_wait
     is_refused = is_refusable and (expected > limit or max_wait <= 0)
     refusal = RoomRefusal.EXPECTED_WAIT if is_refused else None
-    return RoomDecision(bears=max_wait, expected=expected, refusal=refusal)
+    return RoomDecision(max_wait=max_wait, expected=expected, refusal=refusal)
 
 
 def longest_wait(need: RoomNeed) -> float:
@@ -161,11 +163,11 @@
     return room.error_ratio * places_needed * room.place_seconds / room.places
 
 
-def is_hopeless(bears_still: float, expected: float) -> bool:
+def is_hopeless(max_wait_left: float, expected: float) -> bool:
     """Return whether a wait is to be aborted.
 
     Args:
-        bears_still: Seconds that are left of the wait.
+        max_wait_left: Seconds that are left of the wait.
         expected: Seconds until a slot is expected to be free.
     """
-    return expected > HOPELESS_FACTOR * max(0.0, bears_still)
+    return expected > HOPELESS_FACTOR * max(0.0, max_wait_left)
--- a/src/yokeline/scheduling/tenant_shares.py
+++ b/src/yokeline/scheduling/tenant_shares.py
@@ -76,10 +76,11 @@
 
 
 def fair_level(demands: Collection[TenantDemand], places: float) -> float:
-    """Return the level at which the demands, capped at ``level * weight``, add up to ``places``.
+    """Return the level: the slots per unit of weight at which all ``places`` are used.
 
-    Water filling: the tenants with the least demand for their weight are served completely, and the
-    others share the rest. The level is infinite if all demands can be met.
+    At the level, the demands, each capped at ``level * weight``, add up to ``places``. It is found
+    by water filling: the tenants with the least demand for their weight are served completely, and
+    the others share the rest. The level is infinite if all demands can be met.
     """
     demanded = [(item.running + item.waiting, item.weight) for item in demands]
     if sum(wanted for wanted, _ in demanded) <= places:
--- a/src/yokeline/scheduling/time_limit_usage.py
+++ b/src/yokeline/scheduling/time_limit_usage.py
@@ -16,8 +16,8 @@
 class TimeLimitUsage:
     """Mean share of their time limit that programs of one kind take.
 
-    The ledger's leader sees whole programs. A node sees parts of them and therefore learns a
-    quantile (:mod:`yokeline.scheduling.program_times`).
+    The leader of :mod:`yokeline.ledger` sees whole programs. A node sees parts of them and
+    therefore learns a quantile (:mod:`yokeline.scheduling.program_times`).
     """
 
     def __init__(self) -> None:
@@ -33,5 +33,9 @@
         self._share = mean + SHARE_WEIGHT * (observed - mean)
 
     def is_late(self, time_left: float, time_limit: float) -> bool:
-        """Return whether the time left is less than such programs take."""
+        """Return whether the time left is less than the mean time that programs of this kind take.
+
+        False without observations. Unlike a request that is late in
+        :mod:`yokeline.scheduling.queue_order`, the program's time limit need not have passed.
+        """
         return self._share is not None and time_left < self._share * time_limit
--- a/src/yokeline/scheduling/tracked_engine.py
+++ b/src/yokeline/scheduling/tracked_engine.py
@@ -126,7 +126,7 @@
         self.pending_prefill -= call.uncached_tokens
 
     def call_ended(self, call: SentCall, context_tokens: int, now: float) -> None:
-        """Record the end of a call; ``context_tokens`` of its run stay cached."""
+        """Record the end of a call after which ``context_tokens`` of its run are cached there."""
         self._count(-1, now)
         if call.first_text_at is None:
             self.pending_prefill -= call.uncached_tokens
@@ -147,13 +147,13 @@
         heapq.heappush(self._pause_deadlines, (until, cache_key))
 
     def remove_run_context(self, cache_key: RunId, run: RunId) -> None:
-        """Remove the context of one run; its program stays active."""
+        """Remove the context of one run without deactivating its program."""
         program = self._programs.get(cache_key)
         if program is not None:
             self._resize(program, run, 0)
 
     def deactivate_program(self, cache_key: RunId) -> None:
-        """End a program's pause; it stays active while it has calls here."""
+        """Deactivate a program unless it has calls here; in any case end its pause."""
         program = self._programs.get(cache_key)
         if program is None:
             return
--- a/src/yokeline/scheduling/wait_errors.py
+++ b/src/yokeline/scheduling/wait_correction.py
@@ -1,7 +1,7 @@
 """Ratio of actual to expected waits for a slot, learned by pool.
 
-It corrects the expected wait for what the estimate leaves out: later requests that are served
-first, and engines with more requests than slots.
+The ratio corrects the expected wait for what the estimate leaves out: later requests that are
+served first, and engines with more requests than slots.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 MAX_RATIO = 4.0
 """Bounds on the ratio of one wait."""
 CENSORED_FACTOR = 1.5
-"""A wait that ended without a slot would have been longer; it counts as this multiple."""
+"""Factor by which a wait that ended without a slot is multiplied, since it was cut short."""
 MIN_EXPECTED_SECONDS = 0.01
-"""Shorter expected waits are ignored, since their ratio depends on the timing of events."""
+"""Waits whose expected duration is shorter are ignored."""
 
 
-class WaitErrors:
-    """Learns the ratios at one node."""
+class WaitCorrection:
+    """Learns the ratio of actual to expected waits of each pool at one node."""
 
     def __init__(self) -> None:
         """Create an estimate without observations."""
--- a/tests/property/test_engine_subsets.py
+++ b/tests/property/test_engine_subsets.py
@@ -1,4 +1,4 @@
-"""Subsets of engines stay even and change little when nodes and engines come and go."""
+"""Subsets of engines are balanced and change little when nodes and engines come and go."""
 
 from __future__ import annotations
 
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -51,7 +51,7 @@
 STARVATION_SECONDS = 20.0
 """A waiting kind is preferred after 2 s. Claims are returned 2 s after a program's end, or 10 s
 after it hangs. Callers retry up to 4 s later and a pause takes 2 s. A new leader does not know
-which kinds were passed over."""
+which kinds of programs have been refused."""
 LEADER_CHANGE_PROBABILITIES = (0.0, 0.002, 0.01)
 """Probability of a leader change per step; each simulation draws one."""
 ROUNDING = 1e-6
--- a/tests/property/test_room_waits.py
+++ b/tests/property/test_room_waits.py
@@ -55,13 +55,13 @@
     @given(NEEDS, ROOMS)
     def test_no_wait_is_longer_than_the_request_bears(self, need: RoomNeed, room: PoolRoom) -> None:
         decision = decide(need, room)
-        self.assertEqual(decision.bears, longest_wait(need))
-        self.assertGreaterEqual(decision.bears, 0.0)
-        self.assertLessEqual(decision.bears, max(0.0, need.time_left))
+        self.assertEqual(decision.max_wait, longest_wait(need))
+        self.assertGreaterEqual(decision.max_wait, 0.0)
+        self.assertLessEqual(decision.max_wait, max(0.0, need.time_left))
         is_first = need.has_program and not need.has_begun and not need.is_interrupted
         if is_first and need.program_left is not None:
             slack = need.program_left * (1.0 - need.program_share)
-            self.assertLessEqual(decision.bears, max(0.0, slack) + ROUNDING)
+            self.assertLessEqual(decision.max_wait, max(0.0, slack) + ROUNDING)
 
     @EXAMPLES
     @given(NEEDS, ROOMS, st.floats(0.0, 10_000.0))
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -1,4 +1,4 @@
-"""Replays turns at engines of different speeds and compares predictors of their duration.
+"""Replays turns at engines of different slowdowns and compares predictors of their duration.
 
 Each turn goes to a random engine, so all predictors see the same turns. Each predictor has its own
 set of nodes and its own leader.
@@ -34,7 +34,7 @@
 
 NODES = 72
 ENGINES = 24
-SPEEDS = (0.7, 0.7, 1.7)
+SLOWDOWNS = (0.7, 0.7, 1.7)
 SPELL_SHARE = 0.15
 SPELL_SLOWNESS = 2.5
 SPELL_SECONDS = 0.6
@@ -57,27 +57,27 @@
 
 
 class Fleet:
-    """Engines, some of which are in a spell of slowness."""
+    """Engines, some of which are temporarily slowed down."""
 
     def __init__(self, seed: int, spell_share: float = SPELL_SHARE) -> None:
         self.random = random.Random(seed)
         self.spell_share = spell_share
-        self.speeds = {f"e{number:02}": SPEEDS[number % 3] for number in range(ENGINES)}
+        self.slowdowns = {f"e{number:02}": SLOWDOWNS[number % 3] for number in range(ENGINES)}
         self._spells: dict[tuple[str, int], bool] = {}
 
     def restart_engines(self, share: float) -> None:
-        """Replace a fraction of the engines, the slowest first, with new ones of random speed."""
-        names = sorted(self.speeds, key=lambda name: -self.speeds[name])
+        """Replace a fraction of the engines, the slowest first, by engines of random slowdown."""
+        names = sorted(self.slowdowns, key=lambda name: -self.slowdowns[name])
         for name in names[: round(share * len(names))]:
-            del self.speeds[name]
-            self.speeds[f"{name}-again"] = self.random.choice(SPEEDS)
+            del self.slowdowns[name]
+            self.slowdowns[f"{name}-again"] = self.random.choice(SLOWDOWNS)
 
     def slowness(self, engine: str, now: float) -> float:
         period = int(now / SPELL_SECONDS)
         key = (engine, period)
         if key not in self._spells:
             self._spells[key] = self.random.random() < self.spell_share
-        return self.speeds[engine] * (SPELL_SLOWNESS if self._spells[key] else 1.0)
+        return self.slowdowns[engine] * (SPELL_SLOWNESS if self._spells[key] else 1.0)
 
     def serve(self, node: int, engine: str, now: float, beside: int) -> Turn:
         unread = self.random.choice((200, 500, 1200))
@@ -151,7 +151,7 @@
 
 
 class ToldProfilePredictor(Predictor):
-    """Uses the profiles reported by the leader, with or without spells."""
+    """Uses the profiles reported by the leader, with or without temporary slowdowns."""
 
     def __init__(self, *, with_spell: bool) -> None:
         super().__init__()
@@ -213,7 +213,7 @@
 ) -> None:
     """Serve turns for some seconds, each predicted by every predictor."""
     under_way: list[tuple[float, int, Turn]] = []
-    running = dict.fromkeys(fleet.speeds, 0)
+    running = dict.fromkeys(fleet.slowdowns, 0)
     now, number = begin, 0
     while now < begin + seconds:
         now += fleet.random.expovariate(TURNS_PER_SECOND)
@@ -223,7 +223,7 @@
             running[turn.engine] -= 1
             for predictor in predictors.values():
                 predictor.observe(turn)
-        node, engine = fleet.random.randrange(NODES), fleet.random.choice(sorted(fleet.speeds))
+        node, engine = fleet.random.randrange(NODES), fleet.random.choice(sorted(fleet.slowdowns))
         turn = fleet.serve(node, engine, now, running.get(engine, 0))
         running[engine] = running.get(engine, 0) + 1
         number += 1
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -46,12 +46,12 @@
 )
 
 
-class Way(enum.Enum):
+class SharingMode(enum.Enum):
     """How slots are shared."""
 
     FIRST_COME = "first come, first served"
     VIRTUAL_TIME = "virtual time of a tenant in each node's queue"
-    SHARES = "max-min shares by the leader's book"
+    SHARES = "max-min shares by the ledger's leader"
 
 
 class Load(msgspec.Struct, frozen=True, kw_only=True):
@@ -139,9 +139,9 @@
 class _Node:
     """A node: its queue, its last known load and shares, and its turns at engines."""
 
-    def __init__(self, name: str, way: Way) -> None:
+    def __init__(self, name: str, mode: SharingMode) -> None:
         self.process = ReplicaId(name)
-        self.way = way
+        self.mode = mode
         self.queue = WaitingRequests()
         self.shares = PlaceShares()
         self.running: Counter[str] = Counter()
@@ -158,7 +158,7 @@
     def in_order(self, now: float) -> list[Exchange]:
         """Return the waiting requests in this mode's order, without those held back."""
         waiting = self.queue.in_order()
-        if self.way is Way.VIRTUAL_TIME:
+        if self.mode is SharingMode.VIRTUAL_TIME:
             waiting.sort(
                 key=lambda item: (
                     not item.program_started,
@@ -167,14 +167,14 @@
                 )
             )
             return waiting
-        if self.way is Way.FIRST_COME:
+        if self.mode is SharingMode.FIRST_COME:
             return waiting
         self.queue.hold_back(self.shares.held_back(POOL, now))
         return self.queue.in_order()
 
     def may_place(self, exchange: Exchange, now: float) -> bool:
         """Return whether a request is not held back."""
-        return self.way is not Way.SHARES or not self.shares.is_held_back(exchange, now)
+        return self.mode is not SharingMode.SHARES or not self.shares.is_held_back(exchange, now)
 
     def record_placement(self, exchange: Exchange, weight: float, now: float) -> None:
         """Count a request that got a slot."""
@@ -192,11 +192,11 @@
 class Replay:
     """Replays one load under one mode; arrivals depend on the seed alone."""
 
-    def __init__(self, way: Way, load: Load, seed: int) -> None:
+    def __init__(self, mode: SharingMode, load: Load, seed: int) -> None:
         """Create the nodes and the leader."""
         self.result = Result()
         self._load = load
-        self._nodes = [_Node(f"node-{number}", way) for number in range(load.nodes)]
+        self._nodes = [_Node(f"node-{number}", mode) for number in range(load.nodes)]
         self._leader = TenantPlaces()
         self._random = random.Random(seed)
         self._work_random = random.Random(f"{seed}/work")
@@ -363,12 +363,12 @@
         if node.is_report_scheduled:
             return
         if self.now >= due:
-            self._send_rows(node)
+            self._send_tenant_loads(node)
             return
         node.is_report_scheduled = True
-        self._schedule(due, lambda: self._send_rows(node))
+        self._schedule(due, lambda: self._send_tenant_loads(node))
 
-    def _send_rows(self, node: _Node) -> None:
+    def _send_tenant_loads(self, node: _Node) -> None:
         if not node.is_alive:
             return
         node.is_report_scheduled = False
@@ -377,11 +377,11 @@
         node.reported_changes = node.queue.tenant_changes
         waiting = node.queue.first_turns
         names = sorted({*+node.running, *waiting})
-        rows = tuple(
+        tenant_loads = tuple(
             TenantLoad(name, self._weight(name), node.running[name], waiting[name])
             for name in names
         )
-        loads = (PoolLoad(POOL, self._load.places, rows),)
+        loads = (PoolLoad(POOL, self._load.places, tenant_loads),)
         sequence = node.sequence
         self._schedule(
             self.now + ONE_WAY_SECONDS, lambda: self._report_received(node, sequence, loads)
--- a/tests/unit/scheduling/test_directory.py
+++ b/tests/unit/scheduling/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the engine directory and the cache steward over fake engines."""
+"""Tests of the engine directory and the cache reconciler over fake engines."""
 
 from __future__ import annotations
 
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -19,7 +19,7 @@
 
 
 def served_turn(
-    source: random.Random, engine_id: str = "e", *, speed: float = 1.0, noise: float = 0.1
+    source: random.Random, engine_id: str = "e", *, slowdown: float = 1.0, noise: float = 0.1
 ) -> ServedTurn:
     unread = source.choice((300, 600, 1500, 4000))
     beside = source.randint(0, 12)
@@ -28,8 +28,8 @@
         engine_id=engine_id,
         uncached_tokens=unread,
         concurrent_turns=beside,
-        first_event_seconds=noise_factor * speed * (0.02 + unread * PREFILL_SECONDS_PER_TOKEN),
-        event_seconds=noise_factor * speed * (PACE + SLOWDOWN_PER_TURN * beside),
+        first_event_seconds=noise_factor * slowdown * (0.02 + unread * PREFILL_SECONDS_PER_TOKEN),
+        event_seconds=noise_factor * slowdown * (PACE + SLOWDOWN_PER_TURN * beside),
         events=source.randint(4, 16),
     )
 
@@ -94,7 +94,7 @@
         model = Observer()
         for _ in range(turns):
             for engine_id, speed in (speeds or {"e": 1.0}).items():
-                model.observe(served_turn(source, engine_id, speed=speed))
+                model.observe(served_turn(source, engine_id, slowdown=speed))
         return model
 
     def test_known_paces_are_found_in_noise(self) -> None:
@@ -113,7 +113,7 @@
         source = random.Random(2)
         for _ in range(20):
             model.observe(served_turn(source, "a"))
-            model.observe(served_turn(source, "b", speed=4.0))
+            model.observe(served_turn(source, "b", slowdown=4.0))
             model.observe(served_turn(source, "c"))
         slow, usual = (
             model.predict(name, uncached_tokens=0, concurrent_turns=2).seconds
@@ -143,7 +143,7 @@
         model = self.trained()
         before = model.predict("e", uncached_tokens=1000, concurrent_turns=3).seconds
         source = random.Random(3)
-        model.observe(served_turn(source, speed=200.0))
+        model.observe(served_turn(source, slowdown=200.0))
         after = model.predict("e", uncached_tokens=1000, concurrent_turns=3).seconds
         self.assertLess(after, 1.3 * before)
 
@@ -184,7 +184,7 @@
         model = self.trained()
         source = random.Random(4)
         for _ in range(150):
-            model.observe(served_turn(source, speed=3.0))
+            model.observe(served_turn(source, slowdown=3.0))
         expected = 3.0 * (0.02 + model.events * (PACE + 2 * SLOWDOWN_PER_TURN))
         predicted = model.predict("other", uncached_tokens=0, concurrent_turns=2).seconds
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.25)
@@ -219,7 +219,7 @@
         source = random.Random(6)
         for _ in range(10):
             observer.observe(served_turn(source, "known"))
-        observer.observe(served_turn(source, "e", speed=2.5))
+        observer.observe(served_turn(source, "e", slowdown=2.5))
         much, little = (
             observer.model.slowdown_factor("e", observer.now, observer.told(PACE, samples=samples))
             for samples in (15, 0.2)
@@ -243,12 +243,12 @@
         self.assertGreater(lasting, 2.2 * usual)
 
     def test_nodes_that_use_other_engines_tell_the_same_pace_of_one(self) -> None:
-        """One node uses fast engines besides, the other one slow engines."""
+        """One node also uses fast engines, the other one slow engines."""
         told = []
         for speed in (0.7, 1.7):
             observer, source = Observer(), random.Random(7)
             for _ in range(60):
-                observer.observe(served_turn(source, "others", speed=speed))
+                observer.observe(served_turn(source, "others", slowdown=speed))
             observed = [observer.observe(served_turn(source, "e", noise=0.0)) for _ in range(9)]
             told.append(sorted(item.pace_seconds for item in observed)[4])
         self.assertAlmostEqual(told[0] / told[1], 1.0, delta=0.05)
--- a/tests/unit/scheduling/test_engine_profiles.py
+++ b/tests/unit/scheduling/test_engine_profiles.py
@@ -22,45 +22,45 @@
         self.profile = EngineProfile()
         self.now = 100.0
 
-    def serve(self, turns: int, *, speed: float = 1.0, every: float = 1.0) -> None:
+    def serve(self, turns: int, *, slowdown: float = 1.0, every: float = 1.0) -> None:
         for _ in range(turns):
             self.now += every
-            self.profile.note_pace(speed * PACE, self.now)
+            self.profile.note_pace(slowdown * PACE, self.now)
 
     def baseline(self) -> float:
         return self.profile.pace(self.now).seconds / PACE
 
     def test_one_turn_says_something(self) -> None:
         self.assertEqual(self.profile.pace(self.now), UNKNOWN_PACE)
-        self.serve(1, speed=1.7)
+        self.serve(1, slowdown=1.7)
         self.assertAlmostEqual(self.baseline(), 1.7)
         self.assertAlmostEqual(self.profile.pace(self.now).samples, 1.0)
 
     def test_a_spell_of_a_busy_engine_does_not_bend_its_lasting_pace(self) -> None:
         self.serve(200, every=0.03)
-        self.serve(70, speed=2.5, every=0.03)
+        self.serve(70, slowdown=2.5, every=0.03)
         self.assertAlmostEqual(self.baseline(), 1.0, delta=0.01)
         self.assertGreater(self.profile.spell(self.now), 2.0)
 
     def test_a_lasting_speed_is_told_as_no_spell(self) -> None:
-        self.serve(20, speed=1.7)
+        self.serve(20, slowdown=1.7)
         self.assertAlmostEqual(self.profile.spell(self.now), 1.0, delta=0.01)
 
     def test_a_spell_fades_in_moments(self) -> None:
         self.serve(15)
-        self.serve(4, speed=2.5)
+        self.serve(4, slowdown=2.5)
         self.assertGreater(self.profile.spell(self.now), 2.0)
         self.now += 3 * SPELL_FADE_SECONDS
         self.assertLess(self.profile.spell(self.now), 1.1)
 
     def test_one_wild_turn_is_no_spell(self) -> None:
         self.serve(15)
-        self.serve(1, speed=200.0)
+        self.serve(1, slowdown=200.0)
         self.assertEqual(self.profile.spell(self.now), 1.0)
 
     def test_an_engine_that_changes_for_good_is_followed(self) -> None:
         self.serve(30, every=0.25)
-        self.serve(30, speed=3.0, every=0.25)
+        self.serve(30, slowdown=3.0, every=0.25)
         self.assertAlmostEqual(self.baseline(), 3.0, delta=0.1)
         self.serve(30, every=0.25)
         self.assertAlmostEqual(self.baseline(), 1.0, delta=0.1)
--- a/tests/unit/scheduling/test_ledger.py
+++ b/tests/unit/scheduling/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the state that the ledger derives from calls, reports and pauses."""
+"""Tests of the state that the engine state tracker derives from calls, reports and pauses."""
 
 from __future__ import annotations
 
--- a/tests/unit/scheduling/test_program_times.py
+++ b/tests/unit/scheduling/test_program_times.py
@@ -12,7 +12,7 @@
     MIN_SHARE,
     ProgramTimes,
 )
-from yokeline.scheduling.wait_errors import MAX_RATIO, WaitErrors
+from yokeline.scheduling.wait_correction import MAX_RATIO, WaitCorrection
 
 TIME_LIMIT = 2.0
 
@@ -69,18 +69,18 @@
 
 class Errors(unittest.TestCase):
     def test_waits_that_are_twice_as_long_are_learned(self) -> None:
-        errors = WaitErrors()
+        errors = WaitCorrection()
         for _ in range(60):
             errors.note("pool", 0.1, 0.2, got_place=True)
         self.assertAlmostEqual(errors.ratio("pool"), 2.0, delta=0.05)
 
     def test_a_wait_in_vain_lowers_nothing(self) -> None:
-        errors = WaitErrors()
+        errors = WaitCorrection()
         errors.note("pool", 0.2, 0.01, got_place=False)
         self.assertEqual(errors.ratio("pool"), 1.0)
 
     def test_they_are_bounded_and_short_waits_tell_nothing(self) -> None:
-        errors = WaitErrors()
+        errors = WaitCorrection()
         for _ in range(100):
             errors.note("pool", 0.1, 100.0, got_place=False)
         self.assertLessEqual(errors.ratio("pool"), MAX_RATIO)
--- a/tests/unit/scheduling/test_tenant_shares.py
+++ b/tests/unit/scheduling/test_tenant_shares.py
@@ -42,7 +42,7 @@
         self.assertEqual(names(shares_of(demands, 10)), [])
 
     def test_a_part_of_a_place_is_no_excess(self) -> None:
-        """At a share of 1.5 slots, a tenant with two has taken none from others."""
+        """At a share of 1.5 slots, a tenant that holds two slots does not exceed its share."""
         demands = [TenantDemand(f"t{number}", 1.0, 2, 0) for number in range(3)]
         demands += [TenantDemand(f"w{number}", 1.0, 1, 1) for number in range(3)]
         shares = shares_of(demands, 9)
