--- a/src/yokeline/experiment/fleet.py
+++ b/src/yokeline/experiment/fleet.py
@@ -1,7 +1,8 @@
 """The engines of an experiment with what the scheduler knows of them.
 
 The views that policies decide on come from the production code's own ledger
-(``scheduling.ledger``); it hears of calls and pauses at once and of the engines' load late.
+(``scheduling.engine_state_tracker``); it hears of calls and pauses at once and of the engines'
+load late.
 """
 
 from __future__ import annotations
--- a/src/yokeline/scheduling/cache_reconciler.py
+++ b/src/yokeline/scheduling/cache_reconciler.py
@@ -61,14 +61,14 @@
         self,
         context: NodeContext,
         catalog: EngineCatalog,
-        ledger: EngineStateTracker,
+        tracker: EngineStateTracker,
         reconciles: Callable[[str], bool],
         look_up_run: RunLookup,
     ) -> None:
         """Create the reconciler; the first inventories are read after a delay."""
         self._context = context
         self._catalog = catalog
-        self._ledger = ledger
+        self._tracker = tracker
         self._reconciles = reconciles
         self._look_up_run = look_up_run
         self._client = EngineClient(context)
@@ -102,19 +102,19 @@
 
     def _remove_evicted_contexts(self, engine: str, entries: tuple[CacheEntry, ...]) -> None:
         cached = {entry.cache_key for entry in entries}
-        for cache_key in self._ledger.idle_contexts_at(engine):
+        for cache_key in self._tracker.idle_contexts_at(engine):
             if cache_key not in cached:
-                self._ledger.context_removed(engine, cache_key)
+                self._tracker.context_removed(engine, cache_key)
 
     def _entries_to_check(self, engine: str, entries: tuple[CacheEntry, ...]) -> list[CacheEntry]:
         """Return the entries of inactive runs to look up, continuing after the last inventory."""
-        account = self._ledger.engine(engine)
+        tracked = self._tracker.engine(engine)
         cursor = self._cursors.get(engine, "")
         candidates = [
             entry
             for entry in entries
             if entry.cache_key.startswith(RUN_PREFIX)
-            and not account.is_active(RunId(entry.cache_key))
+            and not tracked.is_active(RunId(entry.cache_key))
         ]
         # Entries after the cursor first, then from the start again.
         candidates.sort(key=lambda entry: (entry.cache_key <= cursor, entry.cache_key))
@@ -128,7 +128,7 @@
         if presence is not RunPresence.GONE:
             return
         self._context.counters["yokeline_cache_reconciled_total"] += 1
-        self._ledger.context_removed(record.name, RunId(entry.cache_key))
+        self._tracker.context_removed(record.name, RunId(entry.cache_key))
         self._client.drop_entries(record.address, RunId(entry.cache_key), _ignore_result)
 
 
--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -81,16 +81,16 @@
         self._context = context
         self._settings = settings.scheduling
         self._policy = policy
-        self._ledger = EngineStateTracker()
+        self._tracker = EngineStateTracker()
         self._catalog = EngineCatalog(pools, machines)
         self._reconciler = CacheReconciler(
-            context, self._catalog, self._ledger, reconciles, look_up_run
+            context, self._catalog, self._tracker, reconciles, look_up_run
         )
 
     def refresh(self) -> None:
         """Apply the configured engine pools and the machine list."""
         for removed in self._catalog.refresh():
-            self._ledger.forget_engine(removed)
+            self._tracker.forget_engine(removed)
 
     def address_of(self, engine: str) -> Address | None:
         """Return the address of an engine; None if it is not in the catalog."""
@@ -98,13 +98,13 @@
         return record.address if record is not None else None
 
     def views(self) -> tuple[EngineRecord, ...]:
-        """Return the engines for the admin API, by name."""
+        """Return the records of all engines, by name, for the admin API."""
         records = self._catalog.records
         return tuple(records[name] for name in sorted(records))
 
     def sent_to(self, engine: str) -> int:
         """Return the number of this node's calls in progress at an engine."""
-        return self._ledger.engine(engine).calls
+        return self._tracker.engine(engine).calls
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
@@ -112,9 +112,9 @@
         if not allowed:
             return Failure(_no_engine_error(demand))
         preferred = [record for record in allowed if record.name not in demand.avoid] or allowed
-        demand = self._ledger.with_expected_completion(demand)
+        demand = self._tracker.with_expected_completion(demand)
         now = self._context.now
-        views = [self._ledger.view(record.facts(), demand, now) for record in preferred]
+        views = [self._tracker.view(record.config(), demand, now) for record in preferred]
         choice = self._policy.choose(demand, views, now)
         if isinstance(choice, WaitForEngine):
             self._count("waits", choice.cause.value)
@@ -136,11 +136,11 @@
         if record is None:
             return None
         now = self._context.now
-        context = self._ledger.pause_context(
-            pause, record.facts(), hold_max_seconds=self._settings.hold_max_seconds, now=now
+        context = self._tracker.pause_context(
+            pause, record.config(), hold_max_seconds=self._settings.hold_max_seconds, now=now
         )
         decision = self._policy.cache_decision(context)
-        self._ledger.pause_started(context, decision, now)
+        self._tracker.pause_started(context, decision, now)
         self._count("cache_decisions", f"{decision.action.value}_{decision.cause.value}")
         if decision.action is CacheAction.LEAVE:
             return None
@@ -148,12 +148,12 @@
 
     def hold_ended(self, engine: str, cache_key: RunId) -> Address | None:
         """Remove a hold whose context is in use again; return the address to release it at."""
-        had_hold = self._ledger.engine(engine).hold_ended(cache_key)
+        had_hold = self._tracker.engine(engine).hold_ended(cache_key)
         return self.address_of(engine) if had_hold else None
 
     def pause_ended(self, kind: PauseKind, name: str, seconds: float) -> None:
         """Learn from a finished pause (a tool call, a child run, the time between turns)."""
-        self._ledger.pauses.observe(kind, name, seconds)
+        self._tracker.pauses.observe(kind, name, seconds)
 
     def _count(self, what: str, cause: str) -> None:
         name = f'yokeline_scheduling_{what}_total{{cause="{cause}"}}'
@@ -161,11 +161,11 @@
 
     def call_sent(self, engine: str, demand: CallDemand, call_id: str) -> None:
         """Record a call that was sent."""
-        self._ledger.call_sent(engine, demand, call_id, self._context.now)
+        self._tracker.call_sent(engine, demand, call_id, self._context.now)
 
     def text_received(self, call_id: str) -> None:
         """Record text of a call's answer; the first text ends its prefill."""
-        self._ledger.text_received(call_id, self._context.now)
+        self._tracker.text_received(call_id, self._context.now)
 
     def call_ended(
         self,
@@ -183,11 +183,11 @@
             cached_tokens=cached_tokens,
             completion_tokens=completion_tokens,
         )
-        self._ledger.call_ended(call_id, end, self._context.now)
+        self._tracker.call_ended(call_id, end, self._context.now)
 
     def run_ended(self, cache_key: RunId) -> tuple[str, ...]:
         """Forget the contexts of an ended program; return the engines that may still cache them."""
-        return self._ledger.program_ended(cache_key)
+        return self._tracker.program_ended(cache_key)
 
     def next_deadline(self) -> float | None:
         """Return when the next load poll or inventory is due."""
@@ -231,7 +231,7 @@
             cache_tokens_used=report.cache_tokens_used,
             cache_tokens=report.cache_tokens,
         )
-        self._ledger.report_received(record.name, state, now - report.age_seconds)
+        self._tracker.report_received(record.name, state, now - report.age_seconds)
 
 
 def _decode_report(answer: HttpAnswer) -> LoadReport | None:
--- a/src/yokeline/scheduling/engine_catalog.py
+++ b/src/yokeline/scheduling/engine_catalog.py
@@ -65,8 +65,8 @@
         serves = not model or not self.pool.models or model in self.pool.models
         return serves and self.state() == "live"
 
-    def facts(self) -> EngineConfig:
-        """Return the configured values that the ledger needs to make a view."""
+    def config(self) -> EngineConfig:
+        """Return the configured values from which the state tracker makes a view."""
         return EngineConfig(
             name=self.name,
             address=self.address,
--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -40,6 +40,7 @@
 MAX_HINT_FACTOR = 4.0
 """Bound on the ratio of a caller's estimate of a turn's events to the mean number."""
 MIN_SECONDS = 1e-4
+"""Lower bound on predicted and observed times."""
 
 
 class PriorPoint(msgspec.Struct, frozen=True):
--- a/src/yokeline/scheduling/engine_speed.py
+++ b/src/yokeline/scheduling/engine_speed.py
@@ -10,7 +10,9 @@
 MIN_PREFILL_TOKENS = 500
 """Shorter prefills are dominated by the time of a step."""
 MIN_DECODED_TOKENS = 8
+"""Calls that generated fewer tokens are not measured."""
 MIN_SECONDS = 1e-4
+"""Shorter measured times are ignored."""
 BEST_SPEED_DECAY = 0.98
 """Decay of the best observed speed at each slower observation."""
 
--- a/src/yokeline/scheduling/engine_state_tracker.py
+++ b/src/yokeline/scheduling/engine_state_tracker.py
@@ -1,8 +1,8 @@
 """Tracks calls, cached contexts and pauses, and builds the views that policies decide on.
 
-Load reports lag, so the ledger combines them with the calls that this node sent and saw end. A
+Load reports lag, so the tracker combines them with the calls that this node sent and saw end. A
 run's context is known from the run's own log (its last model call) and from the calls that ended on
-this node, so a new leader needs no transfer of this state.
+this node, so the next leader of a run's shard needs no transfer of this state.
 """
 
 from __future__ import annotations
@@ -29,6 +29,7 @@
 ACTIVE_PAUSE_QUANTILE = 0.9
 """Quantile of its predicted pause for which a program stays active without a call."""
 MAX_ACTIVE_PAUSE_SECONDS = 60.0
+"""Limit on that time."""
 MAX_PROGRAMS = 20_000
 """Programs whose contexts are kept in memory; others are read from their runs' logs."""
 
@@ -51,6 +52,7 @@
     Attributes:
         prompt_tokens: Tokens of the prompt, without the answer.
         cached_tokens: Prompt tokens that the engine had in its cache.
+        completion_tokens: Actual tokens of the answer.
     """
 
     ok: bool
@@ -68,24 +70,24 @@
     """
 
     def __init__(self) -> None:
-        """Create an empty ledger."""
+        """Create a tracker of no engines."""
         self.pauses = PausePredictor()
         self.completion_lengths = CompletionLengths()
-        self._accounts: dict[str, TrackedEngine] = {}
+        self._engines: dict[str, TrackedEngine] = {}
         self._sent: dict[str, SentCall] = {}
         self._contexts: dict[RunId, dict[str, dict[RunId, int]]] = {}
 
     def engine(self, engine: str) -> TrackedEngine:
-        """Return the account of an engine, created at its first use."""
-        account = self._accounts.get(engine)
-        if account is None:
-            account = self._accounts[engine] = TrackedEngine()
-        return account
+        """Return the tracked state of an engine, created at its first use."""
+        tracked = self._engines.get(engine)
+        if tracked is None:
+            tracked = self._engines[engine] = TrackedEngine()
+        return tracked
 
     def forget_engine(self, engine: str) -> None:
-        """Remove an engine; its account is kept if it has calls in progress."""
+        """Remove an engine; its tracked state is kept while it has calls in progress."""
         if not self.engine(engine).calls:
-            del self._accounts[engine]
+            del self._engines[engine]
         for contexts in self._contexts.values():
             contexts.pop(engine, None)
 
@@ -93,29 +95,29 @@
         """Store a load report that shows the state at ``taken_at``."""
         self.engine(engine).report_received(report, taken_at)
 
-    def view(self, facts: EngineConfig, demand: CallDemand, now: float) -> EngineView:
+    def view(self, config: EngineConfig, demand: CallDemand, now: float) -> EngineView:
         """Return an engine's state as the policy sees it for one call."""
-        account = self.engine(facts.name)
-        account.expire_pauses(now)
-        report = account.report or LoadState()
+        tracked = self.engine(config.name)
+        tracked.expire_pauses(now)
+        report = tracked.report or LoadState()
         return EngineView(
-            name=facts.name,
-            address=facts.address,
-            pool=facts.pool,
-            labels=facts.labels,
-            slots=facts.slots,
-            running=account.load,
+            name=config.name,
+            address=config.address,
+            pool=config.pool,
+            labels=config.labels,
+            slots=config.slots,
+            running=tracked.load,
             waiting=report.waiting,
-            cached_tokens=self._cached_tokens(facts.name, demand),
-            cache_tokens=report.cache_tokens or facts.cache_tokens,
+            cached_tokens=self._cached_tokens(config.name, demand),
+            cache_tokens=report.cache_tokens or config.cache_tokens,
             cache_used=report.cache_tokens_used,
-            prefill_rate=account.speed.prefill_rate,
-            decode_seconds=account.speed.decode_seconds,
-            pending_prefill=account.pending_prefill,
-            active_programs=account.active_programs,
-            active_tokens=account.active_tokens,
-            program_is_active=account.is_active(demand.cache_key),
-            usable=facts.usable,
+            prefill_rate=tracked.speed.prefill_rate,
+            decode_seconds=tracked.speed.decode_seconds,
+            pending_prefill=tracked.pending_prefill,
+            active_programs=tracked.active_programs,
+            active_tokens=tracked.active_tokens,
+            program_is_active=tracked.is_active(demand.cache_key),
+            usable=config.usable,
         )
 
     def _cached_tokens(self, engine: str, demand: CallDemand) -> int:
@@ -135,17 +137,17 @@
     def call_sent(self, engine: str, demand: CallDemand, call_id: str, now: float) -> None:
         """Record a call that was sent to an engine, replacing an earlier one of the same id."""
         self.call_ended(call_id, CallEnd(ok=False), now)
-        account = self.engine(engine)
+        tracked = self.engine(engine)
         uncached = max(0, demand.prompt_tokens - self._cached_tokens(engine, demand))
         call = SentCall(
             engine=engine,
             demand=demand,
             sent_at=now,
             uncached_tokens=uncached,
-            is_sole_prefill=not account.pending_prefill,
+            is_sole_prefill=not tracked.pending_prefill,
         )
         self._sent[call_id] = call
-        account.call_sent(call, now)
+        tracked.call_sent(call, now)
 
     def text_received(self, call_id: str, now: float) -> None:
         """Record text of a call; only the first one matters."""
@@ -158,26 +160,26 @@
         call = self._sent.pop(call_id, None)
         if call is None:
             return
-        account = self.engine(call.engine)
+        tracked = self.engine(call.engine)
         context = end.prompt_tokens + end.completion_tokens
         if end.ok:
-            self._observe_call(account, call, end, now)
+            self._observe_call(tracked, call, end, now)
             self._record_context(call, context)
         else:
             contexts = self._contexts.get(call.demand.cache_key, {}).get(call.engine, {})
             contexts.pop(call.demand.run, None)
-        account.call_ended(call, context, now)
+        tracked.call_ended(call, context, now)
 
     def _observe_call(
-        self, account: TrackedEngine, call: SentCall, end: CallEnd, now: float
+        self, tracked: TrackedEngine, call: SentCall, end: CallEnd, now: float
     ) -> None:
         self.completion_lengths.observe(call.demand.program, end.completion_tokens)
         if call.first_text_at is None:
             return
         if call.is_sole_prefill:
             computed = end.prompt_tokens - end.cached_tokens
-            account.speed.observe_prefill(computed, call.first_text_at - call.sent_at)
-        account.speed.observe_decode(end.completion_tokens, now - call.first_text_at)
+            tracked.speed.observe_prefill(computed, call.first_text_at - call.sent_at)
+        tracked.speed.observe_decode(end.completion_tokens, now - call.first_text_at)
 
     def _record_context(self, call: SentCall, tokens: int) -> None:
         # Moved to the end, so that the first program is the least recently used.
@@ -190,16 +192,16 @@
     def pause_context(
         self,
         pause: ProgramPause,
-        facts: EngineConfig,
+        config: EngineConfig,
         *,
         hold_max_seconds: float,
         now: float,
         forecast: PauseForecast | None = None,
     ) -> PauseContext:
         """Return the inputs of a cache decision; ``forecast`` defaults to the learned one."""
-        account = self.engine(pause.engine)
-        account.expire_pauses(now)
-        report = account.report or LoadState()
+        tracked = self.engine(pause.engine)
+        tracked.expire_pauses(now)
+        report = tracked.report or LoadState()
         return PauseContext(
             run=pause.run,
             cache_key=pause.cache_key,
@@ -209,11 +211,11 @@
             engine=pause.engine,
             context_tokens=pause.context_tokens,
             forecast=forecast or self.pauses.forecast(pause.kind, pause.name),
-            prefill_rate=account.speed.prefill_rate,
-            cache_tokens=report.cache_tokens or facts.cache_tokens,
+            prefill_rate=tracked.speed.prefill_rate,
+            cache_tokens=report.cache_tokens or config.cache_tokens,
             cache_used=report.cache_tokens_used,
-            active_tokens=account.active_tokens,
-            held_tokens=account.held_tokens(now),
+            active_tokens=tracked.active_tokens,
+            held_tokens=tracked.held_tokens(now),
             hold_max_seconds=hold_max_seconds,
             priority=pause.priority,
             worth=pause.worth,
@@ -221,26 +223,26 @@
 
     def pause_started(self, context: PauseContext, decision: CacheDecision, now: float) -> None:
         """Record a pause and the decision on its context."""
-        account = self.engine(context.engine)
+        tracked = self.engine(context.engine)
         if decision.action is CacheAction.HOLD:
             until = now + decision.hold_seconds
-            account.hold_made(context.cache_key, context.context_tokens, until)
+            tracked.hold_made(context.cache_key, context.context_tokens, until)
         if decision.action is CacheAction.DROP:
             self.context_removed(context.engine, context.cache_key)
         elif context.kind in (PauseKind.TOOL, PauseKind.CHILD):
             until = now + active_pause_seconds(context.forecast)
             tokens = context.context_tokens
-            account.run_paused(context.cache_key, context.run, tokens, until)
+            tracked.run_paused(context.cache_key, context.run, tokens, until)
         elif context.kind is PauseKind.END:
-            account.remove_run_context(context.cache_key, context.run)
+            tracked.remove_run_context(context.cache_key, context.run)
         else:
-            account.deactivate_program(context.cache_key)
+            tracked.deactivate_program(context.cache_key)
 
     def context_removed(self, engine: str, cache_key: RunId) -> None:
         """Record that an engine no longer caches a program's context."""
-        account = self.engine(engine)
-        account.hold_ended(cache_key)
-        account.deactivate_program(cache_key)
+        tracked = self.engine(engine)
+        tracked.hold_ended(cache_key)
+        tracked.deactivate_program(cache_key)
         contexts = self._contexts.get(cache_key, {}).get(engine, {})
         for run in contexts:
             # Kept as 0, since a missing entry falls back to the run's last logged call.
@@ -248,11 +250,11 @@
 
     def idle_contexts_at(self, engine: str) -> tuple[RunId, ...]:
         """Return the inactive programs whose context is expected in an engine's cache."""
-        account = self.engine(engine)
+        tracked = self.engine(engine)
         return tuple(
             cache_key
             for cache_key, engines in self._contexts.items()
-            if engine in engines and not account.is_active(cache_key)
+            if engine in engines and not tracked.is_active(cache_key)
         )
 
     def engines_with_context(self, cache_key: RunId) -> tuple[str, ...]:
@@ -263,9 +265,9 @@
         """Forget a program; return the engines that may still cache its context."""
         engines = self.engines_with_context(cache_key)
         for engine in engines:
-            account = self.engine(engine)
-            account.hold_ended(cache_key)
-            account.deactivate_program(cache_key)
+            tracked = self.engine(engine)
+            tracked.hold_ended(cache_key)
+            tracked.deactivate_program(cache_key)
         self._contexts.pop(cache_key, None)
         return engines
 
--- a/src/yokeline/scheduling/ordering.py
+++ b/src/yokeline/scheduling/ordering.py
@@ -9,6 +9,7 @@
 from yokeline.scheduling.interface import CallDemand
 
 MIN_WORTH = 1e-9
+"""Lower bound on a program's weight in fair sharing."""
 LEVEL_BASE_TOKENS = 1024.0
 """Upper bound of the first service level; it doubles with each further level.
 
--- a/src/yokeline/server/run_presence.py
+++ b/src/yokeline/server/run_presence.py
@@ -1,4 +1,4 @@
-"""Answers the cache steward: is a root run still needed, as the leader of its shard says."""
+"""Answers the cache reconciler: is a root run still needed, as the leader of its shard says."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RunPresenceReader:
-    """Reads runs, linearizable and without their history, for the cache steward."""
+    """Reads runs, linearizable and without their history, for the cache reconciler."""
 
     def __init__(self, router: ShardRouter, shard_count: int) -> None:
         """Create a reader over a node's router."""
