--- a/src/yokeline/forwarding/engines.py
+++ b/src/yokeline/forwarding/engines.py
@@ -23,7 +23,7 @@
     FAULT_FADE_SECONDS,
     FAULT_WEIGHT,
     ReportedProfile,
-    usual_pace,
+    typical_pace,
 )
 from yokeline.scheduling.engine_subsets import ZoneMember, preferred_engines, rank
 
@@ -308,7 +308,7 @@
         usual = self._usual_paces.get(pool)
         if usual is None:
             profiles = (state.reported_profile for state in self._by_pool.get(pool, []))
-            usual = usual_pace(item.pace_seconds for item in profiles if item is not None)
+            usual = typical_pace(item.pace_seconds for item in profiles if item is not None)
             self._usual_paces[pool] = usual
         return usual
 
--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -31,8 +31,8 @@
 MIN_PRIOR_WEIGHT = 0.02
 """Lower bound on the weight of the prior, which decays faster than observations. It keeps a fit
 defined when all observations are at the same x."""
-USUAL_PACE_WEIGHT = 0.05
-"""Weight of one turn in the usual pace of the engines that this node has used."""
+TYPICAL_PACE_WEIGHT = 0.05
+"""Weight of one turn in the typical pace of the engines that this node has used."""
 MIN_TURNS = 4
 """Turns after which the fit describes the pool rather than the prior."""
 EVENTS_WEIGHT = 0.05
@@ -161,7 +161,7 @@
     """What one turn showed of its engine's pace.
 
     Attributes:
-        slowness: The turn's interval between events, relative to the usual interval in the pool
+        slowness: The turn's interval between events, relative to the typical interval in the pool
             with as many concurrent turns; 0 with too few events to measure it.
         pace_seconds: The turn's interval between events with the effect of concurrent turns
             removed; 0 if unknown.
@@ -187,31 +187,31 @@
         self._profiles: dict[str, EngineProfile] = {}
         self._turns_observed = 0
         self._reference_pace = 0.0
-        self._own_usual_pace = 0.0
-        self._told_usual_pace = 0.0
+        self._own_typical_pace = 0.0
+        self._reported_typical_pace = 0.0
         self.events = prior.events
 
     @property
     def prefill_seconds_per_token(self) -> float:
         """Seconds to prefill a prompt token."""
-        return self._usual_relative_pace * self._prefill_fit.slope
+        return self._typical_relative_pace * self._prefill_fit.slope
 
     @property
     def typical_turn_seconds(self) -> float:
         """Seconds of an average turn that runs alone and has its prompt cached."""
-        return self._usual_relative_pace * (
+        return self._typical_relative_pace * (
             self._prefill_fit.intercept + self.events * self._interval_fit.intercept
         )
 
     def slowdown_factor(
         self, engine_id: str, now: float, reported_profile: ReportedProfile | None = None
     ) -> float:
-        """Return an engine's baseline pace as a multiple of the pool's usual one."""
-        return self._baseline_pace(engine_id, now, reported_profile) / self._usual_pace
+        """Return an engine's baseline pace as a multiple of the pool's typical one."""
+        return self._baseline_pace(engine_id, now, reported_profile) / self._typical_pace
 
     def set_typical_pace(self, seconds: float) -> None:
-        """Set the usual pace of the pool's engines as reported by the leader; 0 if unknown."""
-        self._told_usual_pace = seconds
+        """Set the typical pace of the pool's engines, from the leader's profiles; 0 if unknown."""
+        self._reported_typical_pace = seconds
         self._set_reference_pace(seconds)
 
     def observe(
@@ -226,18 +226,18 @@
             self._observe_prefill(turn, now, reported_profile)
             return NO_PACE
         event_seconds = max(MIN_SECONDS, turn.event_seconds)
-        alone_seconds = event_seconds / self._load_slowdown(turn.concurrent_turns)
-        slowness = self._slowness_ratio(alone_seconds)
-        self._set_reference_pace(alone_seconds)
+        pace_seconds = event_seconds / self._load_slowdown(turn.concurrent_turns)
+        slowness = self._slowness_ratio(pace_seconds)
+        self._set_reference_pace(pace_seconds)
         profile = self._profiles.setdefault(turn.engine_id, EngineProfile())
-        profile.note_pace(alone_seconds, now)
-        self._update_own_usual_pace(profile.pace(now).seconds)
+        profile.note_pace(pace_seconds, now)
+        self._update_own_typical_pace(profile.pace(now).seconds)
         self._turns_observed += 1
         self._observe_prefill(turn, now, reported_profile)
         relative = self._relative_pace(turn.engine_id, now, reported_profile)
         self._interval_fit.observe(turn.concurrent_turns, event_seconds / relative)
         is_fit_ready = self._turns_observed >= MIN_TURNS
-        return ObservedPace(slowness=slowness, pace_seconds=alone_seconds if is_fit_ready else 0.0)
+        return ObservedPace(slowness=slowness, pace_seconds=pace_seconds if is_fit_ready else 0.0)
 
     def predict(
         self,
@@ -273,13 +273,15 @@
         return Prediction(seconds, concurrent_turns * (prefill_seconds + slowdown_seconds))
 
     @property
-    def _usual_pace(self) -> float:
-        """Seconds between the events of a turn that runs alone at a usual engine."""
-        return self._told_usual_pace or self._own_usual_pace or self._interval_fit.predict(0.0)
+    def _typical_pace(self) -> float:
+        """Seconds between the events of a turn that runs alone at an engine of typical pace."""
+        return (
+            self._reported_typical_pace or self._own_typical_pace or self._interval_fit.predict(0.0)
+        )
 
     @property
-    def _usual_relative_pace(self) -> float:
-        return self._usual_pace / self._reference_pace if self._reference_pace else 1.0
+    def _typical_relative_pace(self) -> float:
+        return self._typical_pace / self._reference_pace if self._reference_pace else 1.0
 
     def _set_reference_pace(self, seconds: float) -> None:
         """Set the pace that the fits refer to, unless it is set already.
@@ -293,13 +295,13 @@
         """Return the factor by which concurrent turns slow a turn down."""
         return self._interval_fit.predict(concurrent_turns) / self._interval_fit.predict(0.0)
 
-    def _slowness_ratio(self, alone_seconds: float) -> float:
-        ratio = alone_seconds / self._usual_pace
+    def _slowness_ratio(self, pace_seconds: float) -> float:
+        ratio = pace_seconds / self._typical_pace
         return min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
 
-    def _update_own_usual_pace(self, pace: float) -> None:
-        weight = max(USUAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
-        self._own_usual_pace += weight * (pace - self._own_usual_pace)
+    def _update_own_typical_pace(self, pace: float) -> None:
+        weight = max(TYPICAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
+        self._own_typical_pace += weight * (pace - self._own_typical_pace)
 
     def _observe_prefill(
         self, turn: ServedTurn, now: float, reported_profile: ReportedProfile | None
@@ -313,7 +315,7 @@
         profile = self._profiles.get(engine_id)
         own = profile.pace(now) if profile is not None else UNKNOWN_PACE
         other = reported_profile.pace(now) if reported_profile is not None else UNKNOWN_PACE
-        return merge_paces(own, other, self._usual_pace)
+        return merge_paces(own, other, self._typical_pace)
 
     def _relative_pace(
         self, engine_id: str, now: float, reported_profile: ReportedProfile | None
@@ -338,7 +340,7 @@
         relative *= profile.spell(now) if profile is not None else 1.0
         if reported_slowness <= 1:
             return relative
-        return max(relative, reported_slowness * self._usual_relative_pace)
+        return max(relative, reported_slowness * self._typical_relative_pace)
 
     def _expected_events(self, hinted: float | None) -> float:
         if hinted is None:
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -3,7 +3,7 @@
 The pace is the interval, in seconds, between two events of a turn that runs alone. A spell is a
 temporary slowdown, or speedup, relative to the baseline pace. A node divides a
 measured interval by the slowdown that its own fit attributes to concurrent turns, so paces measured
-by different nodes are comparable. Ratios to a node's usual pace would not be, since each node uses
+by different nodes are comparable. Ratios to a node's typical pace would not be, since each node uses
 different engines.
 
 The baseline is the median of samples taken far enough apart that one spell affects few of them. A
@@ -38,9 +38,9 @@
 SILENCE_FADE_SECONDS = 30.0
 """Time constant with which the weight of samples decays without new turns."""
 PRIOR_SAMPLES = 0.5
-"""Weight of the prior that an engine is as fast as usual in its pool."""
-USUAL_PACE_TOLERANCE = 0.05
-"""Relative difference up to which a pace counts as the usual one. Otherwise all nodes would choose
+"""Weight of the prior that an engine has the pool's typical pace."""
+TYPICAL_PACE_TOLERANCE = 0.05
+"""Relative difference up to which a pace counts as the typical one. Otherwise all nodes would choose
 the engine that measurement noise favours."""
 FAULT_WEIGHT = 0.15
 """Weight of one request in an engine's failure rate."""
@@ -157,23 +157,23 @@
         del self._samples[:-MAX_SAMPLES]
 
 
-def merge_paces(own: Pace, reported: Pace, usual: float) -> float:
+def merge_paces(own: Pace, reported: Pace, typical: float) -> float:
     """Return the baseline pace that follows from own samples and a reported profile.
 
-    The result is a geometric mean, weighted by samples; the pool's usual pace counts as
-    :data:`PRIOR_SAMPLES`. A result within :data:`USUAL_PACE_TOLERANCE` of the usual pace is
-    replaced by it.
+    The result is a geometric mean, weighted by samples; the pool's typical pace counts as
+    :data:`PRIOR_SAMPLES`. A result within :data:`TYPICAL_PACE_TOLERANCE` of the typical pace
+    is replaced by it.
     """
     weight, log_ratio_sum = PRIOR_SAMPLES, 0.0
     for pace in (own, reported):
         if pace.seconds > 0:
             weight += pace.samples
-            log_ratio_sum += pace.samples * math.log(pace.seconds / usual)
+            log_ratio_sum += pace.samples * math.log(pace.seconds / typical)
     ratio = math.exp(log_ratio_sum / weight)
-    return usual if abs(ratio - 1) < USUAL_PACE_TOLERANCE else usual * ratio
+    return typical if abs(ratio - 1) < TYPICAL_PACE_TOLERANCE else typical * ratio
 
 
-def usual_pace(paces: Iterable[float]) -> float:
+def typical_pace(paces: Iterable[float]) -> float:
     """Return the median of the known paces (those above 0) of a pool; 0 if none is known."""
     known = [pace for pace in paces if pace > 0]
     return median(known) if known else 0.0
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -30,7 +30,7 @@
     LinearFit,
     ServedTurn,
 )
-from yokeline.scheduling.engine_profiles import ReportedProfile, usual_pace
+from yokeline.scheduling.engine_profiles import ReportedProfile, typical_pace
 
 NODES = 72
 ENGINES = 24
@@ -79,13 +79,13 @@
             self._spells[key] = self.random.random() < self.spell_share
         return self.slowdowns[engine] * (SPELL_SLOWNESS if self._spells[key] else 1.0)
 
-    def serve(self, node: int, engine: str, now: float, beside: int) -> Turn:
-        unread = self.random.choice((200, 500, 1200))
-        at = now + self.slowness(engine, now) * (EVENT_SECONDS + unread * TOKEN_SECONDS)
+    def serve(self, node: int, engine: str, now: float, concurrent_turns: int) -> Turn:
+        uncached_tokens = self.random.choice((200, 500, 1200))
+        at = now + self.slowness(engine, now) * (EVENT_SECONDS + uncached_tokens * TOKEN_SECONDS)
         first = at
         for _ in range(EVENTS - 1):
-            at += self.slowness(engine, at) * EVENT_SECONDS * (1 + 0.01 * beside)
-        return Turn(node, engine, now, at, first - now, unread, beside)
+            at += self.slowness(engine, at) * EVENT_SECONDS * (1 + 0.01 * concurrent_turns)
+        return Turn(node, engine, now, at, first - now, uncached_tokens, concurrent_turns)
 
 
 def served_turn(turn: Turn) -> ServedTurn:
@@ -104,9 +104,11 @@
 
     def __init__(self) -> None:
         self.errors: list[tuple[float, float]] = []
-        self.leader_is_silent = False
+        self.leader_is_unreachable = False
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         raise NotImplementedError
 
     def observe(self, turn: Turn) -> None:
@@ -127,13 +129,15 @@
         self.factors: list[dict[str, float]] = [{} for _ in range(NODES)]
         self.slowness: dict[str, FadingAverage] = {}
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         reported = 1.0
-        if engine in self.slowness and not self.leader_is_silent:
+        if engine in self.slowness and not self.leader_is_unreachable:
             reported = self.slowness[engine].value(now)
         factor = max(self.factors[node].get(engine, 1.0), reported if reported > 1 else 0.0)
-        decode_seconds = (EVENTS - 1) * self.interval_fits[node].predict(beside)
-        return factor * (self.prefill_fits[node].predict(unread) + decode_seconds)
+        decode_seconds = (EVENTS - 1) * self.interval_fits[node].predict(concurrent_turns)
+        return factor * (self.prefill_fits[node].predict(uncached_tokens) + decode_seconds)
 
     def observe(self, turn: Turn) -> None:
         observed = served_turn(turn)
@@ -150,7 +154,7 @@
         average.observe(ratio, turn.ended_at)
 
 
-class ToldProfilePredictor(Predictor):
+class ReportedProfilePredictor(Predictor):
     """Uses the profiles reported by the leader, with or without temporary slowdowns."""
 
     def __init__(self, *, with_spell: bool) -> None:
@@ -158,17 +162,17 @@
         self.models = [EngineLatencyModel() for _ in range(NODES)]
         self.leader = TurnsUnderWay()
         self.with_spell = with_spell
-        self.told: list[dict[str, ReportedProfile]] = [{} for _ in range(NODES)]
+        self.reported: list[dict[str, ReportedProfile]] = [{} for _ in range(NODES)]
         self._sequence = 0
 
     def receive_leader_report(self, node: int, now: float) -> None:
         """Deliver the leader's report to a node."""
-        if self.leader_is_silent:
+        if self.leader_is_unreachable:
             return
         for item in self.leader.engines(now):
             if item.pace:
-                self.told[node][item.engine_id] = self._profile(item, now)
-        usual = usual_pace(item.pace_seconds for item in self.told[node].values())
+                self.reported[node][item.engine_id] = self._profile(item, now)
+        usual = typical_pace(item.pace_seconds for item in self.reported[node].values())
         self.models[node].set_typical_pace(usual)
 
     def _profile(self, item: EngineTurns, now: float) -> ReportedProfile:
@@ -179,22 +183,24 @@
             reported_at=now,
         )
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         self.receive_leader_report(node, now)
-        told = self.told[node].get(engine)
+        reported = self.reported[node].get(engine)
         model = self.models[node]
         return model.predict(
             engine,
-            uncached_tokens=unread,
-            concurrent_turns=beside,
+            uncached_tokens=uncached_tokens,
+            concurrent_turns=concurrent_turns,
             now=now,
-            reported_profile=told,
+            reported_profile=reported,
             hinted_events=EVENTS - 1,
         ).seconds
 
     def observe(self, turn: Turn) -> None:
-        model, told = self.models[turn.node], self.told[turn.node].get(turn.engine)
-        observed = model.observe(served_turn(turn), turn.ended_at, told)
+        model, reported = self.models[turn.node], self.reported[turn.node].get(turn.engine)
+        observed = model.observe(served_turn(turn), turn.ended_at, reported)
         self._sequence += 1
         pace = round(observed.pace_seconds / PACE_UNIT_SECONDS)
         report = NodeTurns(
--- a/tests/unit/scheduling/test_engine_model.py
+++ b/tests/unit/scheduling/test_engine_model.py
@@ -21,15 +21,17 @@
 def served_turn(
     source: random.Random, engine_id: str = "e", *, slowdown: float = 1.0, noise: float = 0.1
 ) -> ServedTurn:
-    unread = source.choice((300, 600, 1500, 4000))
-    beside = source.randint(0, 12)
+    uncached_tokens = source.choice((300, 600, 1500, 4000))
+    concurrent_turns = source.randint(0, 12)
     noise_factor = 1 + noise * (2 * source.random() - 1)
     return ServedTurn(
         engine_id=engine_id,
-        uncached_tokens=unread,
-        concurrent_turns=beside,
-        first_event_seconds=noise_factor * slowdown * (0.02 + unread * PREFILL_SECONDS_PER_TOKEN),
-        event_seconds=noise_factor * slowdown * (PACE + SLOWDOWN_PER_TURN * beside),
+        uncached_tokens=uncached_tokens,
+        concurrent_turns=concurrent_turns,
+        first_event_seconds=noise_factor
+        * slowdown
+        * (0.02 + uncached_tokens * PREFILL_SECONDS_PER_TOKEN),
+        event_seconds=noise_factor * slowdown * (PACE + SLOWDOWN_PER_TURN * concurrent_turns),
         events=source.randint(4, 16),
     )
 
@@ -70,7 +72,7 @@
     def slowdown_factor(self, engine_id: str) -> float:
         return self.model.slowdown_factor(engine_id, self.now)
 
-    def told(self, pace: float, *, samples: float = 15, spell: float = 1.0) -> ReportedProfile:
+    def reported(self, pace: float, *, samples: float = 15, spell: float = 1.0) -> ReportedProfile:
         return ReportedProfile(
             pace_seconds=pace, samples=samples, spell=spell, reported_at=self.now
         )
@@ -89,12 +91,12 @@
 
 
 class Learning(unittest.TestCase):
-    def trained(self, turns: int = 150, speeds: dict[str, float] | None = None) -> Observer:
+    def trained(self, turns: int = 150, slowdowns: dict[str, float] | None = None) -> Observer:
         source = random.Random(1)
         model = Observer()
         for _ in range(turns):
-            for engine_id, speed in (speeds or {"e": 1.0}).items():
-                model.observe(served_turn(source, engine_id, slowdown=speed))
+            for engine_id, slowdown in (slowdowns or {"e": 1.0}).items():
+                model.observe(served_turn(source, engine_id, slowdown=slowdown))
         return model
 
     def test_known_paces_are_found_in_noise(self) -> None:
@@ -109,7 +111,7 @@
         self.assertAlmostEqual(predicted / expected, 1.0, delta=0.1)
 
     def test_an_engine_that_turns_slow_is_known_after_few_turns_and_forgiven(self) -> None:
-        model = self.trained(speeds={"a": 1.0, "b": 1.0, "c": 1.0})
+        model = self.trained(slowdowns={"a": 1.0, "b": 1.0, "c": 1.0})
         source = random.Random(2)
         for _ in range(20):
             model.observe(served_turn(source, "a"))
@@ -126,7 +128,7 @@
         self.assertLess(model.slowdown_factor("b"), 1.2)
 
     def test_a_slower_kind_in_a_pool_costs_more(self) -> None:
-        model = self.trained(speeds={"fast": 1.0, "fast-2": 1.0, "slow": 1.3})
+        model = self.trained(slowdowns={"fast": 1.0, "fast-2": 1.0, "slow": 1.3})
         ratio = model.slowdown_factor("slow") / model.slowdown_factor("fast")
         self.assertAlmostEqual(ratio, 1.3, delta=0.1)
 
@@ -197,10 +199,16 @@
         observer = Observer()
         observer.model.set_typical_pace(PACE)
         fast = observer.predict(
-            "f", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(0.7 * PACE)
+            "f",
+            uncached_tokens=0,
+            concurrent_turns=0,
+            reported_profile=observer.reported(0.7 * PACE),
         )
         slow = observer.predict(
-            "s", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(1.7 * PACE)
+            "s",
+            uncached_tokens=0,
+            concurrent_turns=0,
+            reported_profile=observer.reported(1.7 * PACE),
         )
         self.assertAlmostEqual(slow.seconds / fast.seconds, 1.7 / 0.7, delta=0.1)
 
@@ -208,7 +216,7 @@
         observer = Observer()
         observer.model.set_typical_pace(PACE)
         known = observer.predict(
-            "u", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.told(PACE)
+            "u", uncached_tokens=0, concurrent_turns=0, reported_profile=observer.reported(PACE)
         ).seconds
         unknown = observer.predict("new", uncached_tokens=0, concurrent_turns=0).seconds
         self.assertAlmostEqual(unknown / known, 1.0, delta=0.01)
@@ -221,7 +229,9 @@
             observer.observe(served_turn(source, "known"))
         observer.observe(served_turn(source, "e", slowdown=2.5))
         much, little = (
-            observer.model.slowdown_factor("e", observer.now, observer.told(PACE, samples=samples))
+            observer.model.slowdown_factor(
+                "e", observer.now, observer.reported(PACE, samples=samples)
+            )
             for samples in (15, 0.2)
         )
         self.assertLess(much, 1.2)
@@ -230,7 +240,7 @@
     def test_a_told_spell_fades_and_a_lasting_pace_stays(self) -> None:
         observer = Observer()
         observer.model.set_typical_pace(PACE)
-        in_spell, slow = observer.told(PACE, spell=2.5), observer.told(2.5 * PACE)
+        in_spell, slow = observer.reported(PACE, spell=2.5), observer.reported(2.5 * PACE)
         observer.now += 3.0
         usual = observer.predict("u", uncached_tokens=0, concurrent_turns=0).seconds
         after = observer.predict(
--- a/tests/unit/scheduling/test_engine_profiles.py
+++ b/tests/unit/scheduling/test_engine_profiles.py
@@ -11,7 +11,7 @@
     EngineProfile,
     Pace,
     merge_paces,
-    usual_pace,
+    typical_pace,
 )
 
 PACE = 0.02
@@ -98,5 +98,5 @@
         self.assertGreater(merge_paces(UNKNOWN_PACE, Pace(1.3, 15.0), 1.0), 1.25)
 
     def test_the_usual_pace_is_the_median_of_what_is_known(self) -> None:
-        self.assertEqual(usual_pace([0.7, 0.0, 0.7, 1.7]), 0.7)
-        self.assertEqual(usual_pace([]), 0.0)
+        self.assertEqual(typical_pace([0.7, 0.0, 0.7, 1.7]), 0.7)
+        self.assertEqual(typical_pace([]), 0.0)
--- a/tests/unit/scheduling/test_profile_replay.py
+++ b/tests/unit/scheduling/test_profile_replay.py
@@ -10,7 +10,7 @@
     Fleet,
     OwnFactorPredictor,
     Predictor,
-    ToldProfilePredictor,
+    ReportedProfilePredictor,
     replay,
 )
 
@@ -22,8 +22,8 @@
 def all_predictors() -> dict[str, Predictor]:
     return {
         "own": OwnFactorPredictor(),
-        "lasting": ToldProfilePredictor(with_spell=False),
-        "spell": ToldProfilePredictor(with_spell=True),
+        "lasting": ReportedProfilePredictor(with_spell=False),
+        "spell": ReportedProfilePredictor(with_spell=True),
     }
 
 
@@ -86,7 +86,7 @@
         fleet, predictors = Fleet(5), all_predictors()
         replay(fleet, predictors, END_SECONDS)
         for predictor in predictors.values():
-            predictor.leader_is_silent = True
+            predictor.leader_is_unreachable = True
         replay(fleet, predictors, 10.0, begin=END_SECONDS)
         self.assertLess(
             predictors["spell"].mean_error(END_SECONDS),
@@ -94,7 +94,7 @@
         )
 
     def test_a_new_leader_that_knows_nothing_is_whole_again_in_seconds(self) -> None:
-        fleet, predictor = Fleet(6), ToldProfilePredictor(with_spell=True)
+        fleet, predictor = Fleet(6), ReportedProfilePredictor(with_spell=True)
         replay(fleet, {"spell": predictor}, END_SECONDS)
         predictor.leader.clear()
         replay(fleet, {"spell": predictor}, 8.0, begin=END_SECONDS)
@@ -106,7 +106,7 @@
     def test_without_any_word_a_node_goes_by_its_own_turns(self) -> None:
         predictors = all_predictors()
         for predictor in predictors.values():
-            predictor.leader_is_silent = True
+            predictor.leader_is_unreachable = True
         replay(Fleet(7), predictors, END_SECONDS)
         self.assertLess(
             predictors["spell"].mean_error(WARM_UP_SECONDS),
