--- a/src/yokeline/runs/cache_actions.py
+++ b/src/yokeline/runs/cache_actions.py
@@ -26,7 +26,7 @@
     """Reports pauses to the engine directory and carries out the policy's cache decisions.
 
     Requests to engines are best effort: a hold is a lease that expires, and entries left by a
-    lost release are dropped by the engine's steward (``scheduling.steward``).
+    lost release are dropped by the engine's reconciler (``scheduling.cache_reconciler``).
     """
 
     def __init__(self, core: ExecutorCore, engines: EngineDirectoryInterface) -> None:
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -1,10 +1,10 @@
 """Speed of one engine process: a baseline pace, and temporary deviations from it.
 
 The pace is the interval, in seconds, between two events of a turn that runs alone. A spell is a
-temporary slowdown, or speedup, relative to the baseline pace. A node divides a
-measured interval by the slowdown that its own fit attributes to concurrent turns, so paces measured
-by different nodes are comparable. Ratios to a node's typical pace would not be, since each node uses
-different engines.
+temporary slowdown, or speedup, relative to the baseline pace. A node divides a measured interval by
+the slowdown that its own fit attributes to concurrent turns, so paces measured by different nodes
+are comparable. Ratios to a node's typical pace would not be, since each node uses different
+engines.
 
 The baseline is the median of samples taken far enough apart that one spell affects few of them. A
 spell is reported once several consecutive samples lie on the same side of the baseline; a shorter
@@ -40,7 +40,7 @@
 PRIOR_SAMPLES = 0.5
 """Weight of the prior that an engine has the pool's typical pace."""
 TYPICAL_PACE_TOLERANCE = 0.05
-"""Relative difference up to which a pace counts as the typical one. Otherwise all nodes would choose
+"""Relative difference up to which a pace counts as the typical one, so that nodes do not all choose
 the engine that measurement noise favours."""
 FAULT_WEIGHT = 0.15
 """Weight of one request in an engine's failure rate."""
--- a/tests/unit/scheduling/test_profile_replay.py
+++ b/tests/unit/scheduling/test_profile_replay.py
@@ -53,7 +53,7 @@
         self.assertLess(predictors["spell"].mean_error(WARM_UP_SECONDS), 0.05)
 
     def test_engines_of_one_speed_are_predicted_no_worse_than_by_own_factors(self) -> None:
-        with unittest.mock.patch.object(profile_replay, "SPEEDS", (1.0, 1.0, 1.0)):
+        with unittest.mock.patch.object(profile_replay, "SLOWDOWNS", (1.0, 1.0, 1.0)):
             predictors = all_predictors()
             replay(Fleet(8, spell_share=0.0), predictors, END_SECONDS)
         self.assertLess(
