--- a/src/yokeline/scheduling/cache_reconciler.py
+++ b/src/yokeline/scheduling/cache_reconciler.py
@@ -24,6 +24,7 @@
 
 INVENTORY_PERIOD_SECONDS = 20.0
 FIRST_INVENTORY_SECONDS = 5.0
+"""Delay of the first inventories after the start of the node."""
 MAX_LOOKUPS_PER_INVENTORY = 200
 """Limit on the runs looked up per inventory; the next inventory continues after them."""
 
--- a/src/yokeline/scheduling/cache_types.py
+++ b/src/yokeline/scheduling/cache_types.py
@@ -40,6 +40,7 @@
         active_tokens: Context tokens of the active programs there, including this one.
         held_tokens: Tokens there under unexpired holds of this node.
         hold_max_seconds: Longest hold that the settings allow.
+        worth: Weight of the program in fair sharing.
     """
 
     run: RunId
--- a/src/yokeline/scheduling/caching.py
+++ b/src/yokeline/scheduling/caching.py
@@ -32,6 +32,7 @@
 HOLD_MARGIN = 1.25
 """Length of a hold relative to that quantile of the pause."""
 MIN_HOLD_SECONDS = 0.5
+"""Minimum length of a hold, unless the settings allow less."""
 MAX_HELD_CACHE_FRACTION = 0.5
 """Fraction of the cache that holds may occupy."""
 
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -28,11 +28,12 @@
 MAX_SAMPLES = 15
 """Samples kept; the median follows a permanent change after half of them."""
 SPELL_FADE_SECONDS = 1.0
-"""Time constant with which a spell decays without new turns."""
+"""Time constant with which the factor of a temporary slowdown decays without new turns."""
 SPELL_SAMPLES = 3
-"""Consecutive samples, all slower or all faster than the baseline, that make a spell."""
+"""Consecutive samples, all slower or all faster than the baseline, that count as a temporary
+slowdown or speedup."""
 MIN_SAMPLES_FOR_SPELL = 2 * SPELL_SAMPLES + 1
-"""Below this number of samples a spell would determine the median itself."""
+"""Below this number of samples, a temporary slowdown would determine the median itself."""
 MAX_SPELL_FACTOR = 3.0
 """Upper bound on the factor of a temporary slowdown, and the inverse of the lower bound."""
 SILENCE_FADE_SECONDS = 30.0
@@ -69,7 +70,7 @@
 
 
 def faded_spell(spell: float, age: float) -> float:
-    """Return the factor of a spell, decayed towards 1, ``age`` seconds after its last turn."""
+    """Return the factor of a temporary slowdown, decayed towards 1 for ``age`` seconds."""
     remaining = math.exp(-max(0.0, age) / SPELL_FADE_SECONDS)
     return remaining * spell + (1.0 - remaining)
 
@@ -94,7 +95,7 @@
         return Pace(self.pace_seconds, faded_samples(self.samples, now - self.reported_at))
 
     def spell_at(self, now: float) -> float:
-        """Return the decayed factor of the spell."""
+        """Return the decayed factor of the temporary slowdown."""
         return faded_spell(self.spell, now - self.reported_at)
 
 
--- a/src/yokeline/scheduling/forecast.py
+++ b/src/yokeline/scheduling/forecast.py
@@ -9,7 +9,9 @@
 import msgspec
 
 MIN_BOUND_SECONDS = 0.01
+"""Upper bound of the first bucket."""
 BUCKETS_PER_DOUBLING = 2
+"""Buckets within which the bounds double."""
 BUCKET_COUNT = 44
 
 BUCKET_BOUNDS_SECONDS = tuple(
--- a/src/yokeline/scheduling/policies.py
+++ b/src/yokeline/scheduling/policies.py
@@ -10,6 +10,7 @@
 from yokeline.scheduling.interface import SchedulingPolicy
 
 DEFAULT_AGING_SECONDS = 10.0
+"""Waiting time that raises a call by one priority step, unless configured."""
 
 
 def make_policy(
--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -1,7 +1,6 @@
 """Sizes of programs, learned for each kind of program from those that ended.
 
-The ledger assigns programs to kinds; a size is the number of requests and the duration.
-
+The kinds are those of :mod:`yokeline.ledger.claims`. A size is a number of requests and a duration.
 Sizes vary, and a few programs loop without end. So a size has a mean and a mean deviation, recent
 programs weigh more, and the weight of an outlier is bounded.
 """
@@ -20,8 +19,8 @@
 AVERAGING_PROGRAMS = 40
 """Programs averaged with equal weight at first; later the window of the moving average."""
 OUTLIER_FACTOR = 4.0
-"""A program counts for at most this multiple of the mean size, or of the
-median size among the first :data:`MIN_PROGRAMS`."""
+"""A program counts for at most this multiple of the mean size, or of the median size among
+the first :data:`MIN_PROGRAMS`."""
 MIN_DURATION_SECONDS = 0.05
 """Minimum duration, for programs that send all their requests at once."""
 
--- a/src/yokeline/scheduling/room_waits.py
+++ b/src/yokeline/scheduling/room_waits.py
@@ -75,8 +75,8 @@
         ahead: Requests before this one in the queues of all nodes.
         excess: Requests that must leave the engines before a queued request gets a slot.
         place_seconds: Mean time that a request occupies a slot; None if unknown.
-        share: Share of the freed slots that requests of this one's class get: for a first turn,
-            those left over by the later turns of begun programs.
+        share: Share of the freed slots that the queue gets: 1 for later turns of programs, and for
+            first turns the share that later turns leave over.
         error_ratio: Recent ratio of actual to expected waits.
     """
 
@@ -92,10 +92,10 @@
     """The wait of a request.
 
     Attributes:
-        until: When it is refused at the latest (monotonic seconds).
+        until: When the request is refused at the latest (monotonic seconds).
         expected: Seconds until a slot is expected to be free, by the latest estimate.
         first_expected: The first estimate, without the correction by ``error_ratio``.
-        max_wait: Its longest wait in seconds.
+        max_wait: Longest time in seconds that the request may wait.
     """
 
     until: float
@@ -108,7 +108,7 @@
     """Whether a request without a slot waits.
 
     Attributes:
-        max_wait: Its longest wait in seconds.
+        max_wait: Longest time in seconds that the request may wait.
         expected: Seconds until a slot is expected to be free; 0 if unknown.
         refusal: Why it is refused immediately; None if it waits.
     """
