--- a/src/yokeline/scheduling/cache_types.py
+++ b/src/yokeline/scheduling/cache_types.py
@@ -40,6 +40,7 @@
         active_tokens: Context tokens of the active programs there, including this one.
         held_tokens: Tokens there under unexpired holds of this node.
         hold_max_seconds: Longest hold that the settings allow.
+        worth: Weight of the program in fair sharing.
     """
 
     run: RunId
@@ -79,13 +80,13 @@
     ENDED = "ended"
     """No later call uses the context."""
     ROOM = "room"
-    """The cache is not crowded, so the context is unlikely to be evicted."""
+    """The cache is not crowded, so the context is left to the engine."""
     CHEAP_REBUILD = "cheap_rebuild"
-    """Holding for the predicted pause costs more than a rebuild."""
+    """No context is cached at the engine, or holds already occupy their share of the cache."""
     COSTLY_REBUILD = "costly_rebuild"
-    """A rebuild costs more than holding for the predicted pause."""
+    """The rebuild that a hold is expected to save costs more than the hold."""
     LONG_PAUSE = "long_pause"
-    """The predicted pause exceeds any worthwhile hold, and other programs need the memory."""
+    """A hold is expected to cost more than the rebuild it saves, or reuse is unlikely."""
     UNKNOWN_PAUSE = "unknown_pause"
     """The pause has no forecast."""
 
--- a/src/yokeline/scheduling/directory.py
+++ b/src/yokeline/scheduling/directory.py
@@ -13,8 +13,16 @@
 from yokeline.errors import ErrorKind, YokelineError
 from yokeline.identifiers import RunId
 from yokeline.labels.objects import EnginePool
-from yokeline.scheduling.account import LoadState
+from yokeline.scheduling.cache_reconciler import (
+    CacheReconciler,
+    PresenceHandler,
+    RunLookup,
+    RunPresence,
+    presence_unknown,
+    reconciles_nothing,
+)
 from yokeline.scheduling.engine_catalog import EngineCatalog, EngineRecord, LoadReport, MachineEntry
+from yokeline.scheduling.engine_state_tracker import CallEnd, EngineStateTracker
 from yokeline.scheduling.interface import (
     CacheAction,
     CallDemand,
@@ -26,15 +34,7 @@
     WaitCause,
     WaitForEngine,
 )
-from yokeline.scheduling.ledger import CallEnd, EngineLedger
-from yokeline.scheduling.steward import (
-    CacheSteward,
-    PresenceHandler,
-    RunExists,
-    RunPresence,
-    presence_unknown,
-    stewards_nothing,
-)
+from yokeline.scheduling.tracked_engine import LoadState
 from yokeline.server.context import HttpAnswer, NodeContext
 from yokeline.settings import Settings
 
@@ -54,7 +54,7 @@
 
 
 class EngineDirectory:
-    """Combines the catalog of engines, their load, the scheduling policy and the cache steward."""
+    """Combines the engine catalog, engine load, scheduling policy and cache reconciler."""
 
     def __init__(
         self,
@@ -64,8 +64,8 @@
         pools: Callable[[], tuple[EnginePool, ...]],
         machines: Callable[[], tuple[MachineEntry, ...]],
         *,
-        stewards: Callable[[str], bool] = stewards_nothing,
-        run_exists: RunExists = presence_unknown,
+        reconciles: Callable[[str], bool] = reconciles_nothing,
+        look_up_run: RunLookup = presence_unknown,
     ) -> None:
         """Create an empty directory.
 
@@ -75,20 +75,22 @@
             policy: The scheduling policy.
             pools: Returns the configured engine pools; read by :meth:`refresh`.
             machines: Returns the machine list; read by :meth:`refresh`.
-            stewards: Returns whether this node is the steward of an engine, by its name.
-            run_exists: Asks the leader of a run's shard whether a root run is still needed.
+            reconciles: Returns whether this node reconciles an engine's cache, by its name.
+            look_up_run: Asks the leader of a run's shard whether a root run is still needed.
         """
         self._context = context
         self._settings = settings.scheduling
         self._policy = policy
-        self._ledger = EngineLedger()
+        self._tracker = EngineStateTracker()
         self._catalog = EngineCatalog(pools, machines)
-        self._steward = CacheSteward(context, self._catalog, self._ledger, stewards, run_exists)
+        self._reconciler = CacheReconciler(
+            context, self._catalog, self._tracker, reconciles, look_up_run
+        )
 
     def refresh(self) -> None:
         """Apply the configured engine pools and the machine list."""
         for removed in self._catalog.refresh():
-            self._ledger.forget_engine(removed)
+            self._tracker.forget_engine(removed)
 
     def address_of(self, engine: str) -> Address | None:
         """Return the address of an engine; None if it is not in the catalog."""
@@ -96,13 +98,13 @@
         return record.address if record is not None else None
 
     def views(self) -> tuple[EngineRecord, ...]:
-        """Return the engines for the admin API, by name."""
+        """Return the records of all engines, by name, for the admin API."""
         records = self._catalog.records
         return tuple(records[name] for name in sorted(records))
 
     def sent_to(self, engine: str) -> int:
         """Return the number of this node's calls in progress at an engine."""
-        return self._ledger.account(engine).calls
+        return self._tracker.engine(engine).calls
 
     def choose(self, demand: CallDemand) -> Result[EngineChoice, YokelineError]:
         """Choose an engine; a failure with ``retry_after`` means that the call must wait."""
@@ -110,9 +112,9 @@
         if not allowed:
             return Failure(_no_engine_error(demand))
         preferred = [record for record in allowed if record.name not in demand.avoid] or allowed
-        demand = self._ledger.with_expected_answer(demand)
+        demand = self._tracker.with_expected_completion(demand)
         now = self._context.now
-        views = [self._ledger.view(record.facts(), demand, now) for record in preferred]
+        views = [self._tracker.view(record.config(), demand, now) for record in preferred]
         choice = self._policy.choose(demand, views, now)
         if isinstance(choice, WaitForEngine):
             self._count("waits", choice.cause.value)
@@ -134,11 +136,11 @@
         if record is None:
             return None
         now = self._context.now
-        context = self._ledger.pause_context(
-            pause, record.facts(), hold_max_seconds=self._settings.hold_max_seconds, now=now
+        context = self._tracker.pause_context(
+            pause, record.config(), hold_max_seconds=self._settings.hold_max_seconds, now=now
         )
         decision = self._policy.cache_decision(context)
-        self._ledger.pause_started(context, decision, now)
+        self._tracker.pause_started(context, decision, now)
         self._count("cache_decisions", f"{decision.action.value}_{decision.cause.value}")
         if decision.action is CacheAction.LEAVE:
             return None
@@ -146,12 +148,12 @@
 
     def hold_ended(self, engine: str, cache_key: RunId) -> Address | None:
         """Remove a hold whose context is in use again; return the address to release it at."""
-        had_hold = self._ledger.account(engine).hold_ended(cache_key)
+        had_hold = self._tracker.engine(engine).hold_ended(cache_key)
         return self.address_of(engine) if had_hold else None
 
     def pause_ended(self, kind: PauseKind, name: str, seconds: float) -> None:
         """Learn from a finished pause (a tool call, a child run, the time between turns)."""
-        self._ledger.pauses.observe(kind, name, seconds)
+        self._tracker.pauses.observe(kind, name, seconds)
 
     def _count(self, what: str, cause: str) -> None:
         name = f'yokeline_scheduling_{what}_total{{cause="{cause}"}}'
@@ -159,11 +161,11 @@
 
     def call_sent(self, engine: str, demand: CallDemand, call_id: str) -> None:
         """Record a call that was sent."""
-        self._ledger.call_sent(engine, demand, call_id, self._context.now)
+        self._tracker.call_sent(engine, demand, call_id, self._context.now)
 
     def text_received(self, call_id: str) -> None:
         """Record text of a call's answer; the first text ends its prefill."""
-        self._ledger.text_received(call_id, self._context.now)
+        self._tracker.text_received(call_id, self._context.now)
 
     def call_ended(
         self,
@@ -181,24 +183,24 @@
             cached_tokens=cached_tokens,
             completion_tokens=completion_tokens,
         )
-        self._ledger.call_ended(call_id, end, self._context.now)
+        self._tracker.call_ended(call_id, end, self._context.now)
 
     def run_ended(self, cache_key: RunId) -> tuple[str, ...]:
         """Forget the contexts of an ended program; return the engines that may still cache them."""
-        return self._ledger.program_ended(cache_key)
+        return self._tracker.program_ended(cache_key)
 
     def next_deadline(self) -> float | None:
         """Return when the next load poll or inventory is due."""
         records = self._catalog.records.values()
         due = [record.next_poll for record in records if not record.is_polling]
-        return min([*due, self._steward.next_deadline()])
+        return min([*due, self._reconciler.next_deadline()])
 
     def tick(self) -> None:
         """Poll the loads and inventories that are due."""
         for record in self._catalog.records.values():
             if not record.is_polling and record.next_poll <= self._context.now:
                 self._poll_load(record)
-        self._steward.tick()
+        self._reconciler.tick()
 
     def _poll_load(self, record: EngineRecord) -> None:
         record.is_polling = True
@@ -229,7 +231,7 @@
             cache_tokens_used=report.cache_tokens_used,
             cache_tokens=report.cache_tokens,
         )
-        self._ledger.report_received(record.name, state, now - report.age_seconds)
+        self._tracker.report_received(record.name, state, now - report.age_seconds)
 
 
 def _decode_report(answer: HttpAnswer) -> LoadReport | None:
--- a/src/yokeline/scheduling/engine_model.py
+++ b/src/yokeline/scheduling/engine_model.py
@@ -8,7 +8,7 @@
 comparable between nodes that use fast and slow engines.
 
 Before the first observation, :data:`DEFAULT_PRIOR` assumes slow prefill, so that the turns of a
-program stay where their prompt is cached. It weighs as little as a few observations.
+program are sent to the engine that caches its prompt. Its weight is that of a few observations.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from yokeline.scheduling.engine_profiles import (
     UNKNOWN_PACE,
     EngineProfile,
-    ToldProfile,
+    ReportedProfile,
     merge_paces,
 )
 
@@ -31,8 +31,8 @@
 MIN_PRIOR_WEIGHT = 0.02
 """Lower bound on the weight of the prior, which decays faster than observations. It keeps a fit
 defined when all observations are at the same x."""
-USUAL_PACE_WEIGHT = 0.05
-"""Weight of one turn in the usual pace of the engines that this node has used."""
+TYPICAL_PACE_WEIGHT = 0.05
+"""Weight of one turn in the typical pace of the engines that this node has used."""
 MIN_TURNS = 4
 """Turns after which the fit describes the pool rather than the prior."""
 EVENTS_WEIGHT = 0.05
@@ -40,6 +40,7 @@
 MAX_HINT_FACTOR = 4.0
 """Bound on the ratio of a caller's estimate of a turn's events to the mean number."""
 MIN_SECONDS = 1e-4
+"""Lower bound on predicted and observed times."""
 
 
 class PriorPoint(msgspec.Struct, frozen=True):
@@ -123,23 +124,29 @@
     """Measurements of a turn that one engine served completely.
 
     Attributes:
-        unread: Prompt tokens that the engine was expected to prefill when the turn was sent.
-        beside: Concurrent turns at the engine, averaged over the turn's start and end.
+        uncached_tokens: Prompt tokens that the engine was expected to prefill when the turn was
+            sent.
+        concurrent_turns: Concurrent turns at the engine, averaged over the turn's start and end.
         first_event_seconds: Time from sending the turn to its first event.
         event_seconds: Mean interval between events; None with too few events to measure it.
         events: Number of its events.
     """
 
     engine_id: str
-    unread: int
-    beside: float
+    uncached_tokens: int
+    concurrent_turns: float
     first_event_seconds: float
     event_seconds: float | None
     events: int
 
 
 class Prediction(msgspec.Struct, frozen=True):
-    """Seconds that a turn takes, and by which it delays the concurrent turns."""
+    """Predicted effect of a turn.
+
+    Attributes:
+        seconds: Seconds that it takes.
+        delay_to_others: Seconds by which it delays the concurrent turns, in total.
+    """
 
     seconds: float
     delay_to_others: float
@@ -154,21 +161,24 @@
     """What one turn showed of its engine's pace.
 
     Attributes:
-        slowness: Its interval between events relative to the usual one in the pool at that load; 0
-            with too few events to measure it.
-        alone_seconds: Its interval between events with the effect of concurrent turns removed; 0 if
-            unknown.
+        slowness: The turn's interval between events, relative to the typical interval in the pool
+            with as many concurrent turns; 0 with too few events to measure it.
+        pace_seconds: The turn's interval between events with the effect of concurrent turns
+            removed; 0 if unknown.
     """
 
     slowness: float = 0.0
-    alone_seconds: float = 0.0
+    pace_seconds: float = 0.0
 
 
 NO_PACE = ObservedPace()
 
 
-class EngineModel:
-    """One node's model of the engines of a pool, from its own turns and the leader's reports."""
+class EngineLatencyModel:
+    """One node's latency model of the engines of a pool.
+
+    It learns from the node's own turns and from the profiles that the ledger's leader reports.
+    """
 
     def __init__(self, prior: ModelPrior = DEFAULT_PRIOR) -> None:
         """Start from the prior."""
@@ -177,92 +187,101 @@
         self._profiles: dict[str, EngineProfile] = {}
         self._turns_observed = 0
         self._reference_pace = 0.0
-        self._own_usual_pace = 0.0
-        self._told_usual_pace = 0.0
+        self._own_typical_pace = 0.0
+        self._reported_typical_pace = 0.0
         self.events = prior.events
 
     @property
     def prefill_seconds_per_token(self) -> float:
         """Seconds to prefill a prompt token."""
-        return self._usual_relative_pace * self._prefill_fit.slope
+        return self._typical_relative_pace * self._prefill_fit.slope
 
     @property
-    def usual_seconds(self) -> float:
+    def typical_turn_seconds(self) -> float:
         """Seconds of an average turn that runs alone and has its prompt cached."""
-        return self._usual_relative_pace * (
+        return self._typical_relative_pace * (
             self._prefill_fit.intercept + self.events * self._interval_fit.intercept
         )
 
-    def slowdown_factor(self, engine_id: str, now: float, told: ToldProfile | None = None) -> float:
-        """Return an engine's baseline pace as a multiple of the pool's usual one."""
-        return self._baseline_pace(engine_id, now, told) / self._usual_pace
+    def slowdown_factor(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None = None
+    ) -> float:
+        """Return an engine's baseline pace as a multiple of the pool's typical one."""
+        return self._baseline_pace(engine_id, now, reported_profile) / self._typical_pace
 
-    def take_usual(self, seconds: float) -> None:
-        """Set the usual pace of the pool's engines as reported by the leader; 0 if unknown."""
-        self._told_usual_pace = seconds
+    def set_typical_pace(self, seconds: float) -> None:
+        """Set the typical pace of the pool's engines, from the leader's profiles; 0 if unknown."""
+        self._reported_typical_pace = seconds
         self._set_reference_pace(seconds)
 
     def observe(
-        self, turn: ServedTurn, now: float, told: ToldProfile | None = None
+        self, turn: ServedTurn, now: float, reported_profile: ReportedProfile | None = None
     ) -> ObservedPace:
-        """Learn from a turn that ended now; ``told`` is the leader's profile of its engine."""
+        """Learn from a turn that ended now.
+
+        ``reported_profile`` is the profile of its engine that the ledger's leader reported.
+        """
         self.events += EVENTS_WEIGHT * (turn.events - self.events)
         if turn.event_seconds is None:
-            self._observe_prefill(turn, now, told)
+            self._observe_prefill(turn, now, reported_profile)
             return NO_PACE
         event_seconds = max(MIN_SECONDS, turn.event_seconds)
-        alone_seconds = event_seconds / self._load_slowdown(turn.beside)
-        slowness = self._slowness_ratio(alone_seconds)
-        self._set_reference_pace(alone_seconds)
+        pace_seconds = event_seconds / self._load_slowdown(turn.concurrent_turns)
+        slowness = self._slowness_ratio(pace_seconds)
+        self._set_reference_pace(pace_seconds)
         profile = self._profiles.setdefault(turn.engine_id, EngineProfile())
-        profile.note_pace(alone_seconds, now)
-        self._update_own_usual_pace(profile.pace(now).seconds)
+        profile.note_pace(pace_seconds, now)
+        self._update_own_typical_pace(profile.pace(now).seconds)
         self._turns_observed += 1
-        self._observe_prefill(turn, now, told)
-        relative = self._relative_pace(turn.engine_id, now, told)
-        self._interval_fit.observe(turn.beside, event_seconds / relative)
+        self._observe_prefill(turn, now, reported_profile)
+        relative = self._relative_pace(turn.engine_id, now, reported_profile)
+        self._interval_fit.observe(turn.concurrent_turns, event_seconds / relative)
         is_fit_ready = self._turns_observed >= MIN_TURNS
-        return ObservedPace(slowness=slowness, alone_seconds=alone_seconds if is_fit_ready else 0.0)
+        return ObservedPace(slowness=slowness, pace_seconds=pace_seconds if is_fit_ready else 0.0)
 
     def predict(
         self,
         engine_id: str,
         *,
-        unread: int,
-        beside: int,
+        uncached_tokens: int,
+        concurrent_turns: int,
         now: float,
-        told: ToldProfile | None = None,
-        told_slowness: float = 1.0,
+        reported_profile: ReportedProfile | None = None,
+        reported_slowness: float = 1.0,
         hinted_events: float | None = None,
     ) -> Prediction:
         """Return what a turn costs at an engine.
 
         Args:
             engine_id: The engine.
-            unread: Prompt tokens that it would have to prefill.
-            beside: Turns in progress there.
+            uncached_tokens: Prompt tokens that it would have to prefill.
+            concurrent_turns: Turns in progress there.
             now: When the turn would be sent.
-            told: The engine's profile as reported by the leader; None if it reported none.
-            told_slowness: Slowness that the leader reported, for leaders that report no profiles.
+            reported_profile: The engine's profile as reported by the ledger's leader; None if it
+                reported none.
+            reported_slowness: Slowness that the ledger's leader reported, for leaders that report
+                no profiles.
             hinted_events: The caller's estimate of the turn's events, limited by
                 :data:`MAX_HINT_FACTOR`.
         """
         events = self._expected_events(hinted_events)
-        relative = self._current_relative_pace(engine_id, now, told, told_slowness)
-        prefill_seconds = relative * self._prefill_fit.slope * unread
-        decode_seconds = relative * events * self._interval_fit.predict(beside)
+        relative = self._current_relative_pace(engine_id, now, reported_profile, reported_slowness)
+        prefill_seconds = relative * self._prefill_fit.slope * uncached_tokens
+        decode_seconds = relative * events * self._interval_fit.predict(concurrent_turns)
         slowdown_seconds = relative * events * self._interval_fit.slope
         seconds = relative * self._prefill_fit.intercept + prefill_seconds + decode_seconds
-        return Prediction(seconds, beside * (prefill_seconds + slowdown_seconds))
+        return Prediction(seconds, concurrent_turns * (prefill_seconds + slowdown_seconds))
 
     @property
-    def _usual_pace(self) -> float:
-        """Seconds between the events of a turn that runs alone at a usual engine."""
-        return self._told_usual_pace or self._own_usual_pace or self._interval_fit.predict(0.0)
+    def _typical_pace(self) -> float:
+        """Seconds between the events of a turn that runs alone at an engine of typical pace."""
+        return (
+            self._reported_typical_pace or self._own_typical_pace or self._interval_fit.predict(0.0)
+        )
 
     @property
-    def _usual_relative_pace(self) -> float:
-        return self._usual_pace / self._reference_pace if self._reference_pace else 1.0
+    def _typical_relative_pace(self) -> float:
+        return self._typical_pace / self._reference_pace if self._reference_pace else 1.0
 
     def _set_reference_pace(self, seconds: float) -> None:
         """Set the pace that the fits refer to, unless it is set already.
@@ -272,46 +291,56 @@
         """
         self._reference_pace = self._reference_pace or seconds
 
-    def _load_slowdown(self, beside: float) -> float:
+    def _load_slowdown(self, concurrent_turns: float) -> float:
         """Return the factor by which concurrent turns slow a turn down."""
-        return self._interval_fit.predict(beside) / self._interval_fit.predict(0.0)
+        return self._interval_fit.predict(concurrent_turns) / self._interval_fit.predict(0.0)
 
-    def _slowness_ratio(self, alone_seconds: float) -> float:
-        ratio = alone_seconds / self._usual_pace
+    def _slowness_ratio(self, pace_seconds: float) -> float:
+        ratio = pace_seconds / self._typical_pace
         return min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
 
-    def _update_own_usual_pace(self, pace: float) -> None:
-        weight = max(USUAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
-        self._own_usual_pace += weight * (pace - self._own_usual_pace)
+    def _update_own_typical_pace(self, pace: float) -> None:
+        weight = max(TYPICAL_PACE_WEIGHT, 1.0 / (self._turns_observed + 1))
+        self._own_typical_pace += weight * (pace - self._own_typical_pace)
 
-    def _observe_prefill(self, turn: ServedTurn, now: float, told: ToldProfile | None) -> None:
-        relative = self._relative_pace(turn.engine_id, now, told)
-        self._prefill_fit.observe(turn.unread, turn.first_event_seconds / relative)
+    def _observe_prefill(
+        self, turn: ServedTurn, now: float, reported_profile: ReportedProfile | None
+    ) -> None:
+        relative = self._relative_pace(turn.engine_id, now, reported_profile)
+        self._prefill_fit.observe(turn.uncached_tokens, turn.first_event_seconds / relative)
 
-    def _baseline_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
+    def _baseline_pace(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None
+    ) -> float:
         profile = self._profiles.get(engine_id)
         own = profile.pace(now) if profile is not None else UNKNOWN_PACE
-        other = told.pace(now) if told is not None else UNKNOWN_PACE
-        return merge_paces(own, other, self._usual_pace)
+        other = reported_profile.pace(now) if reported_profile is not None else UNKNOWN_PACE
+        return merge_paces(own, other, self._typical_pace)
 
-    def _relative_pace(self, engine_id: str, now: float, told: ToldProfile | None) -> float:
+    def _relative_pace(
+        self, engine_id: str, now: float, reported_profile: ReportedProfile | None
+    ) -> float:
         """Return an engine's baseline pace as a multiple of the reference pace."""
         if not self._reference_pace:
             return 1.0
-        return self._baseline_pace(engine_id, now, told) / self._reference_pace
+        return self._baseline_pace(engine_id, now, reported_profile) / self._reference_pace
 
     def _current_relative_pace(
-        self, engine_id: str, now: float, told: ToldProfile | None, told_slowness: float
+        self,
+        engine_id: str,
+        now: float,
+        reported_profile: ReportedProfile | None,
+        reported_slowness: float,
     ) -> float:
-        """Return an engine's relative pace including its current spell."""
-        relative = self._relative_pace(engine_id, now, told)
-        if told is not None:
-            return relative * told.spell_at(now)
+        """Return an engine's relative pace including its temporary slowdown."""
+        relative = self._relative_pace(engine_id, now, reported_profile)
+        if reported_profile is not None:
+            return relative * reported_profile.spell_at(now)
         profile = self._profiles.get(engine_id)
         relative *= profile.spell(now) if profile is not None else 1.0
-        if told_slowness <= 1:
+        if reported_slowness <= 1:
             return relative
-        return max(relative, told_slowness * self._usual_relative_pace)
+        return max(relative, reported_slowness * self._typical_relative_pace)
 
     def _expected_events(self, hinted: float | None) -> float:
         if hinted is None:
--- a/src/yokeline/scheduling/engine_profiles.py
+++ b/src/yokeline/scheduling/engine_profiles.py
@@ -1,9 +1,10 @@
-"""Speed of one engine process: a baseline pace, and temporary deviations called spells.
+"""Speed of one engine process: a baseline pace, and temporary deviations from it.
 
-The pace is the interval, in seconds, between two events of a turn that runs alone. A node divides a
-measured interval by the slowdown that its own fit attributes to concurrent turns, so paces measured
-by different nodes are comparable. Ratios to a node's usual pace would not be, since each node uses
-different engines.
+The pace is the interval, in seconds, between two events of a turn that runs alone. A spell is a
+temporary slowdown, or speedup, relative to the baseline pace. A node divides a measured interval by
+the slowdown that its own fit attributes to concurrent turns, so paces measured by different nodes
+are comparable. Ratios to a node's typical pace would not be, since each node uses different
+engines.
 
 The baseline is the median of samples taken far enough apart that one spell affects few of them. A
 spell is reported once several consecutive samples lie on the same side of the baseline; a shorter
@@ -22,25 +23,25 @@
 from yokeline.scheduling.medians import median
 
 SAMPLE_SECONDS = 0.5
-"""Turns that end within this time are averaged into one sample, so that a short spell affects one
-sample only."""
+"""Turns that end within this time are averaged into one sample, so that a short temporary slowdown
+affects one sample only."""
 MAX_SAMPLES = 15
 """Samples kept; the median follows a permanent change after half of them."""
 SPELL_FADE_SECONDS = 1.0
-"""Time constant with which a spell decays without new turns."""
+"""Time constant with which the factor of a temporary slowdown decays without new turns."""
 SPELL_SAMPLES = 3
-"""Consecutive samples, all slower or all faster than the baseline, that make a spell."""
+"""Consecutive samples, all slower or all faster than the baseline, that count as a temporary
+slowdown or speedup."""
 MIN_SAMPLES_FOR_SPELL = 2 * SPELL_SAMPLES + 1
-"""Below this number of samples a spell would determine the median itself."""
+"""Below this number of samples, a temporary slowdown would determine the median itself."""
 MAX_SPELL_FACTOR = 3.0
-"""Bound on the factor of a spell, and the inverse of its lower bound, so that a stalled process is
-not taken for a slow engine."""
+"""Upper bound on the factor of a temporary slowdown, and the inverse of the lower bound."""
 SILENCE_FADE_SECONDS = 30.0
 """Time constant with which the weight of samples decays without new turns."""
 PRIOR_SAMPLES = 0.5
-"""Weight of the prior that an engine is as fast as usual in its pool."""
-USUAL_PACE_TOLERANCE = 0.05
-"""Relative difference up to which a pace counts as the usual one. Otherwise all nodes would choose
+"""Weight of the prior that an engine has the pool's typical pace."""
+TYPICAL_PACE_TOLERANCE = 0.05
+"""Relative difference up to which a pace counts as the typical one, so that nodes do not all choose
 the engine that measurement noise favours."""
 FAULT_WEIGHT = 0.15
 """Weight of one request in an engine's failure rate."""
@@ -52,7 +53,7 @@
     """A baseline pace and its weight.
 
     Attributes:
-        seconds: Interval between two events of a turn that runs alone; 0 without samples.
+        seconds: The pace; 0 without samples.
         samples: Weight, as a number of samples.
     """
 
@@ -69,43 +70,45 @@
 
 
 def faded_spell(spell: float, age: float) -> float:
-    """Return the factor of a spell, decayed towards 1, ``age`` seconds after its last turn."""
+    """Return the factor of a temporary slowdown, decayed towards 1 for ``age`` seconds."""
     remaining = math.exp(-max(0.0, age) / SPELL_FADE_SECONDS)
     return remaining * spell + (1.0 - remaining)
 
 
-class ToldProfile(msgspec.Struct, frozen=True, kw_only=True):
+class ReportedProfile(msgspec.Struct, frozen=True, kw_only=True):
     """An engine's profile as reported by another process.
 
     Attributes:
-        spell: Current pace as a multiple of the baseline; 1 outside of a spell.
-        told_at: When the report arrived, by this process's clock.
+        pace_seconds: Baseline pace; 0 if unknown.
+        samples: Weight of the baseline pace at the time of the report.
+        spell: Current pace as a multiple of the baseline; 1 without a temporary slowdown.
+        reported_at: When the report arrived, by this process's clock.
     """
 
     pace_seconds: float
     samples: float
     spell: float
-    told_at: float
+    reported_at: float
 
     def pace(self, now: float) -> Pace:
         """Return the baseline pace with its decayed weight."""
-        return Pace(self.pace_seconds, faded_samples(self.samples, now - self.told_at))
+        return Pace(self.pace_seconds, faded_samples(self.samples, now - self.reported_at))
 
     def spell_at(self, now: float) -> float:
-        """Return the decayed factor of the spell."""
-        return faded_spell(self.spell, now - self.told_at)
+        """Return the decayed factor of the temporary slowdown."""
+        return faded_spell(self.spell, now - self.reported_at)
 
 
 class EngineProfile:
     """Pace and failure rate of one engine process, as observed here.
 
     Attributes:
-        failed: Failure rate of its latest requests.
+        failure_rate: Failure rate of its latest requests.
     """
 
     def __init__(self) -> None:
         """Create a profile without observations."""
-        self.failed = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
+        self.failure_rate = FadingAverage(0.0, FAULT_WEIGHT, FAULT_FADE_SECONDS)
         self._samples: list[float] = []
         self._sample_started_at = -math.inf
         self._last_turn_at = -math.inf
@@ -115,7 +118,7 @@
 
     def note_outcome(self, now: float, *, failed: bool) -> None:
         """Add the outcome of a request to the failure rate."""
-        self.failed.observe(float(failed), now)
+        self.failure_rate.observe(float(failed), now)
 
     def note_pace(self, seconds: float, now: float) -> None:
         """Add a turn's interval between events, with the effect of concurrent turns removed."""
@@ -155,23 +158,23 @@
         del self._samples[:-MAX_SAMPLES]
 
 
-def merge_paces(own: Pace, told: Pace, usual: float) -> float:
+def merge_paces(own: Pace, reported: Pace, typical: float) -> float:
     """Return the baseline pace that follows from own samples and a reported profile.
 
-    The result is a geometric mean, weighted by samples; the pool's usual pace counts as
-    :data:`PRIOR_SAMPLES`. A result within :data:`USUAL_PACE_TOLERANCE` of the usual pace is
-    replaced by it.
+    The result is a geometric mean, weighted by samples; the pool's typical pace counts as
+    :data:`PRIOR_SAMPLES`. A result within :data:`TYPICAL_PACE_TOLERANCE` of the typical pace
+    is replaced by it.
     """
     weight, log_ratio_sum = PRIOR_SAMPLES, 0.0
-    for pace in (own, told):
+    for pace in (own, reported):
         if pace.seconds > 0:
             weight += pace.samples
-            log_ratio_sum += pace.samples * math.log(pace.seconds / usual)
+            log_ratio_sum += pace.samples * math.log(pace.seconds / typical)
     ratio = math.exp(log_ratio_sum / weight)
-    return usual if abs(ratio - 1) < USUAL_PACE_TOLERANCE else usual * ratio
+    return typical if abs(ratio - 1) < TYPICAL_PACE_TOLERANCE else typical * ratio
 
 
-def usual_pace(paces: Iterable[float]) -> float:
+def typical_pace(paces: Iterable[float]) -> float:
     """Return the median of the known paces (those above 0) of a pool; 0 if none is known."""
     known = [pace for pace in paces if pace > 0]
     return median(known) if known else 0.0
--- a/src/yokeline/scheduling/program_sizes.py
+++ b/src/yokeline/scheduling/program_sizes.py
@@ -1,5 +1,6 @@
-"""Sizes of programs of one kind, learned from the programs that ended.
+"""Sizes of programs, learned for each kind of program from those that ended.
 
+The kinds are those of :mod:`yokeline.ledger.claims`. A size is a number of requests and a duration.
 Sizes vary, and a few programs loop without end. So a size has a mean and a mean deviation, recent
 programs weigh more, and the weight of an outlier is bounded.
 """
@@ -13,13 +14,13 @@
 
 from yokeline.scheduling.medians import median
 
-LEAST_PROGRAMS = 5
-"""Programs that must have ended before a size is known; the median of five tolerates two that
-loop."""
+MIN_PROGRAMS = 5
+"""Programs that must have ended before a size is known."""
 AVERAGING_PROGRAMS = 40
 """Programs averaged with equal weight at first; later the window of the moving average."""
 OUTLIER_FACTOR = 4.0
-"""A program counts for at most this multiple of the usual size."""
+"""A program counts for at most this multiple of the mean size, or of the median size among
+the first :data:`MIN_PROGRAMS`."""
 MIN_DURATION_SECONDS = 0.05
 """Minimum duration, for programs that send all their requests at once."""
 
@@ -83,7 +84,7 @@
             self._size = _updated(self._size, sample, weight)
             return
         self._initial_samples.append(sample)
-        if len(self._initial_samples) >= LEAST_PROGRAMS:
+        if len(self._initial_samples) >= MIN_PROGRAMS:
             self._size = _initial_size(self._initial_samples)
             self._initial_samples.clear()
 
--- a/src/yokeline/server/run_presence.py
+++ b/src/yokeline/server/run_presence.py
@@ -1,4 +1,4 @@
-"""Answers the cache steward: is a root run still needed, as the leader of its shard says."""
+"""Answers the cache reconciler: is a root run still needed, as the leader of its shard says."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from yokeline.errors import ErrorKind, YokelineError
 from yokeline.identifiers import RunId, shard_of_run
 from yokeline.runs.model import FINAL_STATUSES
-from yokeline.scheduling.steward import PresenceHandler, RunPresence
+from yokeline.scheduling.cache_reconciler import PresenceHandler, RunPresence
 from yokeline.shards.operations import OperationResult, ReadRun, RunResult
 from yokeline.shards.router import ShardRouter
 
@@ -15,7 +15,7 @@
 
 
 class RunPresenceReader:
-    """Reads runs, linearizable and without their history, for the cache steward."""
+    """Reads runs, linearizable and without their history, for the cache reconciler."""
 
     def __init__(self, router: ShardRouter, shard_count: int) -> None:
         """Create a reader over a node's router."""
--- a/tests/property/test_program_admission.py
+++ b/tests/property/test_program_admission.py
@@ -51,7 +51,7 @@
 STARVATION_SECONDS = 20.0
 """A waiting kind is preferred after 2 s. Claims are returned 2 s after a program's end, or 10 s
 after it hangs. Callers retry up to 4 s later and a pause takes 2 s. A new leader does not know
-which kinds were passed over."""
+which kinds of programs have been refused."""
 LEADER_CHANGE_PROBABILITIES = (0.0, 0.002, 0.01)
 """Probability of a leader change per step; each simulation draws one."""
 ROUNDING = 1e-6
@@ -411,7 +411,7 @@
             found: Admission | None = original(book, tenant, kind, *others)
             if found is None or kind == "small":
                 return found
-            return msgspec.structs.replace(found, is_let_in=False, retry_after=1.0)
+            return msgspec.structs.replace(found, is_admitted=False, retry_after=1.0)
 
         with patch.object(ClaimTracker, "decide", decided):
             self.assertTrue(self.caught("starved"))
--- a/tests/property/test_room_waits.py
+++ b/tests/property/test_room_waits.py
@@ -8,12 +8,12 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from yokeline.scheduling.return_times import (
+from yokeline.scheduling.retry_delays import (
     HONOURED_SHARE,
     MAX_DELAY_SECONDS,
-    Returning,
-    return_after,
-    return_after_outage,
+    RefusedCaller,
+    retry_delay,
+    retry_delay_after_outage,
 )
 from yokeline.scheduling.room_waits import PoolRoom, RoomNeed, decide, expected_wait, longest_wait
 
@@ -39,7 +39,7 @@
     error_ratio=st.floats(0.5, 4.0),
 )
 CALLERS = st.builds(
-    Returning,
+    RefusedCaller,
     request_id=st.integers(0, 10_000).map(str),
     has_begun=st.booleans(),
     time_left=st.floats(-1.0, 1000.0),
@@ -55,13 +55,13 @@
     @given(NEEDS, ROOMS)
     def test_no_wait_is_longer_than_the_request_bears(self, need: RoomNeed, room: PoolRoom) -> None:
         decision = decide(need, room)
-        self.assertEqual(decision.bears, longest_wait(need))
-        self.assertGreaterEqual(decision.bears, 0.0)
-        self.assertLessEqual(decision.bears, max(0.0, need.time_left))
+        self.assertEqual(decision.max_wait, longest_wait(need))
+        self.assertGreaterEqual(decision.max_wait, 0.0)
+        self.assertLessEqual(decision.max_wait, max(0.0, need.time_left))
         is_first = need.has_program and not need.has_begun and not need.is_interrupted
         if is_first and need.program_left is not None:
             slack = need.program_left * (1.0 - need.program_share)
-            self.assertLessEqual(decision.bears, max(0.0, slack) + ROUNDING)
+            self.assertLessEqual(decision.max_wait, max(0.0, slack) + ROUNDING)
 
     @EXAMPLES
     @given(NEEDS, ROOMS, st.floats(0.0, 10_000.0))
@@ -88,17 +88,17 @@
     @EXAMPLES
     @given(CALLERS, st.floats(0.0, 1000.0))
     def test_they_are_within_what_a_caller_honours(
-        self, caller: Returning, expected: float
+        self, caller: RefusedCaller, expected: float
     ) -> None:
         honoured = max(0.0, HONOURED_SHARE * caller.time_left)
-        for seconds in (return_after(caller, expected), return_after_outage(caller)):
+        for seconds in (retry_delay(caller, expected), retry_delay_after_outage(caller)):
             self.assertGreaterEqual(seconds, 0.0)
             self.assertLessEqual(seconds, min(MAX_DELAY_SECONDS, honoured) + ROUNDING)
 
     @EXAMPLES
     @given(CALLERS, st.floats(0.0, 1000.0), st.floats(0.0, 1000.0))
     def test_a_longer_queue_brings_nobody_back_sooner(
-        self, caller: Returning, expected: float, more: float
+        self, caller: RefusedCaller, expected: float, more: float
     ) -> None:
-        sooner, later = return_after(caller, expected), return_after(caller, expected + more)
+        sooner, later = retry_delay(caller, expected), retry_delay(caller, expected + more)
         self.assertGreaterEqual(later + ROUNDING, sooner)
--- a/tests/unit/scheduling/profile_replay.py
+++ b/tests/unit/scheduling/profile_replay.py
@@ -1,4 +1,4 @@
-"""Replays turns at engines of different speeds and compares predictors of their duration.
+"""Replays turns at engines of different slowdowns and compares predictors of their duration.
 
 Each turn goes to a random engine, so all predictors see the same turns. Each predictor has its own
 set of nodes and its own leader.
@@ -26,15 +26,15 @@
 from yokeline.scheduling.engine_model import (
     DEFAULT_PRIOR,
     OUTLIER_FACTOR,
-    EngineModel,
+    EngineLatencyModel,
     LinearFit,
     ServedTurn,
 )
-from yokeline.scheduling.engine_profiles import ToldProfile, usual_pace
+from yokeline.scheduling.engine_profiles import ReportedProfile, typical_pace
 
 NODES = 72
 ENGINES = 24
-SPEEDS = (0.7, 0.7, 1.7)
+SLOWDOWNS = (0.7, 0.7, 1.7)
 SPELL_SHARE = 0.15
 SPELL_SLOWNESS = 2.5
 SPELL_SECONDS = 0.6
@@ -52,47 +52,47 @@
     started_at: float
     ended_at: float
     first_event: float
-    unread: int
-    beside: int
+    uncached_tokens: int
+    concurrent_turns: int
 
 
 class Fleet:
-    """Engines, some of which are in a spell of slowness."""
+    """Engines, some of which are temporarily slowed down."""
 
     def __init__(self, seed: int, spell_share: float = SPELL_SHARE) -> None:
         self.random = random.Random(seed)
         self.spell_share = spell_share
-        self.speeds = {f"e{number:02}": SPEEDS[number % 3] for number in range(ENGINES)}
+        self.slowdowns = {f"e{number:02}": SLOWDOWNS[number % 3] for number in range(ENGINES)}
         self._spells: dict[tuple[str, int], bool] = {}
 
     def restart_engines(self, share: float) -> None:
-        """Replace a fraction of the engines, the slowest first, with new ones of random speed."""
-        names = sorted(self.speeds, key=lambda name: -self.speeds[name])
+        """Replace a fraction of the engines, the slowest first, by engines of random slowdown."""
+        names = sorted(self.slowdowns, key=lambda name: -self.slowdowns[name])
         for name in names[: round(share * len(names))]:
-            del self.speeds[name]
-            self.speeds[f"{name}-again"] = self.random.choice(SPEEDS)
+            del self.slowdowns[name]
+            self.slowdowns[f"{name}-again"] = self.random.choice(SLOWDOWNS)
 
     def slowness(self, engine: str, now: float) -> float:
         period = int(now / SPELL_SECONDS)
         key = (engine, period)
         if key not in self._spells:
             self._spells[key] = self.random.random() < self.spell_share
-        return self.speeds[engine] * (SPELL_SLOWNESS if self._spells[key] else 1.0)
+        return self.slowdowns[engine] * (SPELL_SLOWNESS if self._spells[key] else 1.0)
 
-    def serve(self, node: int, engine: str, now: float, beside: int) -> Turn:
-        unread = self.random.choice((200, 500, 1200))
-        at = now + self.slowness(engine, now) * (EVENT_SECONDS + unread * TOKEN_SECONDS)
+    def serve(self, node: int, engine: str, now: float, concurrent_turns: int) -> Turn:
+        uncached_tokens = self.random.choice((200, 500, 1200))
+        at = now + self.slowness(engine, now) * (EVENT_SECONDS + uncached_tokens * TOKEN_SECONDS)
         first = at
         for _ in range(EVENTS - 1):
-            at += self.slowness(engine, at) * EVENT_SECONDS * (1 + 0.01 * beside)
-        return Turn(node, engine, now, at, first - now, unread, beside)
+            at += self.slowness(engine, at) * EVENT_SECONDS * (1 + 0.01 * concurrent_turns)
+        return Turn(node, engine, now, at, first - now, uncached_tokens, concurrent_turns)
 
 
 def served_turn(turn: Turn) -> ServedTurn:
     return ServedTurn(
         engine_id=turn.engine,
-        unread=turn.unread,
-        beside=turn.beside,
+        uncached_tokens=turn.uncached_tokens,
+        concurrent_turns=turn.concurrent_turns,
         first_event_seconds=turn.first_event,
         event_seconds=(turn.ended_at - turn.started_at - turn.first_event) / (EVENTS - 1),
         events=EVENTS,
@@ -104,9 +104,11 @@
 
     def __init__(self) -> None:
         self.errors: list[tuple[float, float]] = []
-        self.leader_is_silent = False
+        self.leader_is_unreachable = False
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         raise NotImplementedError
 
     def observe(self, turn: Turn) -> None:
@@ -127,69 +129,80 @@
         self.factors: list[dict[str, float]] = [{} for _ in range(NODES)]
         self.slowness: dict[str, FadingAverage] = {}
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         reported = 1.0
-        if engine in self.slowness and not self.leader_is_silent:
+        if engine in self.slowness and not self.leader_is_unreachable:
             reported = self.slowness[engine].value(now)
         factor = max(self.factors[node].get(engine, 1.0), reported if reported > 1 else 0.0)
-        decode_seconds = (EVENTS - 1) * self.interval_fits[node].predict(beside)
-        return factor * (self.prefill_fits[node].predict(unread) + decode_seconds)
+        decode_seconds = (EVENTS - 1) * self.interval_fits[node].predict(concurrent_turns)
+        return factor * (self.prefill_fits[node].predict(uncached_tokens) + decode_seconds)
 
     def observe(self, turn: Turn) -> None:
         observed = served_turn(turn)
         assert observed.event_seconds is not None
-        self.prefill_fits[turn.node].observe(turn.unread, turn.first_event)
-        ratio = observed.event_seconds / self.interval_fits[turn.node].predict(turn.beside)
+        self.prefill_fits[turn.node].observe(turn.uncached_tokens, turn.first_event)
+        ratio = observed.event_seconds / self.interval_fits[turn.node].predict(
+            turn.concurrent_turns
+        )
         ratio = min(max(ratio, 1 / OUTLIER_FACTOR), OUTLIER_FACTOR)
-        self.interval_fits[turn.node].observe(turn.beside, observed.event_seconds)
+        self.interval_fits[turn.node].observe(turn.concurrent_turns, observed.event_seconds)
         factor = self.factors[turn.node].get(turn.engine, 1.0)
         self.factors[turn.node][turn.engine] = factor + 0.1 * (ratio - factor)
         average = self.slowness.setdefault(turn.engine, FadingAverage(1.0, 0.15, 4.0))
         average.observe(ratio, turn.ended_at)
 
 
-class ToldProfilePredictor(Predictor):
-    """Uses the profiles reported by the leader, with or without spells."""
+class ReportedProfilePredictor(Predictor):
+    """Uses the profiles reported by the leader, with or without temporary slowdowns."""
 
     def __init__(self, *, with_spell: bool) -> None:
         super().__init__()
-        self.models = [EngineModel() for _ in range(NODES)]
+        self.models = [EngineLatencyModel() for _ in range(NODES)]
         self.leader = TurnsUnderWay()
         self.with_spell = with_spell
-        self.told: list[dict[str, ToldProfile]] = [{} for _ in range(NODES)]
+        self.reported: list[dict[str, ReportedProfile]] = [{} for _ in range(NODES)]
         self._sequence = 0
 
     def receive_leader_report(self, node: int, now: float) -> None:
         """Deliver the leader's report to a node."""
-        if self.leader_is_silent:
+        if self.leader_is_unreachable:
             return
         for item in self.leader.engines(now):
             if item.pace:
-                self.told[node][item.engine_id] = self._profile(item, now)
-        usual = usual_pace(item.pace_seconds for item in self.told[node].values())
-        self.models[node].take_usual(usual)
+                self.reported[node][item.engine_id] = self._profile(item, now)
+        usual = typical_pace(item.pace_seconds for item in self.reported[node].values())
+        self.models[node].set_typical_pace(usual)
 
-    def _profile(self, item: EngineTurns, now: float) -> ToldProfile:
-        return ToldProfile(
+    def _profile(self, item: EngineTurns, now: float) -> ReportedProfile:
+        return ReportedProfile(
             pace_seconds=item.pace * PACE_UNIT_SECONDS,
             samples=item.samples,
             spell=item.spell_percent / PERCENT if self.with_spell else 1.0,
-            told_at=now,
+            reported_at=now,
         )
 
-    def predict(self, node: int, engine: str, unread: int, beside: int, now: float) -> float:
+    def predict(
+        self, node: int, engine: str, uncached_tokens: int, concurrent_turns: int, now: float
+    ) -> float:
         self.receive_leader_report(node, now)
-        told = self.told[node].get(engine)
+        reported = self.reported[node].get(engine)
         model = self.models[node]
         return model.predict(
-            engine, unread=unread, beside=beside, now=now, told=told, hinted_events=EVENTS - 1
+            engine,
+            uncached_tokens=uncached_tokens,
+            concurrent_turns=concurrent_turns,
+            now=now,
+            reported_profile=reported,
+            hinted_events=EVENTS - 1,
         ).seconds
 
     def observe(self, turn: Turn) -> None:
-        model, told = self.models[turn.node], self.told[turn.node].get(turn.engine)
-        observed = model.observe(served_turn(turn), turn.ended_at, told)
+        model, reported = self.models[turn.node], self.reported[turn.node].get(turn.engine)
+        observed = model.observe(served_turn(turn), turn.ended_at, reported)
         self._sequence += 1
-        pace = round(observed.alone_seconds / PACE_UNIT_SECONDS)
+        pace = round(observed.pace_seconds / PACE_UNIT_SECONDS)
         report = NodeTurns(
             self._sequence, (), (TurnServed(turn.engine, False, observed.slowness, pace=pace),)
         )
@@ -206,7 +219,7 @@
 ) -> None:
     """Serve turns for some seconds, each predicted by every predictor."""
     under_way: list[tuple[float, int, Turn]] = []
-    running = dict.fromkeys(fleet.speeds, 0)
+    running = dict.fromkeys(fleet.slowdowns, 0)
     now, number = begin, 0
     while now < begin + seconds:
         now += fleet.random.expovariate(TURNS_PER_SECOND)
@@ -216,12 +229,14 @@
             running[turn.engine] -= 1
             for predictor in predictors.values():
                 predictor.observe(turn)
-        node, engine = fleet.random.randrange(NODES), fleet.random.choice(sorted(fleet.speeds))
+        node, engine = fleet.random.randrange(NODES), fleet.random.choice(sorted(fleet.slowdowns))
         turn = fleet.serve(node, engine, now, running.get(engine, 0))
         running[engine] = running.get(engine, 0) + 1
         number += 1
         heapq.heappush(under_way, (turn.ended_at, number, turn))
         for predictor in predictors.values():
-            predicted = predictor.predict(node, engine, turn.unread, turn.beside, now)
+            predicted = predictor.predict(
+                node, engine, turn.uncached_tokens, turn.concurrent_turns, now
+            )
             actual = turn.ended_at - turn.started_at
             predictor.errors.append((now, abs(predicted - actual) / actual))
