--- a/src/yokeline/registry/client.py
+++ b/src/yokeline/registry/client.py
@@ -99,7 +99,7 @@
                 "silent_seconds": round(now - watch.heard_at, 3) if watch.complete else None,
             }
             effects.append(LogRecord(event="registry_behind", fields=fields))
-            abandoned = watch.list_anew(now)
+            abandoned = watch.relist(now)
             if abandoned is not None:
                 effects.append(HttpCancel(abandoned))
         return bool(behind), effects
--- a/tests/unit/registry/test_watch.py
+++ b/tests/unit/registry/test_watch.py
@@ -16,8 +16,8 @@
     Written,
 )
 from yokeline.registry.watch import (
-    MAX_CHANGES_KEPT,
-    START_PAUSE_SECONDS,
+    FIRST_WATCH_DELAY_SECONDS,
+    MAX_RETAINED_CHANGES,
     Changes,
     PrefixWatch,
     Whole,
@@ -99,7 +99,7 @@
         self.answer(Page((item("p/a", 3),), False, 10))
         listed_at = self.now
         self.call()
-        self.assertAlmostEqual(self.now - listed_at, START_PAUSE_SECONDS)
+        self.assertAlmostEqual(self.now - listed_at, FIRST_WATCH_DELAY_SECONDS)
         self.store.next_answer = HistoryLost()
         pending = RequestId(f"watch/{self.watch.prefix}/2")
         self.watch.on_response(HttpResponse(request=pending, status=410), self.now)
@@ -122,7 +122,7 @@
         self.assertFalse(self.watch.is_behind(12, self.now))
         self.assertFalse(self.watch.is_behind(12, self.now + 0.3))
         self.assertTrue(self.watch.is_behind(12, self.now + 0.5))
-        self.assertEqual(self.watch.list_anew(self.now), waiting.request)
+        self.assertEqual(self.watch.relist(self.now), waiting.request)
         self.assertEqual(self.call().path, "list p/")
 
     def test_a_change_that_comes_in_time_needs_no_new_list(self) -> None:
@@ -245,7 +245,7 @@
         client.take(HttpResponse(request=first[0].request, status=200), 0.0)
         calls = [
             call
-            for now in (0.0, START_PAUSE_SECONDS)
+            for now in (0.0, FIRST_WATCH_DELAY_SECONDS)
             for call in client.tick(now)
             if isinstance(call, HttpRequest)
         ]
@@ -259,7 +259,7 @@
         for found in (item("p/other", 3), item("p/me", 3, b"older")):
             client, calls = self.client(found)
             self.assertIn("write p/me None", calls)
-            self.assertEqual(client.tick(START_PAUSE_SECONDS + 0.1), [])
+            self.assertEqual(client.tick(FIRST_WATCH_DELAY_SECONDS + 0.1), [])
 
 
 class ReadFromOthers(Watches):
@@ -317,7 +317,7 @@
         self.assertEqual(everything.items, ())
         call = source.tick(1.0)
         assert call is not None
-        many = tuple(item(f"p/{number}", 11 + number) for number in range(MAX_CHANGES_KEPT + 1))
+        many = tuple(item(f"p/{number}", 11 + number) for number in range(MAX_RETAINED_CHANGES + 1))
         self.store.next_answer = WatchEvents(many, many[-1].revision)
         source.on_response(HttpResponse(request=call.request, status=200), 1.0)
         self.assertIsNone(source.changes_after(10))
@@ -334,7 +334,7 @@
 
     def test_a_list_that_is_older_than_what_was_taken_over_removes_nothing(self) -> None:
         watch = self.listed(revision=10)
-        watch.list_anew(1.0)
+        watch.relist(1.0)
         watch.adopt_changes(Changes(10, 14, (item("p/new", 14),)), 1.0)
         call = watch.tick(1.0)
         assert call is not None
