--- a/src/yokeline/registry/nodes.py
+++ b/src/yokeline/registry/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes as they register themselves in the key-value service."""
+"""Registration of nodes in the key-value service: keys and documents."""
 
 from __future__ import annotations
 
@@ -16,29 +16,32 @@
 from yokeline.registry.protocol import StoredItem
 
 OWN_PREFIX = "yokeline/"
-"""Everything that nodes write for each other."""
+"""Prefix of all keys that nodes write for each other."""
 NODE_PREFIX = "yokeline/nodes/"
+"""Prefix of the nodes' records, by node name."""
 FOUNDERS_KEY = "yokeline/ledger/founder"
-"""The replicas with which the ledger's group begins; written once, if it is absent."""
+"""Key of the replicas that bootstrap the ledger's group; written only if absent."""
 SURVIVOR_PREFIX = "yokeline/ledger/survivor/"
-"""Below it, by index of a configuration of two members: the one that goes on without the other."""
+"""Prefix of the replicas that continue a group of two members without the other member, by index
+of the group's configuration."""
 
-_HOST = re.compile(r"[0-9A-Za-z.:_-]+")
-"""An address or a host name; anything else is no place to send to."""
+_HOST_PATTERN = re.compile(r"[0-9A-Za-z.:_-]+")
+"""Characters of IP addresses and host names."""
 
 
 class NodeRole(enum.Enum):
-    """What a node does."""
+    """Role of a node."""
 
     EDGE = "edge"
     STORAGE = "storage"
 
 
 class NodeRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Where a node listens for other nodes.
+    """A node and the address at which it listens for other nodes.
 
     Attributes:
-        replica: Its disk (storage), or its name, which a new start does not change.
+        replica: Replica id, which survives restarts: that of the disk for a storage node, the
+            node's name for an edge node.
     """
 
     name: NodeName
@@ -49,31 +52,31 @@
 
 
 def encode_founders(founders: tuple[ReplicaId, ...]) -> bytes:
-    """Return the document that names the founders (an id holds no space)."""
+    """Return the founders' ids, separated by spaces; an id contains none."""
     return " ".join(founders).encode()
 
 
 def decode_founders(value: bytes) -> tuple[ReplicaId, ...]:
-    """Return the founders in a document; names that are no text belong to no replica."""
+    """Return the founders in a document; invalid UTF-8 is replaced and matches no replica."""
     return tuple(ReplicaId(name) for name in value.decode(errors="replace").split())
 
 
 def storage_nodes(items: Iterable[StoredItem]) -> list[NodeRecord]:
-    """Return the storage nodes among the nodes' items."""
+    """Return the valid records of storage nodes in the nodes' items."""
     return [record for record in read_nodes(items) if record.role is NodeRole.STORAGE]
 
 
 def read_nodes(items: Iterable[StoredItem]) -> list[NodeRecord]:
-    """Return the records in the nodes' items; one that cannot be read is left out."""
+    """Return the valid records in the nodes' items."""
     decoded = (read_node(item) for item in items)
     return [result.unwrap() for result in decoded if isinstance(result, Success)]
 
 
 def read_node(item: StoredItem) -> Result[NodeRecord, YokelineError]:
-    """Return the record in a node's item; it stands under the node's own name."""
+    """Return the record in a node's item; the key must match the record's name."""
     read = decode_node(item.value or b"")
     if isinstance(read, Success) and item.key != node_key(read.unwrap().name):
-        return Failure(_unreadable("it names another node"))
+        return Failure(_invalid_record_error("the key does not match the node's name"))
     return read
 
 
@@ -92,21 +95,21 @@
     try:
         record = msgspec.json.decode(value, type=NodeRecord)
     except (msgspec.DecodeError, RecursionError) as error:
-        return Failure(_unreadable(str(error)))
-    if not _is_usable(record.address):
-        return Failure(_unreadable("it has no address"))
+        return Failure(_invalid_record_error(str(error)))
+    if not _is_valid_address(record.address):
+        return Failure(_invalid_record_error("the address has an invalid host or port"))
     return Success(record)
 
 
-def _is_usable(address: Address) -> bool:
-    """Return whether a connection to an address may be tried."""
-    is_host = _HOST.fullmatch(address.host) is not None
+def _is_valid_address(address: Address) -> bool:
+    """Return whether an address has a well-formed host and a port in range."""
+    is_host = _HOST_PATTERN.fullmatch(address.host) is not None
     return is_host and 0 < address.port <= MAX_PORT
 
 
-def _unreadable(reason: str) -> YokelineError:
+def _invalid_record_error(reason: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_REQUEST,
-        message=f"a node's record cannot be read: {reason}",
-        remedy="run releases of yokeline that follow each other on all nodes",
+        message=f"invalid node record: {reason}",
+        remedy="run the same or consecutive releases of yokeline on all nodes",
     )
