--- a/src/yokeline/registry/__init__.py
+++ b/src/yokeline/registry/__init__.py
@@ -1,1 +1,1 @@
-"""What a node learns from the key-value service: configuration, engines, other nodes."""
+"""Registry of the configuration, the engines and the nodes, kept in the key-value service."""
--- a/src/yokeline/registry/formats.py
+++ b/src/yokeline/registry/formats.py
@@ -1,4 +1,4 @@
-"""What a deployment keeps in the key-value service, and how it is spelled there."""
+"""Interface to a deployment's documents in the key-value service."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class RetireOrder(msgspec.Struct, frozen=True):
-    """A storage node is to be emptied.
+    """An order to retire a storage node.
 
     Attributes:
-        node: Its name.
-        seconds: Time within which that is wanted.
+        node: Name of the node.
+        seconds: Requested duration of the retirement.
     """
 
     node: str
@@ -24,24 +24,24 @@
 
 
 class DeploymentFormats(Protocol):
-    """Keys and documents of a deployment."""
+    """Keys of a deployment's documents, and their decoders."""
 
     configuration_key: str
     engine_prefix: str
     retire_prefix: str
 
     def read_routing(self, value: bytes) -> Result[RoutingTable, YokelineError]:
-        """Return the configuration in a document."""
+        """Decode the configuration."""
         ...
 
     def read_engine(self, key: str, value: bytes) -> Result[Engine, YokelineError]:
-        """Return the engine in a document."""
+        """Decode an engine's entry."""
         ...
 
     def read_retire_order(self, key: str, value: bytes) -> Result[RetireOrder, YokelineError]:
-        """Return the order in a document."""
+        """Decode a retire order."""
         ...
 
     def retire_status(self, node: str, *, completed: bool) -> tuple[str, bytes]:
-        """Return key and document that tell how far an order has come."""
+        """Return the key and the document that report the progress of a retire order."""
         ...
--- a/src/yokeline/registry/protocol.py
+++ b/src/yokeline/registry/protocol.py
@@ -1,4 +1,4 @@
-"""The key-value service as the registry sees it: typed answers, and who spells the calls."""
+"""Interface to the key-value service: typed responses, and the encoding of requests."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 
 
 class StoredItem(msgspec.Struct, frozen=True):
-    """An item, or (``value`` None) that it is gone.
+    """An item of the service, or its removal.
 
     Attributes:
-        revision: Of its last change, or of its removal.
+        value: None if the item was removed.
+        revision: Revision of the item's last change, or of its removal.
     """
 
     key: str
@@ -23,7 +24,14 @@
 
 
 class Page(msgspec.Struct, frozen=True):
-    """Part of a list; pages are no snapshot, so changes after ``revision`` are to be watched."""
+    """A page of a list.
+
+    Pages are read at different revisions, so changes after the lowest revision must be watched.
+
+    Attributes:
+        more: There are further pages.
+        revision: Revision of the service at which the page was read.
+    """
 
     items: tuple[StoredItem, ...]
     more: bool
@@ -31,30 +39,35 @@
 
 
 class WatchEvents(msgspec.Struct, frozen=True):
-    """What changed, up to and including ``revision``."""
+    """The changes up to and including ``revision``."""
 
     events: tuple[StoredItem, ...]
     revision: int
 
 
 class HistoryLost(msgspec.Struct, frozen=True):
-    """The changes after the revision asked for are not known any more: list again."""
+    """The changes after the requested revision are no longer available; list again."""
 
 
 class FoundItem(msgspec.Struct, frozen=True):
-    """An item as it stood at some moment after it was asked for."""
+    """An item that was read after the request was sent."""
 
     item: StoredItem
 
 
 class Written(msgspec.Struct, frozen=True):
-    """A write took effect."""
+    """A write took effect at ``revision``."""
 
     revision: int
 
 
 class StoreRefused(msgspec.Struct, frozen=True):
-    """Nothing was done; with a failed condition ``items`` are as they stand."""
+    """The service refused the request, or its response is invalid.
+
+    Attributes:
+        status: HTTP status.
+        items: The current items, if a write's condition failed.
+    """
 
     status: int
     items: tuple[StoredItem, ...]
@@ -64,33 +77,43 @@
 
 
 class StoreProtocol(Protocol):
-    """Spells calls and reads answers; decides nothing."""
+    """Encodes requests to the key-value service, and decodes its responses."""
 
     def list_call(
         self, request: RequestId, prefix: str, after_key: str, *, may_lag: bool
     ) -> HttpRequest:
-        """Return the call that reads a page of items below a prefix.
+        """Return the request that reads a page of the items below a prefix.
+
+        A page read with ``may_lag`` is cheaper, and may be seconds old; otherwise the read is
+        linearizable.
 
-        With ``may_lag`` it costs less and may be seconds old; its revision says how old.
+        Args:
+            request: Id of the request.
+            prefix: Prefix of the keys.
+            after_key: Last key of the previous page; empty for the first page.
+            may_lag: Allow a stale page.
         """
         ...
 
     def read_call(self, request: RequestId, key: str) -> HttpRequest:
-        """Return the call that reads one item, and never an older state than when it is sent."""
+        """Return the request that reads one item, linearizable."""
         ...
 
     def watch_call(
         self, request: RequestId, prefix: str, revision: int, wait: float
     ) -> HttpRequest:
-        """Return the call that waits for changes after a revision."""
+        """Return the request that waits up to ``wait`` seconds for changes after a revision."""
         ...
 
     def write_call(
         self, request: RequestId, key: str, value: bytes, expected: int | None
     ) -> HttpRequest:
-        """Return the call that writes an item, under a condition if ``expected`` is given."""
+        """Return the request that writes an item.
+
+        With ``expected`` the item must have this revision, 0 if it must not exist.
+        """
         ...
 
     def read_answer(self, response: HttpResponse) -> RegistryAnswer:
-        """Return what an answer says."""
+        """Decode a response."""
         ...
