--- a/src/yokeline/platform/documents.py
+++ b/src/yokeline/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents that the operator and the engines keep in the platform's store (PROTOCOL.md)."""
+"""Documents that the operator and engines write to the platform's store (PROTOCOL.md)."""
 
 from __future__ import annotations
 
@@ -28,18 +28,17 @@
 from yokeline.registry.formats import RetireOrder
 
 CONFIGURATION_KEY = "op/config"
-"""Key of the newest configuration in the store."""
-_MILLISECONDS = 1000.0
-_TENANTS = "tenants"
-_API_KEYS = "api-keys"
-_KEY_DIGESTS = "key-digests"
+_MS_PER_SECOND = 1000.0
+_TENANTS_FIELD = "tenants"
+_API_KEYS_FIELD = "api-keys"
+_KEY_DIGESTS_FIELD = "key-digests"
 
 
 class _Document(msgspec.Struct, kw_only=True, rename="kebab"):
-    """Fields are spelled with dashes; unknown ones are skipped."""
+    """Base of the documents: field names in kebab case; unknown fields are ignored."""
 
 
-class _Share(_Document):
+class _ServiceWeight(_Document):
     service: str
     weight: float = 1.0
 
@@ -53,7 +52,7 @@
     target_latency_ms: float = 1000.0
     priority: int = 0
     service: str = ""
-    traffic_split: list[_Share] = []
+    traffic_split: list[_ServiceWeight] = []
     max_attempts: int = 1
     retain: bool = False
     retention_s: float = 60.0
@@ -62,7 +61,7 @@
     public: bool = False
 
 
-class _Traits(_Document):
+class _EngineTraits(_Document):
     slots: int
     kv_tokens: int = 0
     stride: int = 1
@@ -71,7 +70,7 @@
 class _Service(_Document):
     name: str
     max_conns: int = 100
-    engine: _Traits | None = None
+    engine: _EngineTraits | None = None
 
 
 class _Limits(_Document):
@@ -82,7 +81,7 @@
 
 
 class _Tenant(_Document):
-    """A tenant; ``key_digests`` stands in place of ``api_keys`` once a node has read them."""
+    """A tenant; nodes replace ``api_keys`` with ``key_digests`` (:func:`hash_api_keys`)."""
 
     name: str
     api_keys: list[str] = []
@@ -100,57 +99,57 @@
     tenants: list[_Tenant] | None = None
 
 
-class _Retire(_Document):
+class _RetireDocument(_Document):
     duration_s: float = 10.0
 
 
 class PlatformDocuments:
-    """Keys and documents, as :class:`yokeline.registry.formats.DeploymentFormats`."""
+    """Implements :class:`yokeline.registry.formats.DeploymentFormats` for the platform."""
 
     configuration_key = CONFIGURATION_KEY
     engine_prefix = ENGINE_PREFIX
     retire_prefix = "op/retire/"
 
     def read_routing(self, value: bytes) -> Result[RoutingTable, YokelineError]:
-        """Return the configuration in ``op/config``."""
+        """Decode the configuration in ``op/config``."""
         try:
             document = msgspec.json.decode(value, type=_Configuration)
             return Success(_routing_table(document))
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
-            return Failure(_unreadable(self.configuration_key, error))
+            return Failure(_invalid_document_error(self.configuration_key, error))
 
     def read_engine(self, key: str, value: bytes) -> Result[Engine, YokelineError]:
-        """Return the engine in ``servers/ID``."""
+        """Decode the engine's entry in ``servers/ID``."""
         return read_engine_entry(key, value)
 
     def read_retire_order(self, key: str, value: bytes) -> Result[RetireOrder, YokelineError]:
-        """Return the order in ``op/retire/NODE``."""
+        """Decode the retire order in ``op/retire/NODE``."""
         try:
-            document = msgspec.json.decode(value, type=_Retire)
+            document = msgspec.json.decode(value, type=_RetireDocument)
         except (msgspec.DecodeError, RecursionError) as error:
-            return Failure(_unreadable(key, error))
+            return Failure(_invalid_document_error(key, error))
         return Success(RetireOrder(key.removeprefix(self.retire_prefix), document.duration_s))
 
     def retire_status(self, node: str, *, completed: bool) -> tuple[str, bytes]:
-        """Return key and document of ``status/retire/NODE``."""
+        """Return the key and the document of ``status/retire/NODE``."""
         state = "completed" if completed else "running"
         return f"status/retire/{node}", msgspec.json.encode({"state": state})
 
 
-def without_keys(value: bytes) -> bytes:
-    """Return a configuration with digests in place of its tenants' keys.
+def hash_api_keys(value: bytes) -> bytes:
+    """Return a configuration in which digests replace the tenants' API keys.
 
-    Nodes pass the configuration to each other, and keep it; neither is to hold a key. A document
-    that cannot be read holds nothing that is of use, and becomes an empty one.
+    Nodes store the configuration and send it to each other, and must not expose API keys. An
+    invalid document is replaced by an empty one.
     """
     try:
         document = msgspec.json.decode(value)
-        tenants = document.get(_TENANTS)
+        tenants = document.get(_TENANTS_FIELD)
         if not tenants:
             return value
         for tenant in tenants:
-            keys = tenant.pop(_API_KEYS, [])
-            tenant.setdefault(_KEY_DIGESTS, [token_digest(key) for key in keys])
+            keys = tenant.pop(_API_KEYS_FIELD, [])
+            tenant.setdefault(_KEY_DIGESTS_FIELD, [token_digest(key) for key in keys])
     except (msgspec.DecodeError, AttributeError, TypeError, ValueError, RecursionError):
         return b"{}"
     return msgspec.json.encode(document)
@@ -160,7 +159,7 @@
     """Return the address in ``IP:PORT``.
 
     Raises:
-        ValueError: There is none.
+        ValueError: The port is not a number.
     """
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
@@ -175,14 +174,14 @@
         limits=CallerLimits(
             max_header_bytes=limits.max_header_bytes,
             max_body_bytes=limits.max_body_bytes,
-            header_seconds=limits.header_timeout_ms / _MILLISECONDS,
-            idle_seconds=limits.idle_timeout_ms / _MILLISECONDS,
+            header_seconds=limits.header_timeout_ms / _MS_PER_SECOND,
+            idle_seconds=limits.idle_timeout_ms / _MS_PER_SECOND,
         ),
-        tenants=_directory(document.tenants) if document.tenants else None,
+        tenants=_tenant_directory(document.tenants) if document.tenants else None,
     )
 
 
-def _directory(tenants: list[_Tenant]) -> TenantDirectory:
+def _tenant_directory(tenants: list[_Tenant]) -> TenantDirectory:
     return TenantDirectory(
         tuple(
             KeyHolder(credential, _tenant(tenant))
@@ -214,8 +213,8 @@
         path_prefix=route.path_prefix,
         kind=RouteKind(route.kind),
         pools=shares or (PoolWeight(route.service, 1.0),),
-        timeout=route.timeout_ms / _MILLISECONDS,
-        target_latency=route.target_latency_ms / _MILLISECONDS,
+        timeout=route.timeout_ms / _MS_PER_SECOND,
+        target_latency=route.target_latency_ms / _MS_PER_SECOND,
         priority=route.priority,
         max_attempts=route.max_attempts,
         retain=route.retain,
@@ -238,9 +237,9 @@
     return Pool(name=service.name, max_connections=service.max_conns, model=model)
 
 
-def _unreadable(key: str, error: Exception) -> YokelineError:
+def _invalid_document_error(key: str, error: Exception) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_REQUEST,
-        message=f"the document {key} cannot be read: {error}",
-        remedy="write it again as the protocol page says",
+        message=f"invalid document {key}: {error}",
+        remedy="write a document in the format of the protocol page",
     )
--- a/src/yokeline/platform/store.py
+++ b/src/yokeline/platform/store.py
@@ -1,4 +1,4 @@
-"""Calls of the platform's key-value store and the items in its answers (PROTOCOL.md)."""
+"""Requests to the platform's key-value store, and their responses (PROTOCOL.md)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from yokeline.effects import Address, HttpRequest, HttpResponse
 from yokeline.identifiers import RequestId
-from yokeline.platform.documents import CONFIGURATION_KEY, without_keys
+from yokeline.platform.documents import CONFIGURATION_KEY, hash_api_keys
 from yokeline.registry.protocol import (
     FoundItem,
     HistoryLost,
@@ -21,12 +21,12 @@
     Written,
 )
 
-_MILLISECONDS = 1000
-_JSON = {"content-type": "application/json"}
-_CALL_SECONDS = 1.5
-_WATCH_SLACK_SECONDS = 1.0
+_MS_PER_SECOND = 1000
+_JSON_HEADERS = {"content-type": "application/json"}
+_REQUEST_TIMEOUT_SECONDS = 1.5
+_WATCH_TIMEOUT_MARGIN_SECONDS = 1.0
 _HISTORY_GONE = 410
-_CONDITION_FAILED = 412
+_PRECONDITION_FAILED = 412
 _OK = 200
 
 
@@ -56,45 +56,45 @@
     rev: int
 
 
-_ITEM_KEY = "private-key"
+_KEY_FIELD = "private-key"
 
 
 class KeyValueStore:
-    """Spells the calls of :class:`yokeline.registry.protocol.StoreProtocol`."""
+    """Implements :class:`yokeline.registry.protocol.StoreProtocol` for the platform."""
 
     def __init__(self, address: Address) -> None:
-        """Call the store at ``address``."""
+        """Send requests to the store at ``address``."""
         self._address = address
 
     def list_call(
         self, request: RequestId, prefix: str, after_key: str, *, may_lag: bool
     ) -> HttpRequest:
-        """Read a page of the items below a prefix, linearizable unless it may lag."""
+        """Read a page of the items below a prefix; linearizable unless ``may_lag``."""
         path = f"/-/kv-range?path-prefix={quote(prefix, safe='/')}"
         if after_key:
             path += f"&after={quote(after_key, safe='/')}"
         if may_lag:
             path += "&stale=1"
-        return self._get(request, path, _CALL_SECONDS)
+        return self._get(request, path, _REQUEST_TIMEOUT_SECONDS)
 
     def read_call(self, request: RequestId, key: str) -> HttpRequest:
-        """Read one item, linearizable: its answer is of a moment after this call was sent."""
+        """Read one item, linearizable."""
         path = f"/-/kv-key?private-key={quote(key, safe='/')}"
-        return self._get(request, path, _CALL_SECONDS)
+        return self._get(request, path, _REQUEST_TIMEOUT_SECONDS)
 
     def watch_call(
         self, request: RequestId, prefix: str, revision: int, wait: float
     ) -> HttpRequest:
-        """Wait for changes below a prefix after a revision, at most ``wait`` seconds."""
-        wait_ms = int(wait * _MILLISECONDS)
+        """Wait up to ``wait`` seconds for changes below a prefix after a revision."""
+        wait_ms = int(wait * _MS_PER_SECOND)
         path = f"/-/kv-watch?path-prefix={quote(prefix, safe='/')}"
         path += f"&after={revision}&wait-ms={wait_ms}"
-        return self._get(request, path, wait + _WATCH_SLACK_SECONDS)
+        return self._get(request, path, wait + _WATCH_TIMEOUT_MARGIN_SECONDS)
 
     def write_call(
         self, request: RequestId, key: str, value: bytes, expected: int | None
     ) -> HttpRequest:
-        """Write one item, under the condition of its present revision if one is given."""
+        """Write one item, on condition that its revision is ``expected`` if that is given."""
         encoded = base64.b64encode(value).decode()
         body: dict[str, object] = {"put": [{"private-key": key, "value": encoded, "lease": 0}]}
         if expected is not None:
@@ -104,18 +104,18 @@
             address=self._address,
             method="POST",
             path="/-/kv-txn",
-            headers=_JSON,
+            headers=_JSON_HEADERS,
             body=msgspec.json.encode(body),
-            timeout=_CALL_SECONDS,
+            timeout=_REQUEST_TIMEOUT_SECONDS,
             use_kept=True,
         )
 
     def read_answer(self, response: HttpResponse) -> RegistryAnswer:
-        """Return what an answer says; the caller knows what it asked for."""
+        """Decode a response; its type follows from the status and the fields of the body."""
         if response.status == _HISTORY_GONE:
             return HistoryLost()
         try:
-            if response.status == _CONDITION_FAILED:
+            if response.status == _PRECONDITION_FAILED:
                 return _read_conflict(response)
             if response.status == _OK:
                 return _read_success(response.body)
@@ -137,33 +137,33 @@
 
 def _read_conflict(response: HttpResponse) -> StoreRefused:
     conflict = msgspec.json.decode(response.body, type=_Conflict)
-    return StoreRefused(response.status, tuple(_stored(item) for item in conflict.items))
+    return StoreRefused(response.status, tuple(_stored_item(item) for item in conflict.items))
 
 
 def _read_success(body: bytes) -> RegistryAnswer:
     fields = msgspec.json.decode(body, type=dict[str, object])
     if "items" in fields:
         page = msgspec.convert(fields, _Range)
-        return Page(tuple(_stored(item) for item in page.items), page.more, page.at)
+        return Page(tuple(_stored_item(item) for item in page.items), page.more, page.at)
     if "events" in fields:
         events = msgspec.convert(fields, _Events)
-        return WatchEvents(tuple(_stored(item) for item in events.events), events.at)
-    if _ITEM_KEY in fields:
-        return FoundItem(_stored(msgspec.convert(fields, _Item)))
+        return WatchEvents(tuple(_stored_item(item) for item in events.events), events.at)
+    if _KEY_FIELD in fields:
+        return FoundItem(_stored_item(msgspec.convert(fields, _Item)))
     return Written(msgspec.convert(fields, _Revision).rev)
 
 
-def _stored(item: _Item) -> StoredItem:
-    value = None if item.gone else _bytes_of(item)
+def _stored_item(item: _Item) -> StoredItem:
+    value = None if item.gone else _decode_value(item)
     if value is not None and item.key == CONFIGURATION_KEY:
-        value = without_keys(value)
+        value = hash_api_keys(value)
     return StoredItem(item.key, value, item.rev)
 
 
-def _bytes_of(item: _Item) -> bytes:
-    """Return an item's value; one that is not base64 holds no document that could be read.
+def _decode_value(item: _Item) -> bytes:
+    """Decode an item's value; invalid base64 gives an empty value.
 
-    The other items of the answer are of use all the same.
+    One invalid item must not discard the other items of a response.
     """
     try:
         return base64.b64decode(item.value)
--- a/tests/property/test_foreign_entries.py
+++ b/tests/property/test_foreign_entries.py
@@ -10,7 +10,7 @@
 from returns.result import Success
 
 from tests.unit.forwarding.engine_entries_support import NodeWithEntries
-from yokeline.platform.documents import PlatformDocuments, without_keys
+from yokeline.platform.documents import PlatformDocuments, hash_api_keys
 from yokeline.registry.nodes import decode_founders, decode_node
 
 JSON = st.recursive(
@@ -56,7 +56,7 @@
         documents.read_engine(f"servers/{name}", value)
         documents.read_routing(value)
         documents.read_retire_order(f"op/retire/{name}", value)
-        without_keys(value)
+        hash_api_keys(value)
         decode_node(value)
         decode_founders(value)
 
--- a/tests/unit/platform/test_documents.py
+++ b/tests/unit/platform/test_documents.py
@@ -14,7 +14,7 @@
 from yokeline.forwarding.model import RouteKind, RoutingTable
 from yokeline.forwarding.tenants import Credential
 from yokeline.identifiers import RequestId
-from yokeline.platform.documents import PlatformDocuments, without_keys
+from yokeline.platform.documents import PlatformDocuments, hash_api_keys
 from yokeline.platform.store import KeyValueStore
 from yokeline.registry.protocol import (
     FoundItem,
@@ -142,12 +142,12 @@
 
 class Tenants(unittest.TestCase):
     def read(self, document: dict[str, object]) -> RoutingTable:
-        value = without_keys(json.dumps(document).encode())
+        value = hash_api_keys(json.dumps(document).encode())
         return PlatformDocuments().read_routing(value).unwrap()
 
     def test_a_key_names_its_tenant_and_is_kept_as_its_digest(self) -> None:
         document = {**CONFIGURATION, "tenants": TENANTS}
-        value = without_keys(json.dumps(document).encode())
+        value = hash_api_keys(json.dumps(document).encode())
         self.assertNotIn(b"jvz48", value)
         self.assertNotIn(b"26tta", value)
         table = PlatformDocuments().read_routing(value).unwrap()
@@ -161,8 +161,8 @@
         self.assertIsNone(table.tenants.find(None))
 
     def test_taking_keys_out_twice_changes_nothing(self) -> None:
-        value = without_keys(json.dumps({**CONFIGURATION, "tenants": TENANTS}).encode())
-        self.assertEqual(without_keys(value), value)
+        value = hash_api_keys(json.dumps({**CONFIGURATION, "tenants": TENANTS}).encode())
+        self.assertEqual(hash_api_keys(value), value)
 
     def test_without_tenants_no_key_is_asked_for(self) -> None:
         self.assertIsNone(self.read(CONFIGURATION).tenants)
@@ -170,7 +170,7 @@
 
     def test_a_configuration_that_cannot_be_read_keeps_nothing(self) -> None:
         for value in (b'{"tenants": [1], "k": "key"}', b"key", b'[{"api-keys": ["key"]}]'):
-            self.assertNotIn(b"key", without_keys(value))
+            self.assertNotIn(b"key", hash_api_keys(value))
 
     def test_a_public_route_says_so(self) -> None:
         routes = [{**CONFIGURATION["routes"][0], "public": True}]  # type: ignore[index]
