--- a/src/yokeline/platform/engine_entries.py
+++ b/src/yokeline/platform/engine_entries.py
@@ -1,6 +1,6 @@
-"""The entries in which engines say what they are (PROTOCOL.md).
+"""Entries with which engines register in the platform's store (PROTOCOL.md).
 
-An entry may also come from another writer, so everything in it is checked before it is used.
+Other processes can write below the same prefix, so every field is validated.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from yokeline.forwarding.model import Engine, make_incarnation_id
 
 ENGINE_PREFIX = "servers/"
-"""Each engine has its entry below it, under its id."""
+"""Prefix of the engines' entries; the rest of a key is the engine's instance id."""
 MAX_SLOTS = 65_536
-"""Bound on the requests that an engine says it works on at once."""
-_MOST_MILLISECONDS = 2**63 - 1
-_ID = re.compile(r"[\x21-\x7e]{1,256}")
-"""An id is sent as the value of a header field, so it holds no space and no line end."""
-_PORT = re.compile(r"[0-9]{1,5}")
+"""Upper bound on the concurrent requests that an entry may state."""
+_MAX_TIMESTAMP_MS = 2**63 - 1
+_INSTANCE_ID_PATTERN = re.compile(r"[\x21-\x7e]{1,256}")
+"""The instance id is sent as a header value, so spaces and line breaks are not allowed."""
+_PORT_PATTERN = re.compile(r"[0-9]{1,5}")
 _Slots = Annotated[int, msgspec.Meta(ge=1, le=MAX_SLOTS)]
-_Milliseconds = Annotated[int, msgspec.Meta(ge=0, le=_MOST_MILLISECONDS)]
+_TimestampMs = Annotated[int, msgspec.Meta(ge=0, le=_MAX_TIMESTAMP_MS)]
 
 
 class _State(enum.Enum):
@@ -36,9 +36,12 @@
 
 
 class _Entry(msgspec.Struct, kw_only=True, rename="kebab"):
-    """An engine writes all of these fields; ``born``, the time of its start, came later.
+    """An engine's entry.
 
-    Those that are not used are checked all the same: an entry without them is not an engine's.
+    Unused fields are validated too: an entry without them was not written by an engine.
+
+    Attributes:
+        born: Start time of the engine (Unix milliseconds); older engines do not write it.
     """
 
     service: str
@@ -49,11 +52,11 @@
     state: _State
     cold_left_ms: float
     sequence: int
-    born: _Milliseconds | msgspec.UnsetType = msgspec.UNSET
+    born: _TimestampMs | msgspec.UnsetType = msgspec.UNSET
 
 
 def read_engine_entry(key: str, value: bytes) -> Result[Engine, YokelineError]:
-    """Return the engine in an entry; a failure says why it names none."""
+    """Decode an engine's entry; a failure states why the entry is invalid."""
     try:
         entry = msgspec.json.decode(value, type=_Entry)
         return Success(_engine(key.removeprefix(ENGINE_PREFIX), entry))
@@ -61,20 +64,20 @@
         return Failure(
             YokelineError(
                 kind=ErrorKind.BAD_REQUEST,
-                message=f"the entry names no engine: {error}",
-                remedy="let only engines write entries of engines",
+                message=f"invalid engine entry: {error}",
+                remedy="allow only engines to write engine entries",
             )
         )
 
 
 def _engine(instance: str, entry: _Entry) -> Engine:
-    """Return the engine that an entry names.
+    """Convert an entry to an engine.
 
     Raises:
-        ValueError: Its id or address cannot be used.
+        ValueError: The instance id or the address is invalid.
     """
-    if not _ID.fullmatch(instance):
-        raise ValueError("the id is not visible ASCII text")
+    if not _INSTANCE_ID_PATTERN.fullmatch(instance):
+        raise ValueError("the instance id is not 1 to 256 visible ASCII characters")
     started_ms = None if entry.born is msgspec.UNSET else entry.born
     return Engine(
         engine_id=make_incarnation_id(instance, started_ms),
@@ -89,13 +92,13 @@
 
 
 def _address(text: str) -> Address:
-    """Return the address in ``IP:PORT``; names are not looked up.
+    """Parse an address of the form ``IP:PORT`` (IPv4); host names are not allowed.
 
     Raises:
-        ValueError: There is none.
+        ValueError: The text has another form.
     """
     host, _, port = text.rpartition(":")
     ipaddress.IPv4Address(host)
-    if not _PORT.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
-        raise ValueError("the address has no port")
+    if not _PORT_PATTERN.fullmatch(port) or not 0 < int(port) <= MAX_PORT:
+        raise ValueError("the address has no valid port")
     return Address(host, int(port))
