--- a/src/yokeline/platform/fields.py
+++ b/src/yokeline/platform/fields.py
@@ -1,4 +1,4 @@
-"""Which header fields of a caller's request reach an engine: one rule for each field by name."""
+"""Rules by which header fields of a caller's request are forwarded to an engine."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 
 
 class FieldRule(enum.Enum):
-    """What becomes of a field of a caller's request on its way to an engine."""
+    """How a field of a caller's request is forwarded to an engine."""
 
-    HOP = "hop"
-    """Of one connection; never passed on."""
+    HOP_BY_HOP = "hop"
+    """Applies to one connection; never forwarded."""
     SYSTEM = "system"
-    """An order to engines, or a statement that they trust: this system alone sets it."""
+    """Controls engines or is trusted by them; never forwarded, set only by this system."""
     REPLACED = "replaced"
-    """Read here; the engine gets this system's own value."""
+    """Read by this system, which sends its own value to the engine."""
     CALLER = "caller"
-    """Read here, and passed on as it was read, whatever ``Connection`` names."""
+    """Read by this system and forwarded unchanged, even if ``Connection`` lists it."""
     CREDENTIAL = "credential"
-    """Read here; not shown to an engine where the deployment has tenants."""
+    """Read by this system; forwarded only in a deployment without tenants."""
 
 
 _NAMES_BY_RULE = {
-    FieldRule.HOP: (
+    FieldRule.HOP_BY_HOP: (
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -76,47 +76,53 @@
     FieldRule.CREDENTIAL: (AUTHORIZATION,),
 }
 FIELD_RULES = {name: rule for rule, names in _NAMES_BY_RULE.items() for name in names}
-"""The rule of each field that is known; others pass unless ``Connection`` names them."""
+"""Rules by field name. Other fields are forwarded, unless ``Connection`` lists them."""
 
-_SINGLE = frozenset(
+_SINGLE_VALUED = frozenset(
     name
     for name, rule in FIELD_RULES.items()
     if rule in (FieldRule.REPLACED, FieldRule.CALLER, FieldRule.CREDENTIAL)
     and name != PROMPT_PREFIX
 )
-"""Fields with one value: of two, this node and an engine could each read another one."""
+"""Fields that must not be repeated: this node and an engine could read different values."""
 
 
-def passed_fields(
-    items: Iterable[tuple[str, str]], named_by_connection: set[str], *, shows_credential: bool
+def forwarded_fields(
+    items: Iterable[tuple[str, str]], connection_options: set[str], *, shows_credential: bool
 ) -> list[tuple[str, str]]:
-    """Return the fields of a caller (names in lower case) that an engine gets."""
+    """Return the caller's fields that are forwarded to an engine.
+
+    Args:
+        items: The caller's fields, names in lower case.
+        connection_options: Names listed in the ``Connection`` field, in lower case.
+        shows_credential: Forward the caller's credential.
+    """
     return [
         (name, value)
         for name, value in items
-        if _passes(name, named_by_connection, shows_credential=shows_credential)
+        if _is_forwarded(name, connection_options, shows_credential=shows_credential)
     ]
 
 
-def repeated_field(items: Iterable[tuple[str, str]]) -> str:
-    """Return the first field that is given more than once and has one value; empty for none."""
+def duplicate_field(items: Iterable[tuple[str, str]]) -> str:
+    """Return the first single-valued field that is repeated; empty if there is none."""
     seen: set[str] = set()
     for name, _ in items:
-        if name in _SINGLE and name in seen:
+        if name in _SINGLE_VALUED and name in seen:
             return name
         seen.add(name)
     return ""
 
 
-def _passes(name: str, named_by_connection: set[str], *, shows_credential: bool) -> bool:
+def _is_forwarded(name: str, connection_options: set[str], *, shows_credential: bool) -> bool:
     rule = FIELD_RULES.get(name)
     if rule is None:
-        return name not in named_by_connection and not _is_disguised(name)
+        return name not in connection_options and not _is_underscore_alias(name)
     if rule is FieldRule.CREDENTIAL:
         return shows_credential
     return rule is FieldRule.CALLER
 
 
-def _is_disguised(name: str) -> bool:
-    """Return whether a name would be read as a known one where ``_`` counts as ``-``."""
+def _is_underscore_alias(name: str) -> bool:
+    """Return whether a receiver that treats ``_`` as ``-`` would read a known name."""
     return "_" in name and name.replace("_", "-") in FIELD_RULES
--- a/src/yokeline/platform/headers.py
+++ b/src/yokeline/platform/headers.py
@@ -1,4 +1,4 @@
-"""Header names of the platform, and calls and answers read from them (PROTOCOL.md)."""
+"""Header fields of the platform's requests and responses (PROTOCOL.md)."""
 
 from __future__ import annotations
 
@@ -32,47 +32,47 @@
     TOKEN_BUDGET,
     TOKEN_USAGE,
     FieldRule,
-    passed_fields,
-    repeated_field,
+    duplicate_field,
+    forwarded_fields,
 )
 
-AFFINITY_KEY = "X-Yokeline-Affinity-Key"
-NOT_EXECUTED = "x-yokeline-not-executed"
+_AFFINITY_COOKIE = "X-Yokeline-Affinity-Key"
+_NOT_EXECUTED = "x-yokeline-not-executed"
 
 DEFAULT_DEADLINE_SECONDS = 30.0
-_MILLISECONDS = 1000.0
-_AFFINITY = re.compile(rf"(?:^|;\s*){re.escape(AFFINITY_KEY)}=([^;]*)")
+_MS_PER_SECOND = 1000.0
+_AFFINITY_PATTERN = re.compile(rf"(?:^|;\s*){re.escape(_AFFINITY_COOKIE)}=([^;]*)")
 
 
 class HeaderDialect:
-    """The platform's headers, as :class:`yokeline.forwarding.dialect.Dialect`."""
+    """Implements :class:`yokeline.forwarding.dialect.Dialect` for the platform."""
 
     echo_header = REQUEST_ID
 
     def parse_call(self, arrived: HttpArrived) -> Result[Call, YokelineError]:
-        """Return what a request says of itself; a failure names the field."""
+        """Parse the header fields of a request; a failure names the invalid field."""
         headers = arrived.headers
         request_id = headers.get(REQUEST_ID, "")
         if not request_id:
-            return Failure(_bad_field(REQUEST_ID, "is missing"))
-        repeated = repeated_field(arrived.header_items)
+            return Failure(_invalid_field_error(REQUEST_ID, "is missing"))
+        repeated = duplicate_field(arrived.header_items)
         if repeated:
-            return Failure(_bad_field(repeated, "is given more than once"))
+            return Failure(_invalid_field_error(repeated, "is given more than once"))
         try:
-            return Success(_parse(headers, request_id))
+            return Success(_parse_call(headers, request_id))
         except ValueError as error:
-            return Failure(_bad_field("a header", f"cannot be read: {error}"))
+            return Failure(_invalid_field_error("a header", f"cannot be read: {error}"))
 
     def engine_headers(
         self, arrived: HttpArrived, call: Call, order: EngineOrder
     ) -> tuple[tuple[str, str], ...]:
-        """Return the caller's end-to-end fields with those that the system sets."""
-        fields = passed_fields(
+        """Return the forwarded fields of the caller, and the fields that this system sets."""
+        fields = forwarded_fields(
             arrived.header_items,
-            _named_by_connection(arrived),
+            _connection_options(arrived),
             shows_credential=order.shows_credential,
         )
-        remaining_ms = max(1, int(order.remaining * _MILLISECONDS))
+        remaining_ms = max(1, int(order.remaining * _MS_PER_SECOND))
         fields.append((DEADLINE_MS, str(remaining_ms)))
         fields.append((EXPECT_INSTANCE, order.engine.instance))
         fields.append((REQUEST_PRIORITY, str(order.priority)))
@@ -83,21 +83,21 @@
         return tuple(fields)
 
     def answer_headers(self, response: HttpResponse) -> dict[str, str]:
-        """Return an answer's end-to-end fields."""
+        """Return the end-to-end fields of a response, without ``date``."""
         named = response.headers.get("connection", "").lower()
         dropped = {item.strip() for item in named.split(",")} | {"date"}
         return {
             name: value
             for name, value in response.headers.items()
-            if name not in dropped and FIELD_RULES.get(name) is not FieldRule.HOP
+            if name not in dropped and FIELD_RULES.get(name) is not FieldRule.HOP_BY_HOP
         }
 
     def was_not_run(self, response: HttpResponse) -> bool:
-        """Return whether the engine says that it did not run the request."""
-        return response.status == MISDIRECTED or NOT_EXECUTED in response.headers
+        """Return whether the response states that the engine did not run the request."""
+        return response.status == MISDIRECTED or _NOT_EXECUTED in response.headers
 
     def refusal_headers(self, call_id: str, retry_after: float | None) -> dict[str, str]:
-        """Return the fields of a refusal: the request's id, and when to come back."""
+        """Return the fields of a refusal: content type, request id and ``retry-after``."""
         headers = {"content-type": "application/json"}
         if call_id:
             headers[REQUEST_ID] = call_id
@@ -106,53 +106,53 @@
         return headers
 
 
-def _parse(headers: dict[str, str], request_id: str) -> Call:
-    prompt_tokens, max_tokens = _usage(headers.get(TOKEN_USAGE, ""))
+def _parse_call(headers: dict[str, str], request_id: str) -> Call:
+    prompt_tokens, max_tokens = _parse_token_usage(headers.get(TOKEN_USAGE, ""))
     deadline_ms = headers.get(DEADLINE_MS)
     finish_ms = headers.get(FINISH_MS)
     budget = headers.get(TOKEN_BUDGET)
-    affinity = _AFFINITY.search(headers.get("cookie", ""))
+    affinity = _AFFINITY_PATTERN.search(headers.get("cookie", ""))
     return Call(
         request_id=request_id,
-        deadline=_seconds(deadline_ms) if deadline_ms else DEFAULT_DEADLINE_SECONDS,
+        deadline=_parse_seconds(deadline_ms) if deadline_ms else DEFAULT_DEADLINE_SECONDS,
         program=headers.get(PROGRAM_ID, ""),
         session=headers.get(SESSION_ID, ""),
-        program_time_left=_seconds(finish_ms) if finish_ms else None,
-        budget=_count(budget) if budget else None,
+        program_time_left=_parse_seconds(finish_ms) if finish_ms else None,
+        budget=_parse_token_count(budget) if budget else None,
         prompt_tokens=prompt_tokens,
         max_tokens=max_tokens,
-        hinted_tokens=_hint(headers.get(LENGTH_HINT, "")),
-        prompt_parts=_parts(headers.get(PROMPT_PREFIX, "")),
+        hinted_tokens=_parse_length_hint(headers.get(LENGTH_HINT, "")),
+        prompt_parts=_parse_prompt_parts(headers.get(PROMPT_PREFIX, "")),
         last_event_id=headers.get(LAST_EVENT_ID, ""),
         previous_turn=headers.get(PREVIOUS_TURN, ""),
         affinity_key=affinity.group(1) if affinity else "",
-        credential=_credential(headers.get(AUTHORIZATION, "")),
+        credential=_parse_credential(headers.get(AUTHORIZATION, "")),
     )
 
 
-def _credential(authorization: str) -> Credential | None:
-    """Return the digest of the key in an ``Authorization`` field; None if it holds no key."""
+def _parse_credential(authorization: str) -> Credential | None:
+    """Return the digest of the bearer token in an ``Authorization`` field; None without one."""
     key = read_bearer_token(authorization)
     return Credential(token_digest(key)) if key else None
 
 
-def _seconds(milliseconds: str) -> float:
-    """Return a time in seconds.
+def _parse_seconds(milliseconds: str) -> float:
+    """Convert a time in milliseconds to seconds.
 
     Raises:
-        ValueError: It is no finite number. A time that is none would never be over.
+        ValueError: The time is not a finite number, so it would never expire.
     """
-    seconds = float(milliseconds) / _MILLISECONDS
+    seconds = float(milliseconds) / _MS_PER_SECOND
     if not math.isfinite(seconds):
         raise ValueError("a time is not a finite number")
     return seconds
 
 
-def _count(text: str) -> int:
-    """Return a number of tokens.
+def _parse_token_count(text: str) -> int:
+    """Parse a number of tokens.
 
     Raises:
-        ValueError: It is none. A negative one would add to a budget.
+        ValueError: The text is not an integer, or it is negative, which would increase a budget.
     """
     count = int(text)
     if count < 0:
@@ -160,33 +160,35 @@
     return count
 
 
-def _usage(text: str) -> tuple[int, int]:
+def _parse_token_usage(text: str) -> tuple[int, int]:
+    """Return the prompt tokens and the maximum generated tokens."""
     if not text:
         return 0, 0
-    prompt, _, most = text.partition(",")
-    return _count(prompt), _count(most or "0")
+    prompt, _, generated = text.partition(",")
+    return _parse_token_count(prompt), _parse_token_count(generated or "0")
 
 
-def _hint(text: str) -> int | None:
-    """Return a caller's guess; one that cannot be read is no reason to refuse a turn."""
+def _parse_length_hint(text: str) -> int | None:
+    """Return the expected tokens; None if the hint is invalid, since it is only advisory."""
     return int(text) if text.isdecimal() else None
 
 
-def _parts(text: str) -> tuple[PromptPart, ...]:
+def _parse_prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for item in text.split(","):
         part_id, colon, tokens = item.strip().partition(":")
         if colon:
-            parts.append(PromptPart(part_id, _count(tokens)))
+            parts.append(PromptPart(part_id, _parse_token_count(tokens)))
     return tuple(parts)
 
 
-def _named_by_connection(arrived: HttpArrived) -> set[str]:
+def _connection_options(arrived: HttpArrived) -> set[str]:
+    """Return the names listed in the ``Connection`` field, in lower case."""
     named = arrived.headers.get("connection", "")
     return {item.strip().lower() for item in named.split(",") if item.strip()}
 
 
-def _bad_field(name: str, what: str) -> YokelineError:
+def _invalid_field_error(name: str, what: str) -> YokelineError:
     return YokelineError(
         kind=ErrorKind.BAD_REQUEST,
         message=f"{name} {what}",
--- a/tests/property/test_request_fields.py
+++ b/tests/property/test_request_fields.py
@@ -69,7 +69,7 @@
         fields = list(dialect.engine_headers(event, read.unwrap(), order))
         rules = [(FIELD_RULES.get(name.replace("_", "-")), name, value) for name, value in fields]
         for rule, name, value in rules:
-            self.assertNotIn(rule, (FieldRule.HOP, FieldRule.CREDENTIAL))
+            self.assertNotIn(rule, (FieldRule.HOP_BY_HOP, FieldRule.CREDENTIAL))
             if rule in (FieldRule.SYSTEM, FieldRule.REPLACED):
                 self.assertEqual(name, name.replace("_", "-"))
                 self.assertNotEqual(value, FORGED)
