--- a/src/yokeline/platform/__init__.py
+++ b/src/yokeline/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls. Nothing in here decides."""
+"""Adapter for the platform: header fields, documents and store requests; no scheduling logic."""
--- a/src/yokeline/platform/__main__.py
+++ b/src/yokeline/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a role on the users' platform: ``python -m yokeline.platform edge|storage``."""
+"""Runs a role on the platform: ``python -m yokeline.platform edge|storage``."""
 
 from __future__ import annotations
 
@@ -10,18 +10,20 @@
 
 BEGAN_AT = time.monotonic()
 if __name__ == "__main__":
-    # Until the role handles it, a reload asks for nothing: the settings are not read yet.
+    # SIGHUP, which requests a reload, must not end the process before the role handles it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-SETTINGS_VARIABLE = "YOKELINE_NODE_FILE"
+SETTINGS_PATH_VARIABLE = "YOKELINE_NODE_FILE"
 """Environment variable that holds the path of the settings file."""
 
-gc.disable()  # what is imported stays; enabled again before the role runs
+gc.disable()  # imported modules are never freed; enabled before the role runs
 
-# Before all large imports: who connects meanwhile is kept waiting, not refused.
+# Listens before the slow imports, so that early connections are queued instead of refused.
 from yokeline.early_sockets import EarlySockets, open_early  # noqa: E402
 
-_EARLY = (
-    open_early(os.environ.get(SETTINGS_VARIABLE, "")) if __name__ == "__main__" else EarlySockets()
+_EARLY_SOCKETS = (
+    open_early(os.environ.get(SETTINGS_PATH_VARIABLE, ""))
+    if __name__ == "__main__"
+    else EarlySockets()
 )
 
 from returns.result import Failure  # noqa: E402
@@ -35,16 +37,16 @@
 
 import_circuits_lightly()
 
-from yokeline.roles import Adapter, ProcessStart, run_role  # noqa: E402 - after the line above
+from yokeline.roles import Adapter, ProcessStart, run_role  # noqa: E402 - imports circuits
 
 READY_PATH = "/-/ready"
-"""Where the entry asks whether a node wants connections."""
+"""Path of the load balancer's readiness probe."""
 
 
 def main(arguments: list[str]) -> int:
     """Run the role named by the first argument; return the exit code."""
     role = arguments[0] if arguments else ""
-    settings = read_role_settings(os.environ.get(SETTINGS_VARIABLE, ""))
+    settings = read_role_settings(os.environ.get(SETTINGS_PATH_VARIABLE, ""))
     if isinstance(settings, Failure):
         print(settings.failure().line(), file=sys.stderr)
         return EXIT_USAGE
@@ -56,7 +58,7 @@
     )
     gc.freeze()
     gc.enable()
-    return run_role(role, settings.unwrap(), adapter, ProcessStart(BEGAN_AT, _EARLY))
+    return run_role(role, settings.unwrap(), adapter, ProcessStart(BEGAN_AT, _EARLY_SOCKETS))
 
 
 if __name__ == "__main__":
