--- a/tests/unit/registry/test_watch.py
+++ b/tests/unit/registry/test_watch.py
@@ -25,11 +25,11 @@
 
 
 class ScriptedStore:
-    """Names its calls, and answers what the test puts into ``next_answer``."""
+    """Puts the name of each call into the request's path; responses decode to ``next_answer``."""
 
     def __init__(self) -> None:
         self.next_answer: RegistryAnswer = HistoryLost()
-        self.lagging: list[bool] = []
+        self.requested_stale: list[bool] = []
 
     def _call(self, request: RequestId, path: str) -> HttpRequest:
         return HttpRequest(request=request, address=Address("s", 1), method="GET", path=path)
@@ -37,7 +37,7 @@
     def list_call(
         self, request: RequestId, prefix: str, after_key: str, *, may_lag: bool
     ) -> HttpRequest:
-        self.lagging.append(may_lag)
+        self.requested_stale.append(may_lag)
         return self._call(request, f"list {prefix} {after_key}".strip())
 
     def read_call(self, request: RequestId, key: str) -> HttpRequest:
@@ -88,14 +88,14 @@
         self.assertEqual([entry.key for entry in changed], ["p/a", "p/b"])
         self.assertEqual(self.call().path, "watch p/ 10")
 
-    def test_a_page_that_lags_behind_the_first_one_is_watched_from_its_own_revision(self) -> None:
-        """Else a change between the two states is never read."""
+    def test_watching_starts_at_the_lowest_revision_of_all_pages(self) -> None:
+        """Otherwise changes between the revisions of two pages are never read."""
         self.answer(Page((item("p/a", 3),), True, 10))
         self.answer(Page((item("p/b", 2),), False, 7))
         self.assertEqual(self.call().path, "watch p/ 7")
 
-    def test_the_first_watching_call_waits_for_others_to_register(self) -> None:
-        """Nodes that start together would each wake all others; later lists need no pause."""
+    def test_the_first_watch_request_is_delayed_so_that_other_nodes_can_register(self) -> None:
+        """Otherwise each of the nodes that start together wakes all others."""
         self.answer(Page((item("p/a", 3),), False, 10))
         listed_at = self.now
         self.call()
@@ -108,15 +108,15 @@
         self.call()
         self.assertEqual(self.now, listed_at)
 
-    def test_only_the_first_list_may_lag(self) -> None:
+    def test_only_the_first_list_may_be_stale(self) -> None:
         self.answer(Page((item("p/a", 3),), True, 10))
         self.answer(Page((item("p/b", 12),), False, 14))
         self.answer(HistoryLost())
         self.answer(Page((item("p/a", 3), item("p/b", 12)), False, 20))
-        self.assertEqual(self.store.lagging, [True, True, False])
+        self.assertEqual(self.store.requested_stale, [True, True, False])
 
-    def test_a_change_that_another_node_read_and_this_one_did_not_leads_to_a_new_list(self) -> None:
-        """The call that waits may wait at a service that went deaf."""
+    def test_a_missed_change_that_another_node_has_read_causes_a_relist(self) -> None:
+        """The pending watch request may be at a service that no longer receives changes."""
         self.answer(Page((item("p/a", 3),), False, 10))
         waiting = self.call()
         self.assertFalse(self.watch.is_behind(12, self.now))
@@ -125,15 +125,15 @@
         self.assertEqual(self.watch.relist(self.now), waiting.request)
         self.assertEqual(self.call().path, "list p/")
 
-    def test_a_change_that_comes_in_time_needs_no_new_list(self) -> None:
+    def test_a_change_that_is_read_in_time_causes_no_relist(self) -> None:
         self.answer(Page((item("p/a", 3),), False, 10))
         self.assertFalse(self.watch.is_behind(12, self.now))
         self.answer(WatchEvents((item("p/a", 12),), 12))
         self.assertFalse(self.watch.is_behind(12, self.now + 0.5))
         self.assertEqual(self.call().path, "watch p/ 12")
 
-    def test_an_answer_without_changes_proves_nothing(self) -> None:
-        """A service that went deaf names its latest revision and leaves the change out."""
+    def test_a_response_without_changes_does_not_confirm_its_revision(self) -> None:
+        """A service that no longer receives changes still reports the latest revision."""
         self.answer(Page((item("p/a", 3),), False, 10))
         self.answer(WatchEvents((), 29))
         self.assertFalse(self.watch.is_behind(27, self.now))
@@ -142,7 +142,7 @@
         self.assertEqual([entry.revision for entry in changed], [27])
         self.assertEqual(self.call().path, "watch p/ 27")
 
-    def test_what_another_node_has_read_is_taken_over_if_it_is_later(self) -> None:
+    def test_a_snapshot_of_another_node_is_applied_if_it_is_later(self) -> None:
         self.answer(Page((item("p/a", 3), item("p/b", 4)), False, 10))
         self.assertEqual(self.watch.adopt(Whole(9, (item("p/a", 2),)), self.now), [])
         changed = self.watch.adopt(Whole(12, (item("p/a", 11),)), self.now)
@@ -151,7 +151,7 @@
         )
         self.assertEqual(self.call().path, "watch p/ 12")
 
-    def test_a_node_that_starts_while_the_service_refuses_it_takes_over_everything(self) -> None:
+    def test_a_starting_node_that_the_service_refuses_is_complete_after_a_snapshot(self) -> None:
         self.answer(StoreRefused(503, ()))
         self.watch.adopt(Whole(12, (item("p/a", 11),)), self.now)
         self.assertTrue(self.watch.complete)
@@ -159,17 +159,17 @@
         assert whole is not None
         self.assertEqual(whole.revision, 12)
 
-    def test_the_second_page_begins_after_the_last_key(self) -> None:
+    def test_the_second_page_begins_after_the_last_key_of_the_first(self) -> None:
         self.answer(Page((item("p/a", 3),), True, 10))
         self.assertEqual(self.call().path, "list p/ p/a")
 
-    def test_an_event_that_a_page_already_showed_is_no_news(self) -> None:
+    def test_an_event_for_a_listed_revision_changes_nothing(self) -> None:
         self.answer(Page((item("p/a", 12),), False, 10))
         self.assertEqual(self.answer(WatchEvents((item("p/a", 12),), 12)), [])
         later = self.answer(WatchEvents((item("p/a", 13),), 13))
         self.assertEqual(later, [item("p/a", 13)])
 
-    def test_lost_history_leads_to_a_new_list_that_shows_what_is_gone(self) -> None:
+    def test_lost_history_causes_a_relist_that_finds_removals(self) -> None:
         self.answer(Page((item("p/a", 3), item("p/b", 4)), False, 10))
         self.answer(HistoryLost())
         changed = self.answer(Page((item("p/b", 4), item("p/c", 20)), False, 21))
@@ -178,7 +178,7 @@
         )
         self.assertEqual(self.call().path, "watch p/ 21")
 
-    def test_a_refusal_or_a_silent_service_is_asked_again_later_and_keeps_what_is_known(
+    def test_a_refused_or_failed_request_is_retried_and_keeps_the_items(
         self,
     ) -> None:
         self.answer(Page((item("p/a", 3),), False, 10))
@@ -214,7 +214,7 @@
             self.client.take(event, now)
         return [call.path for call in calls]
 
-    def test_a_write_is_repeated_until_it_is_known_to_be_done(self) -> None:
+    def test_a_write_is_retried_until_its_outcome_is_known(self) -> None:
         self.client.write("k", b"mine", 0.0, done=self.outcomes.append)
         self.assertEqual(self.attempt(0.0, None), ["write k None"])
         self.assertEqual(self.attempt(0.1, None), [])
@@ -222,21 +222,21 @@
         self.assertEqual(self.outcomes, [True])
         self.assertIsNone(self.client.next_deadline())
 
-    def test_a_condition_that_its_own_lost_write_broke_counts_as_won(self) -> None:
+    def test_a_conflict_with_the_own_value_counts_as_success(self) -> None:
         self.client.write("k", b"mine", 0.0, expected=0, done=self.outcomes.append)
         self.attempt(0.0, None)
         self.attempt(1.0, StoreRefused(412, (item("k", 4, b"mine"),)))
         self.assertEqual(self.outcomes, [True])
 
-    def test_a_condition_that_another_broke_counts_as_lost(self) -> None:
+    def test_a_conflict_with_another_value_counts_as_failure(self) -> None:
         self.client.write("k", b"mine", 0.0, expected=0, done=self.outcomes.append)
         self.attempt(0.0, StoreRefused(412, (item("k", 4, b"theirs"),)))
         self.assertEqual(self.outcomes, [False])
 
 
-class OwnRecord(unittest.TestCase):
+class EnsuredRecords(unittest.TestCase):
     def client(self, found: StoredItem) -> tuple[RegistryClient, list[str]]:
-        """Return a client that has read one item, and the calls it makes next."""
+        """Return a client that has read one item, and the paths of its next requests."""
         store = ScriptedStore()
         client = RegistryClient(store, ("p/",), random.Random(1))
         client.ensure("p/me", b"mine")
@@ -251,7 +251,7 @@
         ]
         return client, [call.path for call in calls]
 
-    def test_a_record_that_stands_already_wakes_nobody(self) -> None:
+    def test_an_unchanged_record_is_not_written(self) -> None:
         _, calls = self.client(item("p/me", 3, b"mine"))
         self.assertEqual(calls, ["watch p/ 10"])
 
@@ -262,8 +262,8 @@
             self.assertEqual(client.tick(FIRST_WATCH_DELAY_SECONDS + 0.1), [])
 
 
-class ReadFromOthers(Watches):
-    """A node that follows makes no calls; it takes changes from a node that watches."""
+class Followers(Watches):
+    """A follower sends no requests; it applies the changes of a node that watches."""
 
     def listed(self, *items: StoredItem, revision: int = 10) -> PrefixWatch:
         watch = PrefixWatch("p/", self.store, random.Random(1))
@@ -273,7 +273,7 @@
         watch.on_response(HttpResponse(request=call.request, status=200), 0.0)
         return watch
 
-    def test_a_follower_that_has_listed_calls_nobody_until_it_stops_following(self) -> None:
+    def test_a_follower_sends_no_watch_request_until_it_stops_following(self) -> None:
         watch = self.listed()
         watch.follows = True
         self.assertIsNone(watch.next_deadline())
@@ -288,7 +288,7 @@
         watch.follows = True
         self.assertIsNotNone(watch.tick(0.0))
 
-    def test_changes_and_removals_are_taken_over_without_a_gap(self) -> None:
+    def test_changes_and_removals_of_another_node_are_applied_once(self) -> None:
         source = self.listed(item("p/a", 5), item("p/b", 6))
         follower = self.listed(item("p/a", 5), item("p/b", 6))
         call = source.tick(1.0)
@@ -297,24 +297,24 @@
         source.on_response(HttpResponse(request=call.request, status=200), 1.0)
         changes = source.changes_after(follower.last_change)
         assert changes is not None
-        news = follower.adopt_changes(changes, 1.0)
-        self.assertEqual([(n.key, n.value) for n in news], [("p/c", b"v"), ("p/a", None)])
+        applied = follower.adopt_changes(changes, 1.0)
+        self.assertEqual([(n.key, n.value) for n in applied], [("p/c", b"v"), ("p/a", None)])
         self.assertEqual((sorted(follower.items), follower.last_change), (["p/b", "p/c"], 12))
         self.assertEqual(follower.adopt_changes(changes, 1.0), [])
 
-    def test_changes_that_begin_too_late_are_not_taken(self) -> None:
+    def test_changes_after_a_gap_are_ignored(self) -> None:
         follower = self.listed()
         changes = Changes(11, 14, (item("p/x", 14),))
         self.assertEqual(follower.adopt_changes(changes, 1.0), [])
         self.assertEqual(follower.last_change, 10)
 
-    def test_a_node_gives_only_changes_that_it_kept_whole(self) -> None:
+    def test_only_fully_retained_changes_are_returned(self) -> None:
         source = self.listed(revision=10)
         self.assertIsNone(source.changes_after(9))
         self.assertIsNone(source.changes_after(11))
-        everything = source.changes_after(10)
-        assert everything is not None
-        self.assertEqual(everything.items, ())
+        no_changes = source.changes_after(10)
+        assert no_changes is not None
+        self.assertEqual(no_changes.items, ())
         call = source.tick(1.0)
         assert call is not None
         many = tuple(item(f"p/{number}", 11 + number) for number in range(MAX_RETAINED_CHANGES + 1))
@@ -323,7 +323,7 @@
         self.assertIsNone(source.changes_after(10))
         self.assertIsNotNone(source.changes_after(11))
 
-    def test_an_older_change_that_comes_late_does_not_undo_a_removal(self) -> None:
+    def test_a_late_older_change_does_not_undo_a_removal(self) -> None:
         watch = self.listed(item("p/a", 5))
         watch.adopt_changes(Changes(10, 14, (item("p/a", 14, None),)), 1.0)
         call = watch.tick(1.0)
@@ -332,7 +332,7 @@
         watch.on_response(HttpResponse(request=call.request, status=200), 1.0)
         self.assertEqual(watch.items, {})
 
-    def test_a_list_that_is_older_than_what_was_taken_over_removes_nothing(self) -> None:
+    def test_a_list_older_than_applied_changes_removes_nothing(self) -> None:
         watch = self.listed(revision=10)
         watch.relist(1.0)
         watch.adopt_changes(Changes(10, 14, (item("p/new", 14),)), 1.0)
@@ -342,7 +342,7 @@
         watch.on_response(HttpResponse(request=call.request, status=200), 1.0)
         self.assertEqual(list(watch.items), ["p/new"])
 
-    def test_changes_that_are_read_in_time_never_lead_to_a_list_however_many_come(self) -> None:
+    def test_a_steady_stream_of_changes_read_in_time_causes_no_relist(self) -> None:
         watch = self.listed(revision=10)
         now = 0.0
         for revision in range(11, 60):
@@ -350,7 +350,7 @@
             self.assertFalse(watch.is_behind(revision, now))
             watch.adopt_changes(Changes(revision - 1, revision, ()), now + 0.1)
 
-    def test_a_change_that_is_not_read_leads_to_one_while_others_come(self) -> None:
+    def test_a_missed_change_causes_a_relist_while_others_arrive(self) -> None:
         watch = self.listed(revision=10)
         found = [watch.is_behind(11 + number, 0.1 * number) for number in range(10)]
         self.assertIn(True, found)
