--- a/tests/unit/platform/test_documents.py
+++ b/tests/unit/platform/test_documents.py
@@ -105,12 +105,12 @@
         self.assertIsNone(table.find("other.example", "/pufi791/x"))
         self.assertIsNone(table.find("ficu95.example", "/pufi79"))
 
-    def test_a_document_that_cannot_be_read_names_its_key(self) -> None:
+    def test_the_error_of_an_invalid_document_names_its_key(self) -> None:
         read = PlatformDocuments().read_routing(b'{"version": "x"}')
         assert isinstance(read, Failure)
         self.assertIn("op/config", read.failure().message)
 
-    def test_an_engine_says_what_it_is(self) -> None:
+    def test_an_engine_entry_is_decoded(self) -> None:
         value = (
             b'{"service":"huvo11a","address":"10.128.0.9:8080","zone":"hall-a","version":"v1",'
             b'"slots":16,"state":"draining","cold-left-ms":0,"stage":"both","sequence":4}'
@@ -120,7 +120,7 @@
         self.assertEqual(engine.address, Address("10.128.0.9", 8080))
         self.assertTrue(engine.draining)
 
-    def test_a_retire_order_and_its_status(self) -> None:
+    def test_a_retire_order_is_decoded_and_its_status_encoded(self) -> None:
         documents = PlatformDocuments()
         order = documents.read_retire_order("op/retire/storage-a-1", b'{"duration-s":10}')
         self.assertEqual((order.unwrap().node, order.unwrap().seconds), ("storage-a-1", 10))
@@ -145,7 +145,7 @@
         value = hash_api_keys(json.dumps(document).encode())
         return PlatformDocuments().read_routing(value).unwrap()
 
-    def test_a_key_names_its_tenant_and_is_kept_as_its_digest(self) -> None:
+    def test_an_api_key_is_stored_as_a_digest_that_finds_its_tenant(self) -> None:
         document = {**CONFIGURATION, "tenants": TENANTS}
         value = hash_api_keys(json.dumps(document).encode())
         self.assertNotIn(b"jvz48", value)
@@ -160,24 +160,24 @@
         self.assertIsNone(table.tenants.find(Credential(token_digest("other"))))
         self.assertIsNone(table.tenants.find(None))
 
-    def test_taking_keys_out_twice_changes_nothing(self) -> None:
+    def test_hashing_keys_is_idempotent(self) -> None:
         value = hash_api_keys(json.dumps({**CONFIGURATION, "tenants": TENANTS}).encode())
         self.assertEqual(hash_api_keys(value), value)
 
-    def test_without_tenants_no_key_is_asked_for(self) -> None:
+    def test_a_configuration_without_tenants_needs_no_keys(self) -> None:
         self.assertIsNone(self.read(CONFIGURATION).tenants)
         self.assertIsNone(self.read({**CONFIGURATION, "tenants": []}).tenants)
 
-    def test_a_configuration_that_cannot_be_read_keeps_nothing(self) -> None:
+    def test_an_invalid_configuration_exposes_no_keys(self) -> None:
         for value in (b'{"tenants": [1], "k": "key"}', b"key", b'[{"api-keys": ["key"]}]'):
             self.assertNotIn(b"key", hash_api_keys(value))
 
-    def test_a_public_route_says_so(self) -> None:
+    def test_a_public_route_is_decoded(self) -> None:
         routes = [{**CONFIGURATION["routes"][0], "public": True}]  # type: ignore[index]
         self.assertTrue(self.read({**CONFIGURATION, "routes": routes}).routes[0].public)
 
 
-class StoreCalls(unittest.TestCase):
+class StoreRequests(unittest.TestCase):
     def setUp(self) -> None:
         self.store = KeyValueStore(Address("10.200.1.7", 8142))
 
@@ -185,9 +185,9 @@
         raw = json.dumps(body).encode()
         return self.store.read_answer(HttpResponse(request=RequestId("r"), status=status, body=raw))
 
-    def test_calls_are_spelled_as_the_page_says(self) -> None:
-        lagging = self.store.list_call(RequestId("r"), "my/", "", may_lag=True)
-        self.assertEqual(lagging.target, "/-/kv-range?path-prefix=my/&stale=1")
+    def test_requests_follow_the_protocol(self) -> None:
+        stale = self.store.list_call(RequestId("r"), "my/", "", may_lag=True)
+        self.assertEqual(stale.target, "/-/kv-range?path-prefix=my/&stale=1")
         listing = self.store.list_call(RequestId("r"), "servers/", "servers/i-1", may_lag=False)
         self.assertEqual(listing.target, "/-/kv-range?path-prefix=servers/&after=servers/i-1")
         watch = self.store.watch_call(RequestId("r"), "my/", 411, 20.0)
@@ -203,20 +203,20 @@
             },
         )
 
-    def test_one_item_is_read_and_never_an_old_one(self) -> None:
+    def test_a_single_item_is_read_linearizably(self) -> None:
         call = self.store.read_call(RequestId("r"), "op/config")
         self.assertEqual(call.target, "/-/kv-key?private-key=op/config")
         item = {"private-key": "my/leader", "value": "bm9kZS0x", "rev": 412, "at": 530}
         self.assertEqual(self.answer(200, item), FoundItem(StoredItem("my/leader", b"node-1", 412)))
         self.assertEqual(self.answer(404, {}), StoreRefused(404, ()))
 
-    def test_no_key_of_a_tenant_passes_the_adapter(self) -> None:
+    def test_decoded_items_contain_no_api_key(self) -> None:
         raw = json.dumps({**CONFIGURATION, "tenants": TENANTS}).encode()
         item = {"private-key": "op/config", "value": base64.b64encode(raw).decode(), "rev": 7}
         for body in (item, {"items": [item], "at": 8}, {"events": [item], "at": 8}):
             self.assertNotIn("jvz48", str(self.answer(200, body)))
 
-    def test_answers_become_typed(self) -> None:
+    def test_responses_are_decoded_by_type(self) -> None:
         item = {"private-key": "my/leader", "value": "bm9kZS0x", "rev": 412, "made": 412}
         page = self.answer(200, {"items": [item], "more": False, "at": 530})
         self.assertEqual(page, Page((StoredItem("my/leader", b"node-1", 412),), False, 530))
--- a/tests/unit/platform/test_engine_entries.py
+++ b/tests/unit/platform/test_engine_entries.py
@@ -23,8 +23,8 @@
     "sequence": 4,
     "born": START_MS,
 }
-NEEDED = sorted(set(ENTRY) - {"stage", "models", "born"})
-OTHER_TYPES: tuple[object, ...] = (None, True, [], {}, [1], {"a": 1})
+REQUIRED_FIELDS = sorted(set(ENTRY) - {"stage", "models", "born"})
+VALUES_OF_OTHER_TYPES: tuple[object, ...] = (None, True, [], {}, [1], {"a": 1})
 
 
 def read(document: object, key: str = "servers/i-7f3a91c2") -> Engine | None:
@@ -34,7 +34,7 @@
 
 
 class EngineEntries(unittest.TestCase):
-    def test_an_engine_says_what_it_is_and_when_it_started(self) -> None:
+    def test_an_entry_with_a_start_time_is_decoded(self) -> None:
         engine = read(ENTRY)
         assert engine is not None
         self.assertEqual(engine.instance, "i-7f3a91c2")
@@ -43,34 +43,34 @@
         self.assertEqual((engine.pool, engine.zone, engine.slots), ("huvo11a", "hall-a", 16))
         self.assertFalse(engine.draining)
 
-    def test_each_start_has_a_name_of_its_own(self) -> None:
+    def test_each_start_of_an_instance_has_its_own_engine_id(self) -> None:
         first, second = read(ENTRY), read({**ENTRY, "born": START_MS + 1})
         assert first is not None
         assert second is not None
         self.assertEqual(first.instance, second.instance)
         self.assertNotEqual(first.engine_id, second.engine_id)
 
-    def test_an_entry_without_a_start_is_called_by_its_id(self) -> None:
+    def test_without_a_start_time_the_engine_id_is_the_instance_id(self) -> None:
         engine = read({name: item for name, item in ENTRY.items() if name != "born"})
         assert engine is not None
         self.assertEqual((engine.engine_id, engine.started_ms), ("i-7f3a91c2", None))
 
-    def test_a_field_that_is_missing_or_of_another_type_names_no_engine(self) -> None:
-        for name in NEEDED:
+    def test_an_entry_with_a_missing_or_mistyped_field_is_invalid(self) -> None:
+        for name in REQUIRED_FIELDS:
             with self.subTest(name):
                 self.assertIsNone(read({key: ENTRY[key] for key in ENTRY if key != name}))
-        for name in [*NEEDED, "born"]:
-            wrong = [*OTHER_TYPES, 5 if isinstance(ENTRY[name], str) else "5"]
+        for name in [*REQUIRED_FIELDS, "born"]:
+            wrong = [*VALUES_OF_OTHER_TYPES, 5 if isinstance(ENTRY[name], str) else "5"]
             for item in wrong:
                 with self.subTest(name, item=item):
                     self.assertIsNone(read({**ENTRY, name: item}))
 
-    def test_a_start_is_a_whole_number(self) -> None:
+    def test_a_start_time_that_is_not_a_non_negative_integer_is_invalid(self) -> None:
         for born in (-1, 1.5, 2**70, "1790000000000", None):
             with self.subTest(born=born):
                 self.assertIsNone(read({**ENTRY, "born": born}))
 
-    def test_values_that_cannot_be_used_name_no_engine(self) -> None:
+    def test_an_entry_with_an_unusable_value_is_invalid(self) -> None:
         cases: list[tuple[str, object]] = [
             ("state", "leaving"),
             ("state", "READY"),
@@ -98,12 +98,12 @@
             with self.subTest(name, item=item):
                 self.assertIsNone(read({**ENTRY, name: item}))
 
-    def test_an_id_that_is_no_header_value_names_no_engine(self) -> None:
+    def test_an_id_that_is_not_a_header_value_is_invalid(self) -> None:
         for key in ("servers/", "servers/a b", "servers/a\r\nX-Order: 1", "servers/\u00e9"):
             with self.subTest(key):
                 self.assertIsNone(read(ENTRY, key))
 
-    def test_bytes_that_cannot_be_read_name_no_engine(self) -> None:
+    def test_malformed_documents_are_invalid(self) -> None:
         whole = json.dumps(ENTRY).encode()
         for value in (b"", b"{", whole[:-1], b"\xff\xfe", b"[" * 100_000, b"null", b"7", whole * 2):
             with self.subTest(value[:20]):
