--- a/tests/unit/platform/test_headers.py
+++ b/tests/unit/platform/test_headers.py
@@ -51,19 +51,19 @@
         self.assertEqual(call.hinted_tokens, 33)
         self.assertEqual((call.last_event_id, call.affinity_key), ("12", "17"))
 
-    def test_a_guess_that_cannot_be_read_is_left_out(self) -> None:
+    def test_an_invalid_length_hint_is_ignored(self) -> None:
         for guess in ("", "many", "-3", "1e3"):
             fields = tuple((n, guess if n == "x-yokeline-length-hint" else v) for n, v in TURN)
             self.assertIsNone(HeaderDialect().parse_call(arrived(fields)).unwrap().hinted_tokens)
 
-    def test_a_request_without_an_id_or_with_a_bad_number_is_refused_by_name(self) -> None:
+    def test_a_request_without_an_id_or_with_an_invalid_number_is_rejected(self) -> None:
         missing = HeaderDialect().parse_call(arrived((("host", "a"),)))
         assert isinstance(missing, Failure)
         self.assertIn("x-yokeline-request-id is missing", missing.failure().message)
         bad = (("x-yokeline-request-id", "1"), ("x-yokeline-deadline-ms", "soon"))
         self.assertIsInstance(HeaderDialect().parse_call(arrived(bad)), Failure)
 
-    def test_an_engine_gets_what_is_left_and_the_callers_own_fields(self) -> None:
+    def test_an_engine_gets_the_remaining_time_and_the_callers_fields(self) -> None:
         dialect = HeaderDialect()
         event = arrived(TURN)
         engine = Engine(
@@ -81,8 +81,8 @@
         self.assertEqual(len(fields), len(headers))
 
 
-class Answers(unittest.TestCase):
-    def test_only_the_promise_of_an_engine_means_not_run(self) -> None:
+class Responses(unittest.TestCase):
+    def test_only_an_explicit_statement_of_the_engine_means_not_run(self) -> None:
         dialect = HeaderDialect()
 
         def answer(status: int, **headers: str) -> HttpResponse:
@@ -94,7 +94,7 @@
         self.assertFalse(dialect.was_not_run(answer(503)))
         self.assertFalse(dialect.was_not_run(answer(500)))
 
-    def test_an_answer_keeps_its_signature_and_loses_connection_fields(self) -> None:
+    def test_a_response_keeps_end_to_end_fields_only(self) -> None:
         response = HttpResponse(
             request=RequestId("r"),
             status=200,
@@ -111,7 +111,7 @@
             {"x-yokeline-server-stamp": "3e1b.07", "content-type": "text/plain"},
         )
 
-    def test_a_refusal_says_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_after_field(self) -> None:
         headers = HeaderDialect().refusal_headers("9c41", 0.3)
         self.assertEqual(headers["retry-after"], "0.30")
         self.assertEqual(headers["x-yokeline-request-id"], "9c41")
