--- a/src/yokeline/platform/__init__.py
+++ b/src/yokeline/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter for the platform: header fields, documents and store requests; no scheduling logic."""
+"""Adapter for the platform: header fields, documents and store requests; no forwarding logic."""
--- a/tests/unit/platform/test_boundary.py
+++ b/tests/unit/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""Nothing outside ``yokeline.platform`` knows the platform's names."""
+"""The platform's names occur only in ``yokeline.platform``."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Boundary(unittest.TestCase):
-    def test_platform_names_stand_in_the_adapter_only(self) -> None:
+    def test_platform_names_occur_only_in_the_adapter(self) -> None:
         found = [
             f"{path.relative_to(SOURCE)}: {line.strip()}"
             for path in sorted(SOURCE.rglob("*.py"))
@@ -25,7 +25,7 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_adapter_imports_no_decisions(self) -> None:
+    def test_the_adapter_imports_no_forwarding_or_consensus_logic(self) -> None:
         text = "".join(path.read_text() for path in (SOURCE / "platform").glob("*.py"))
         for module in ("forwarding.forwarder", "forwarding.choice", "ledger.replica", "consensus"):
             self.assertNotIn(f"yokeline.{module}", text)
--- a/tests/unit/platform/test_days.py
+++ b/tests/unit/platform/test_days.py
@@ -1,4 +1,4 @@
-"""The day files in ``deploy/days`` can be read and hang on no deployment."""
+"""The day files in ``deploy/days`` are valid, and independent of a deployment."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 DAYS = sorted((Path(__file__).parents[3] / "deploy" / "days").glob("*.toml"))
 PLACEHOLDERS = {"class": "@c0", "service": "@s0", "zone": "@z0"}
-"""What stands for a deployment's first kind of request, service and zone."""
+"""Placeholders for the first request class, service and zone of a deployment."""
 
 
 class Days(unittest.TestCase):
-    def test_each_begins_with_one_line_on_what_it_shows(self) -> None:
+    def test_each_file_has_one_comment_in_its_first_line(self) -> None:
         self.assertTrue(DAYS)
         for path in DAYS:
             with self.subTest(path.name):
@@ -20,12 +20,12 @@
                 comments = [line for line in lines if line.startswith("#")]
                 self.assertEqual(comments, lines[:1])
 
-    def test_each_has_its_own_name_and_seed(self) -> None:
+    def test_names_match_the_files_and_seeds_are_unique(self) -> None:
         days = [tomllib.loads(path.read_text()) for path in DAYS]
         self.assertEqual([day["name"] for day in days], [path.stem for path in DAYS])
         self.assertEqual(len({day["seed"] for day in days}), len(days))
 
-    def test_none_names_a_part_of_a_deployment(self) -> None:
+    def test_plans_refer_to_a_deployment_only_by_placeholders(self) -> None:
         for path in DAYS:
             day = tomllib.loads(path.read_text())
             for entry in [*day["plan"], *day["faults"]]:
@@ -34,6 +34,6 @@
                     named = {key: entry[key] for key in PLACEHOLDERS if key in entry}
                     self.assertLessEqual(named.items(), PLACEHOLDERS.items())
 
-    def test_the_upgrade_names_a_commit_to_begin_with(self) -> None:
+    def test_the_upgrade_starts_from_a_commit(self) -> None:
         text = (DAYS[0].parent / "upgrade.toml").read_text()
         self.assertRegex(text, r'production = "[0-9a-f]{7,40}"')
--- a/tests/unit/platform/test_start.py
+++ b/tests/unit/platform/test_start.py
@@ -12,18 +12,22 @@
 from yokeline.node.sockets import open_sockets
 from yokeline.roles import ProcessStart
 
-PROGRAM = "import sys, yokeline.platform.__main__; print('pkg_resources' in sys.modules)"
+IMPORT_PROGRAM = "import sys, yokeline.platform.__main__; print('pkg_resources' in sys.modules)"
 
 
-class Start(unittest.TestCase):
-    def test_a_role_starts_without_an_import_that_takes_half_of_its_time(self) -> None:
+class Imports(unittest.TestCase):
+    def test_pkg_resources_is_not_imported(self) -> None:
         ended = subprocess.run(
-            [sys.executable, "-c", PROGRAM], capture_output=True, text=True, timeout=60, check=True
+            [sys.executable, "-c", IMPORT_PROGRAM],
+            capture_output=True,
+            text=True,
+            timeout=60,
+            check=True,
         )
         self.assertEqual(ended.stdout.strip(), "False")
 
 
-IMPORTED_EARLY = """
+EARLY_IMPORT_PROGRAM = """
 import sys, yokeline.early_sockets
 large = {'msgspec', 'circuits', 'absl', 'returns'}
 print(sorted({name.split('.')[0] for name in sys.modules} & large))
@@ -42,7 +46,7 @@
             port: int = server.getsockname()[1]
             return port
 
-    def test_a_caller_that_connects_before_the_role_is_imported_is_kept_waiting(self) -> None:
+    def test_an_early_connection_is_queued_until_the_role_serves_it(self) -> None:
         port = self.free_port()
         early = open_early(self.settings(f'front = "127.0.0.1:{port}"\n'))
         self.addCleanup(early.close)
@@ -56,7 +60,7 @@
             with served:
                 self.assertEqual(served.recv(4), b"GET ")
 
-    def test_peers_find_both_sockets_open(self) -> None:
+    def test_both_peer_sockets_are_opened_early(self) -> None:
         port = self.free_port()
         early = open_early(self.settings(f'host = "127.0.0.1"\npeer_port = {port}\n'))
         sockets = ProcessStart(0.0, early).sockets(None, Address("127.0.0.1", port))
@@ -65,7 +69,7 @@
         self.assertEqual(sockets.peer_address(), Address("127.0.0.1", port))
         self.assertIsNotNone(sockets.datagrams)
 
-    def test_an_address_in_use_is_left_to_the_role_which_says_why(self) -> None:
+    def test_an_address_in_use_is_reported_by_the_role(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as server:
             port = server.getsockname()[1]
             early = open_early(self.settings(f'front = "127.0.0.1:{port}"\n'))
@@ -73,13 +77,13 @@
             opened = open_sockets(Address("127.0.0.1", port), None)
             self.assertIn("stop the process that listens there", opened.failure().remedy)
 
-    def test_a_file_that_cannot_be_read_opens_nothing(self) -> None:
+    def test_an_invalid_settings_file_opens_no_sockets(self) -> None:
         for path in ("/nowhere/node.toml", self.settings("front = \n")):
             self.assertIsNone(open_early(path).take_listener("127.0.0.1", 1))
 
-    def test_only_the_standard_library_is_imported_before(self) -> None:
+    def test_early_sockets_import_only_the_standard_library(self) -> None:
         ended = subprocess.run(
-            [sys.executable, "-c", IMPORTED_EARLY],
+            [sys.executable, "-c", EARLY_IMPORT_PROGRAM],
             capture_output=True,
             text=True,
             timeout=60,
