--- a/src/yokeline/ledger/admission_controller.py
+++ b/src/yokeline/ledger/admission_controller.py
@@ -68,7 +68,7 @@
             operation: An operation that is neither in flight nor in the state.
             state: The applied state.
             term: The leader's term.
-            leader_time: Leader time in seconds.
+            leader_time: Leadership time in seconds.
         """
         spent = state.known_refusal(operation, leader_time)
         if isinstance(operation, Settle) or operation.limit is None:
--- a/src/yokeline/ledger/bootstrap.py
+++ b/src/yokeline/ledger/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap of the ledger's group: its founders are written once to the key-value service."""
+"""Bootstrap of the ledger's Raft group: its founders are written to the key-value service once."""
 
 from __future__ import annotations
 
--- a/src/yokeline/ledger/claims.py
+++ b/src/yokeline/ledger/claims.py
@@ -2,7 +2,7 @@
 
 A claim is the number of requests that a program is expected to send until it ends. Only the
 ledger's leader keeps claims; a new leader rebuilds them from the program accounts in the state.
-Times are leader time (:class:`yokeline.ledger.quotas.LeadershipClock`), in seconds.
+Times are leadership time (:class:`yokeline.ledger.quotas.LeadershipClock`), in seconds.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 MAX_SWEPT_PER_TICK = 500
 """Claims checked in one event-loop iteration, the longest idle first."""
 KIND_PRIORITY_SECONDS = 2.0
-"""Time after which a kind whose programs are only refused gets priority; kinds of small programs
-would otherwise take all tokens as they accrue."""
+"""Time without an admission after which a kind with refused programs gets priority over other
+kinds. Small programs would otherwise take the tokens as they accrue, and large ones never begin."""
 RETRY_GRACE_SECONDS = 1.0
 """Time beyond its retry time for which a refused program keeps its kind's priority."""
 REFUSAL_CACHE_SECONDS = 0.05
-"""Time for which a refusal applies to all programs of its kind; bounds the cost of a tenant far
-above its limit."""
+"""Time for which a refusal applies to all programs of its kind without a new decision; bounds the
+CPU time spent on a tenant far above its limit."""
 LATE_YIELD_SECONDS = 1.0
-"""Time after the refusal of a program that can meet its deadline, during which late programs are
-refused; callers retry within about that time."""
+"""Time after the refusal of a program that can meet its deadline during which programs that cannot
+meet theirs are refused, so that the former can retry first."""
 MIN_LATE_RETRY_SECONDS = 0.5
 """Minimum retry time for programs that cannot meet their deadline."""
 MAX_TIME_LIMITS = 65_536
@@ -168,7 +168,10 @@
             del self.held[key]
 
     def claims(self) -> list[Claims]:
-        """Return the claims of the programs whose size is known."""
+        """Return the claims of admitted programs whose kind has a known size.
+
+        Programs of one kind that have sent equally many requests are counted together.
+        """
         found = []
         for (kind, requests_sent), count in self.held.items():
             size = self.size(kind)
@@ -178,7 +181,7 @@
         return found
 
     def claims_of_refused_kinds(self, kind: str, now: float) -> list[Claims]:
-        """Return a claim of one program for each refused kind with priority over ``kind``.
+        """Return the claim of one new program of each refused kind with priority over ``kind``.
 
         Drops kinds whose programs have not retried.
         """
--- a/src/yokeline/ledger/client.py
+++ b/src/yokeline/ledger/client.py
@@ -108,12 +108,15 @@
         counts: Counters of retries, late answers and relayed operations.
         answer_seconds: Time from submitting an operation to its result.
         has_answered: The ledger has answered this process at least once.
-        helpful_peers: Returns the nodes that can relay; none by default.
-        engines_told: Called with the leader's data on engines; ignored by default.
+        helpful_peers: Returns the forwarding nodes that reach the ledger, and can relay operations
+            to it; none by default.
+        engines_told: Called with the data on engines of each answer that has some; does nothing by
+            default.
         engines: The leader's latest data on engines.
         wants_engines: Requests are waiting for an engine, so the client asks the leader for engine
             data when no other answer brings it.
-        shares_told: Called with the shares of tenants; ignored by default.
+        shares_told: Called with the tenants' shares of each answer that has them; does nothing by
+            default.
     """
 
     def __init__(self, own_address: Address) -> None:
@@ -154,7 +157,7 @@
 
     @property
     def under_way(self) -> int:
-        """Number of operations without a result."""
+        """Number of operations without a result; unrelated to running turns."""
         return len(self._pending)
 
     # ------------------------------------------------------------ operations
--- a/src/yokeline/ledger/client_report.py
+++ b/src/yokeline/ledger/client_report.py
@@ -15,10 +15,10 @@
 
     Attributes:
         repetitions: Operations sent again, by cause.
-        late_answers: Results of operations that were already answered or given up.
-        through_peers: Operations relayed through other forwarding nodes.
-        for_peers: Operations relayed for other forwarding nodes.
-        texts_copied: Turns whose texts were also sent to the followers.
+        late_answers: Answers to operations that already had a result or had timed out.
+        through_peers: Operations of this node that were sent to another forwarding node to relay.
+        for_peers: Operations of other forwarding nodes that this node relayed.
+        texts_copied: Turns whose texts this node sent to the followers.
         engine_asks: Requests for engine data alone, while requests waited for an engine.
     """
 
--- a/src/yokeline/ledger/disk_records.py
+++ b/src/yokeline/ledger/disk_records.py
@@ -35,7 +35,7 @@
 
 
 class FoundedRecord(msgspec.Struct, frozen=True, tag="founded"):
-    """The founders of the group; found in older files only, as snapshots now list the members."""
+    """The founders of the group; only in files of earlier releases. Snapshots list the members."""
 
     members: tuple[ReplicaId, ...]
 
--- a/src/yokeline/ledger/history_fetches.py
+++ b/src/yokeline/ledger/history_fetches.py
@@ -21,15 +21,15 @@
 """Time to wait for a replica before the leader is asked; longer than the time for which the replica
 itself waits for a missing turn."""
 SILENT_BACKOFF_SECONDS = 3.0
-"""Time for which a replica that did not answer is not asked again; about the restart time of a
-machine."""
+"""Time for which a replica that did not answer is not asked again; about the time in which a
+machine restarts."""
 NON_MEMBER_BACKOFF_SECONDS = 15.0
-"""Time for which a replica outside the group is not asked again; members change when a machine is
-lost."""
+"""Time for which a replica that is no member of the group is not asked again; members change
+rarely, mostly when a machine is lost or retired."""
 
 HistoryDone = Callable[[tuple[KeptTurn, ...], float], list[Effect]]
-"""Called with the turns, the oldest first, and the time. Without turns the replica could not
-help."""
+"""Called with the turns, the oldest first, and the time. No turns mean that the replica does not
+hold the last one, or did not answer in time."""
 
 
 class NearReplica(msgspec.Struct, frozen=True):
@@ -54,7 +54,9 @@
     """Pending history requests of one forwarding node; a state machine without I/O.
 
     Attributes:
-        counts: Requests by outcome.
+        counts: Requests by outcome: ``found``; ``lacking`` if a member does not hold the turn;
+            ``outside`` if the replica is no member and does not hold it; ``silent`` without an
+            answer in time; ``late`` for answers after that.
     """
 
     def __init__(self, node: str, own_address: Address) -> None:
--- a/src/yokeline/ledger/link_utilization.py
+++ b/src/yokeline/ledger/link_utilization.py
@@ -7,8 +7,8 @@
 AVERAGE_SECONDS = 1.0
 """Time constant of the moving average."""
 HIGH_UTILIZATION = 0.25
-"""Share of the link above which nodes send texts to the followers themselves; leaves room for
-answers and for twice the load."""
+"""Share of the link above which forwarding nodes send the texts to the followers instead of the
+leader; the rest is for answers and for a load twice as high."""
 LOW_UTILIZATION = 0.12
 """Share below which the leader sends the texts again; the gap provides hysteresis."""
 BITS_PER_BYTE = 8
--- a/src/yokeline/ledger/members.py
+++ b/src/yokeline/ledger/members.py
@@ -62,7 +62,7 @@
         joins: Join requests by node.
         silence: Seconds for which each follower has left a message unanswered.
         retiring: Nodes that an operator has ordered to retire.
-        lost: Replicas that are known to have lost their disks.
+        lost: Replicas whose disk is known to be lost; excluded from majorities.
         caught_up: Members that hold every committed entry.
         leads_since: When the leader began to lead. Earlier join requests may come from nodes that
             have since been retired by an order to the previous leader.
@@ -140,8 +140,8 @@
     is_fresh = request.heard_at >= max(view.leads_since, now - JOIN_REQUEST_TTL_SECONDS)
     if not is_fresh or request.replica in view.members or node in view.retiring:
         return False
-    # A former member may have been retired by an order that this leader has not read yet. Added
-    # again, it would count in each majority although its machine is about to go.
+    # A former member may be retiring by an order that this leader has not read yet. It would count
+    # in majorities again although its machine is about to be shut down.
     return view.has_read_orders or request.replica not in view.former
 
 
--- a/src/yokeline/ledger/messages.py
+++ b/src/yokeline/ledger/messages.py
@@ -25,11 +25,11 @@
 
     Attributes:
         failed: The engine aborted, timed out or returned an error of its own.
-        slowness: Time between stream events relative to the usual time at that load; 0 if there
-            were too few events.
+        slowness: Ratio of the time between two stream events of the turn to the usual time at that
+            load; above 1 is slower than usual, 0 if there were too few events.
         is_call: The request was a call to an app.
-        pace: Time between stream events, normalized to an engine that runs one turn, in
-            :data:`PACE_UNIT_SECONDS`; 0 if unknown.
+        pace: Time between two stream events of the turn, normalized to an engine that runs one
+            turn, in units of :data:`PACE_UNIT_SECONDS`; larger is slower, 0 if unknown.
     """
 
     engine_id: str
@@ -53,7 +53,7 @@
 
 PERCENT = 100.0
 PACE_UNIT_SECONDS = 1e-5
-"""Unit of paces in messages; far finer than the differences between engines."""
+"""Unit of ``pace`` in messages; far finer than the differences between engines."""
 NOT_COUNTED = -1
 """Replaces the number of running turns at an app, whose calls the leader does not count."""
 
@@ -64,12 +64,13 @@
     Attributes:
         running: Turns of all nodes running there; :data:`NOT_COUNTED` at an app.
         failed_percent: Share of recent turns that failed there, decaying with time.
-        slowness_percent: Time between stream events relative to the usual time at that load, for
-            nodes that do not report paces.
-        pace: Long-term time between stream events of a turn that runs alone, in
-            :data:`PACE_UNIT_SECONDS`; 0 if unknown.
-        samples: Number of samples that the pace is worth.
-        spell_percent: Current time between stream events relative to the long-term time.
+        slowness_percent: Average ``slowness`` of recent turns, in percent; 100 is the usual time.
+            For nodes that do not report ``pace``.
+        pace: Median time between two stream events of a turn that runs alone, in units of
+            :data:`PACE_UNIT_SECONDS`; larger is slower, 0 if unknown.
+        samples: Weight of ``pace`` as a number of samples; decays without new turns.
+        spell_percent: Temporary slowdown: current time between two stream events in percent of
+            ``pace``; 100 for none, more is slower.
     """
 
     engine_id: str
@@ -89,7 +90,7 @@
 
     Attributes:
         tenant: Empty for requests without one.
-        weight: Its share of the places relative to other tenants; above zero.
+        weight: Its share of the slots relative to other tenants; above zero.
         running: Turns at engines.
         waiting: First turns of programs that wait for an engine.
     """
@@ -104,7 +105,8 @@
     """Loads of one node's tenants at the engines of a pool.
 
     Attributes:
-        places: Requests that all engines of the pool serve concurrently, as the node knows them.
+        places: Slots: requests that the pool's engines, as far as the node knows them, can serve
+            concurrently.
     """
 
     pool: str
@@ -113,10 +115,11 @@
 
 
 class PoolShares(msgspec.Struct, frozen=True, array_like=True):
-    """Shares of a pool that has fewer places than its tenants demand.
+    """Shares of a pool that has fewer slots than its tenants demand.
 
     Attributes:
-        level: Places per unit of weight.
+        level: Slots per unit of weight that each tenant may use (max-min fair share); unrelated to
+            the level of a token bucket.
         beyond: Tenants that exceed their share while others lack theirs.
     """
 
@@ -147,12 +150,13 @@
     A request without operations gets no answer, unless it asks for engine data.
 
     Attributes:
-        asker: Address to which the answer is sent.
+        asker: The sender's address, to which the answer is sent.
         turns: The sender's turns at engines, if they have changed; not replicated.
         is_copied: The sender has sent the texts to the followers named by the leader.
         wants_engines: Requests of the sender wait for an engine, so it asks for engine data. Unset
             otherwise.
-        passed_turns: The turns of a node whose operation the sender relays.
+        passed_turns: The relayed report of the node whose operation the sender relays; unset if
+            the sender relays none.
         tenant_loads: Loads of the sender's tenants, together with ``turns``; unset without tenants.
     """
 
@@ -173,6 +177,7 @@
     ``asker``. It does not relay the operation to a third node.
 
     Attributes:
+        asker: Address of the sender, to which the answer is sent.
         turns: All turns of the sender at engines, which the leader receives in no other way.
         tenant_loads: Loads of the sender's tenants, if due.
     """
@@ -185,7 +190,7 @@
 
 
 class LeaderHint(msgspec.Struct, frozen=True, array_like=True):
-    """The leader and its address."""
+    """A storage replica, the leader or a follower, and its address."""
 
     replica: ReplicaId
     address: Address
@@ -215,12 +220,12 @@
     Attributes:
         results: Empty if the receiver does not lead; nothing was applied then.
         term: The replica's term; leaders of a later term are more recent.
-        passed_on: The answer was relayed, so it does not show that the ledger is reachable
-            directly.
+        passed_on: The answer was relayed by another forwarding node, so it does not show that
+            the ledger is reachable directly.
         engines: Data on engines, with the answer to a reservation or on request; empty if unknown.
-        copies_to: Followers to which nodes send texts, with the answer to a reservation; empty
-            while the leader's link has spare capacity.
-        shares: Shares of pools with too few places, with the answer to a reservation; unset without
+        copies_to: Replica ids and addresses of the followers to which nodes send texts, with
+            the answer to a reservation; empty while the leader's link has spare capacity.
+        shares: Shares of pools with too few slots, with the answer to a reservation; unset without
             tenants.
     """
 
@@ -281,6 +286,7 @@
 
     Attributes:
         digest: Checksum of the complete command.
+        cuts: Positions of the texts in the complete command.
     """
 
     index: int
@@ -297,7 +303,8 @@
     """A Raft message and its sender's address.
 
     Attributes:
-        cuts: Texts stripped from the entries; the receiver gets them from nodes.
+        cuts: The entries from which texts were stripped, with the positions of the texts. The
+            receiver gets the texts from the forwarding nodes.
     """
 
     sender_address: Address
--- a/src/yokeline/ledger/operations.py
+++ b/src/yokeline/ledger/operations.py
@@ -1,4 +1,7 @@
-"""Operations on the ledger and their results, as stored in log entries."""
+"""Operations on the ledger and their results, as stored in log entries.
+
+:mod:`yokeline.ledger` defines program, session, turn, chain and kind.
+"""
 
 from __future__ import annotations
 
@@ -36,17 +39,17 @@
 
     Attributes:
         request_id: Identifies the request; a reservation with the same id is a duplicate.
-        program: Program whose budget is charged; empty for none, so that only ``previous`` is
-            looked up.
+        program: Program whose budget is charged; empty for none. The operation then only counts
+            against ``limit`` and looks up ``previous``.
         session: Session of the turn within the program.
-        budget: Tokens that the program may generate in total.
+        budget: Tokens that all turns of the program may generate in total.
         tokens: Maximum tokens that this turn generates.
         retention: Seconds for which the program is kept after its last turn.
-        previous: The turn that this one continues; empty for none.
+        previous: Request id of the turn that this one continues; empty for none.
         missing_from: The latest turn of the chain whose text the sender lacks; empty if it has all
             texts.
         limit: The limit against which the turn counts as one request; None for none.
-        kind: Kind of program (the route's name); empty if unknown.
+        kind: Kind of program: the name of the request's route; empty if unknown.
         left: Seconds until the program's deadline; None if it has none.
     """
 
@@ -100,7 +103,8 @@
     """Count a request against its tenant's limit, without a reservation.
 
     Attributes:
-        is_owed: The request runs in any case, since it has run before; the bucket may go into debt.
+        is_owed: Charge the request without a check, because it continues a stream that has already
+            been admitted; the level of the bucket may become negative.
         program: Program of the request; empty for none.
     """
 
@@ -160,8 +164,9 @@
     """The tenant's limit is exhausted; nothing was reserved or counted.
 
     Attributes:
-        retry_after: Seconds until the limit admits such a request, if there is no other.
-        is_empty: The limit admits no request at all. Otherwise it refuses only new programs.
+        retry_after: Seconds until the limit admits the request, if no other request is counted
+            until then.
+        is_empty: All requests are refused; otherwise only first turns of programs.
     """
 
     retry_after: float
--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -17,8 +17,8 @@
 """Time after which a node with turns at engines reports without changes; the leader drops a node's
 loads after three such periods without a report."""
 ROWS_SECONDS = 0.05
-"""Minimum time between two reports with tenants' loads, which are longer than the rest of a
-report."""
+"""Minimum time between two reports with tenants' loads, which are larger than the rest of
+a report."""
 MAX_UNREPORTED_OUTCOMES = 256
 """Outcomes waiting to be reported; the oldest are dropped, as they only affect the choice of
 engines."""
@@ -48,8 +48,9 @@
 
     Attributes:
         dropped: Outcomes that were dropped without a report.
-        earlier_name: Returns the name under which an engine's load is also reported at a time, for
-            nodes of an earlier release; empty for none.
+        earlier_name: Called with an engine's id and the current time. Returns the id by which nodes
+            of an earlier release know the engine, under which its load is reported as well; empty
+            for none.
         tenants: Source of the tenants' loads; None by default.
     """
 
--- a/src/yokeline/ledger/quotas.py
+++ b/src/yokeline/ledger/quotas.py
@@ -4,8 +4,8 @@
 sent to an engine, so the limit holds across partitions, restarts and leader changes, and does not
 depend on how requests are distributed over nodes.
 
-Buckets refill by leader time (:class:`LeadershipClock`), which never runs ahead of real time, even
-if a wall clock is changed.
+Buckets refill by leadership time (:class:`LeadershipClock`), which never runs ahead of real
+time, even if a wall clock is changed.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
     """The token bucket of one tenant.
 
     Attributes:
-        level: Tokens at ``at`` (leader time in seconds).
+        level: Tokens at ``at`` (leadership time in seconds).
         version: Version of the configuration that set the limit.
     """
 
@@ -62,14 +62,14 @@
     """The buckets of all tenants; part of the ledger's state.
 
     Attributes:
-        time: Leader time of the latest log entry, in seconds.
+        time: Leadership time of the latest log entry, in seconds.
     """
 
     time: float = 0.0
     accounts: dict[str, TokenBucket] = {}
 
     def transition_advance(self, time: float) -> None:
-        """Advance the leader time to that of a log entry."""
+        """Advance the leadership time to that of a log entry."""
         self.time = max(self.time, time)
 
     def transition_draw(self, limit: RateLimit, *, is_new: bool) -> QuotaSpent | None:
@@ -147,9 +147,9 @@
 
 
 class LeadershipClock:
-    """Clock that runs while a replica leads, starting at the leader time in its log.
+    """Clock that runs while a replica leads, starting at the leadership time in its log.
 
-    Each leader adds at most the time for which it leads to the applied leader time, so that all
+    Each leader adds at most the time for which it leads to the applied leadership time, so that all
     leaders together never add more than real time.
     """
 
@@ -160,11 +160,11 @@
         self._base_at = 0.0
 
     def time(self, term: int, applied: float, now: float) -> float:
-        """Return the leader time for an entry.
+        """Return the leadership time for an entry.
 
         Args:
             term: The replica's term.
-            applied: Leader time of the latest applied entry.
+            applied: Leadership time of the latest applied entry.
             now: Monotonic seconds.
         """
         leader_time = self._base + (now - self._base_at)
--- a/src/yokeline/ledger/replica.py
+++ b/src/yokeline/ledger/replica.py
@@ -51,9 +51,9 @@
 """Minimum size of the log file for compaction. Each replica adds a random share of up to half, so
 that replicas do not all compact at once."""
 COMPACT_GROWTH_FACTOR = 2.0
-"""Growth of a compacted file after which it is compacted again; a state larger than the minimum
-size would otherwise be rewritten at every sync. A leader that cannot hand over compacts anyway once
-the file exceeds its limit by the same factor."""
+"""Factor by which a compacted file grows before it is compacted again; a state larger than the
+minimum size would otherwise be rewritten at every sync. A leader hands over before it compacts; if
+it cannot, it compacts once the file exceeds its limit by this factor."""
 MAX_APPLIED_PER_TICK = 200
 """Committed operations applied in one event-loop iteration, so that heartbeats are not delayed
 after a restart."""
@@ -74,9 +74,9 @@
 )
 
 BOOTSTRAP_INDEX = 1
-"""Index of the snapshot with which all founders start."""
+"""Log index of the initial snapshot, with which all founders start."""
 BOOTSTRAP_TERM = 1
-"""Term of that snapshot; no leader is elected in it."""
+"""Term of the initial snapshot; no leader is elected in this term."""
 
 IMMEDIATELY = float("-inf")
 """A deadline that is always due."""
--- a/src/yokeline/ledger/request_batches.py
+++ b/src/yokeline/ledger/request_batches.py
@@ -157,7 +157,7 @@
         )
 
     def _leader_time(self) -> float:
-        """Return the current leader time in seconds."""
+        """Return the current leadership time in seconds."""
         applied = self._replica.state().quotas.time
         return self._leadership_clock.time(self._replica.group.term, applied, self._now)
 
--- a/src/yokeline/ledger/response_times.py
+++ b/src/yokeline/ledger/response_times.py
@@ -15,7 +15,7 @@
 MIN_TIMEOUT_SECONDS = 0.15
 """Above the response time of a busy leader, below the election timeout."""
 MAX_TIMEOUT_SECONDS = 0.8
-"""Leaves a reservation, which is given up after 2 s, time to be retried through another node."""
+"""Short enough to retry a reservation through another node before its timeout of 2 s."""
 
 
 class ResponseTimeEstimator:
--- a/src/yokeline/ledger/state.py
+++ b/src/yokeline/ledger/state.py
@@ -1,7 +1,8 @@
 """The ledger's state machine: budgets of programs and retained turns.
 
 A transition depends on the state and the command alone, and every replica applies the same commands
-in the same order. Ledger time is the leader's wall clock, made monotonic.
+in the same order. Commands carry two clocks: ledger time, the leader's wall clock made monotonic,
+for expiry, and leadership time, which runs only while a replica leads, for rate limits.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 
 
 class LedgerCommand(msgspec.Struct, frozen=True, kw_only=True):
-    """One log entry: operations and the leader's time.
+    """One log entry: operations, and the leader's two clocks.
 
     Attributes:
-        time: Seconds since the epoch.
-        passed: Leader time in seconds (:class:`yokeline.ledger.quotas.LeadershipClock`).
+        time: The leader's wall clock, in seconds since the epoch.
+        passed: Leadership time in seconds (:class:`yokeline.ledger.quotas.LeadershipClock`).
     """
 
     time: float
@@ -62,8 +63,8 @@
         tenant: Tenant whose limit the program counts against; empty for none.
         kind: Kind of program, from its first turn.
         requests: Requests that were counted against the limit.
-        began_at: Leader time of the first counted request, in seconds.
-        active_at: Leader time of the latest counted request or settled turn, in seconds.
+        began_at: Leadership time of the first counted request, in seconds.
+        active_at: Leadership time of the latest counted request or settled turn, in seconds.
     """
 
     spent: int = 0
--- a/src/yokeline/ledger/storage_node.py
+++ b/src/yokeline/ledger/storage_node.py
@@ -198,8 +198,8 @@
     def _needs_no_watch(self, now: float) -> bool:
         """Return whether this node need not watch the key-value service.
 
-        Only the leader needs the operator's orders. The others watch only while they know no
-        leader, because every call to the service is billed.
+        The leader watches it for the operator's orders; other replicas watch it only while they
+        know no leader, because each call to the service is billed.
         """
         return not self.replica.leads and self._join_requester.knows_leader(now)
 
@@ -251,8 +251,8 @@
     def _try_sole_survivor(self, now: float) -> list[Effect]:
         """Let one of two members continue without the other, which may be lost for good.
 
-        Each of two members holds every entry committed by both, so either may continue, but only
-        one of them. The key-value service decides: it accepts the first write of one key per
+        In a group of two, every committed entry is on both members, so either may continue alone,
+        but not both. The key-value service decides: it accepts the first write of one key per
         configuration. The configuration must be committed, because a larger group could otherwise
         continue elsewhere.
         """
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -1,8 +1,9 @@
 """The leader's data on tenants' use of engines, and their shares.
 
-Places are the requests that a pool's engines serve concurrently. Nodes report their tenants'
-running and waiting turns together with their own turns. The data is neither replicated nor stored:
-a new leader has it once each node has reported, and the loads of silent nodes are dropped.
+``places`` are slots: the requests that a pool's engines can serve concurrently. Nodes
+report their tenants' running and waiting turns together with their own turns. The data is neither
+replicated nor stored: a new leader has it once each node has reported, and the loads of silent
+nodes are dropped.
 """
 
 from __future__ import annotations
@@ -64,7 +65,7 @@
             self.demands.pop(load.tenant, None)
 
     def shares(self) -> Shares:
-        """Return the shares of the pool; skips the computation if there are enough places."""
+        """Return the shares of the pool; skips the computation if there are enough slots."""
         if not self.waiting or self.wanted <= self.places:
             return Shares()
         return shares_of(self.demands.values(), self.places)
@@ -114,7 +115,7 @@
         self._beyond_share_at.clear()
 
     def shares(self, now: float) -> tuple[PoolShares, ...]:
-        """Return the shares of the pools that have too few places."""
+        """Return the shares of the pools that have too few slots."""
         self._forget_silent(now)
         if now - self._computed_at < self._max_age():
             return self._messages
@@ -133,7 +134,7 @@
         return max(SHARES_MAX_AGE_SECONDS, SHARES_MAX_AGE_SECONDS_PER_TENANT * tenants)
 
     def gauges(self) -> dict[str, float]:
-        """Return the level of each pool with too few places, and the turns of tenants beyond it."""
+        """Return the level of each pool with too few slots, and the turns of tenants beyond it."""
         gauges: dict[str, float] = {}
         for pool, shares in self._shares.items():
             gauges[f'yokeline_ledger_share_level{{pool="{pool}"}}'] = shares.level
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -52,7 +52,7 @@
 
 
 class TurnsUnderWay:
-    """The latest report of each node, and the engines by id."""
+    """The leader's counts of running turns: the latest report of each node, and sums by engine."""
 
     def __init__(self) -> None:
         """Start without reports."""
--- a/tests/unit/ledger/cluster.py
+++ b/tests/unit/ledger/cluster.py
@@ -322,7 +322,7 @@
     # ------------------------------------------------------------ requests
 
     def ask(self, operation: Operation, limit: float = 5.0) -> OperationResult | None:
-        """Submit an operation through the default edge, and wait for its result."""
+        """Submit an operation through the default forwarding node, and wait for its result."""
         answers: list[OperationResult | None] = []
 
         def done(result: OperationResult | None, now: float) -> list[Effect]:
--- a/tests/unit/ledger/test_admission_replay.py
+++ b/tests/unit/ledger/test_admission_replay.py
@@ -65,7 +65,7 @@
 
 
 class AdmissionPolicies(unittest.TestCase):
-    """The policies of ``benchmarks.program_admission`` on the same arrivals."""
+    """The policies of ``benchmarks.program_admission``, each with one sequence of arrivals."""
 
     def test_by_time_loses_fewer_programs_and_uses_more_of_the_limit(self) -> None:
         slow = replace(
--- a/tests/unit/ledger/test_storage_nodes.py
+++ b/tests/unit/ledger/test_storage_nodes.py
@@ -170,7 +170,7 @@
         self.assertTrue(cluster.run_until(cluster.all_members, 10.0))
 
     def test_a_late_founder_receives_the_group_from_its_leader_and_keeps_its_entries(self) -> None:
-        """It must not bootstrap, because it may hold acknowledged entries."""
+        """The replica must not bootstrap, because it may hold acknowledged entries."""
         cluster = Cluster(3, 1)
         late = cluster.machines[2]
         cluster.run_until(lambda: FOUNDERS_KEY in cluster.store.items, 5.0)
--- a/tests/unit/ledger/test_text_copies.py
+++ b/tests/unit/ledger/test_text_copies.py
@@ -1,4 +1,4 @@
-"""Texts sent to followers by nodes; the replicated log is the same with and without them."""
+"""Texts sent to followers by nodes; the replicated log does not depend on them."""
 
 from __future__ import annotations
 
