--- a/src/yokeline/ledger/admission_controller.py
+++ b/src/yokeline/ledger/admission_controller.py
@@ -70,17 +70,17 @@
             term: The leader's term.
             leader_time: Leadership time in seconds.
         """
-        spent = state.known_refusal(operation, leader_time)
+        limit_refusal = state.known_refusal(operation, leader_time)
         if isinstance(operation, Settle) or operation.limit is None:
-            return spent, []
+            return limit_refusal, []
         if isinstance(operation, Draw) or not self._begins_program(operation, state):
-            if spent is not None:
+            if limit_refusal is not None:
                 self._claims.note_refused(operation.program)
-            return spent, []
-        if spent is not None and spent.is_empty:
+            return limit_refusal, []
+        if limit_refusal is not None and limit_refusal.is_empty:
             self.refused[CAUSE_LIMIT] += 1
-            return spent, []
-        return self._decide(operation, state, term, leader_time, spent)
+            return limit_refusal, []
+        return self._decide(operation, state, term, leader_time, limit_refusal)
 
     def _decide(
         self,
@@ -88,9 +88,9 @@
         state: LedgerState,
         term: int,
         leader_time: float,
-        spent: QuotaSpent | None,
+        limit_refusal: QuotaSpent | None,
     ) -> tuple[QuotaSpent | None, list[LogRecord]]:
-        """Decide on a new program; ``spent`` is the bucket's refusal, if any."""
+        """Decide on a new program; ``limit_refusal`` is the bucket's refusal, if any."""
         assert operation.limit is not None
         tenant, kind = operation.limit.tenant, operation.kind
         supply = state.quotas.available_supply(operation.limit, leader_time)
@@ -102,16 +102,19 @@
             decision = self._claims.decide(candidate, supply, leader_time)
         if decision is not None and not decision.is_let_in:
             self.refused[CAUSE_CLAIMS] += 1
-            wait = max(decision.retry_after, spent.retry_after if spent is not None else 0.0)
+            wait = max(
+                decision.retry_after,
+                limit_refusal.retry_after if limit_refusal is not None else 0.0,
+            )
             records = self._log_limit.take(
                 leader_time, self._refusal_record(operation, supply, decision, wait)
             )
             return QuotaSpent(retry_after=wait, is_empty=False), records
-        if spent is not None:
+        if limit_refusal is not None:
             self.refused[CAUSE_RESERVED_SHARE] += 1
         elif operation.program:
             self._claims.add_provisional(candidate, leader_time)
-        return spent, []
+        return limit_refusal, []
 
     def note_result(
         self,
