--- a/src/yokeline/ledger/node_reports.py
+++ b/src/yokeline/ledger/node_reports.py
@@ -27,8 +27,9 @@
 class NodeReports(Generic[_Load]):
     """The latest loads reported by each process of a forwarding node.
 
-    After a restart, a node has a new process id, and its sequence numbers begin again. A caller that keeps sums of the loads subtracts what :meth:`pop_report` and
-    :meth:`pop_silent_loads` return.
+    After a restart, a node has a new process id, and its sequence numbers begin again. A caller
+    that keeps sums of the loads subtracts what :meth:`pop_report` and :meth:`pop_silent_loads`
+    return.
     """
 
     def __init__(self) -> None:
--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -60,8 +60,8 @@
         self.earlier_name: Callable[[str, float], str] = _no_earlier_name
         self.tenants: TenantLoadSource | None = None
         self._reported_changes = 0
-        self._rows_reported_at = float("-inf")
-        self._owes_rows = False
+        self._tenant_loads_reported_at = float("-inf")
+        self._tenant_loads_overdue = False
         self._running: dict[str, str] = {}
         self._served: list[TurnServed] = []
         self._sequence = 0
@@ -97,14 +97,14 @@
     def leader_changed(self) -> None:
         """Report soon, since a new leader has no data on this node."""
         self._has_changes = self._has_changes or self._has_load()
-        self._rows_reported_at = float("-inf")
+        self._tenant_loads_reported_at = float("-inf")
 
     def report_due(self) -> float | None:
         """Return when a report is due; None if there is nothing to report."""
         if self._has_changes:
             return float("-inf")
-        if self._owes_rows or self._tenants_changed():
-            return self._rows_reported_at + ROWS_SECONDS
+        if self._tenant_loads_overdue or self._tenants_changed():
+            return self._tenant_loads_reported_at + ROWS_SECONDS
         return self._reported_at + REFRESH_SECONDS if self._has_load() else None
 
     def take_report(self, now: float) -> NodeTurns | None:
@@ -129,16 +129,16 @@
     def take_rows(self, now: float) -> tuple[PoolLoad, ...] | UnsetType:
         """Return the tenants' loads to accompany a report.
 
-        Unset if the configuration has no tenants, or if less than :data:`ROWS_SECONDS` have passed
-        since the last loads; a report is then due when they have.
+        Unset if the configuration has no tenants, or if the loads were last returned less than
+        :data:`ROWS_SECONDS` ago; another report is then due at the end of that period.
         """
         if self.tenants is None or not self.tenants.is_used:
-            self._owes_rows = False
+            self._tenant_loads_overdue = False
             return UNSET
-        self._owes_rows = now < self._rows_reported_at + ROWS_SECONDS
-        if self._owes_rows:
+        self._tenant_loads_overdue = now < self._tenant_loads_reported_at + ROWS_SECONDS
+        if self._tenant_loads_overdue:
             return UNSET
-        self._rows_reported_at = now
+        self._tenant_loads_reported_at = now
         self._reported_changes = self.tenants.changes
         return self.tenants.rows()
 
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -101,8 +101,8 @@
         for load in countable:
             pool = self._pools.setdefault(load.pool, _Pool())
             pool.places = load.places
-            for row in load.tenants:
-                pool.add(row)
+            for tenant_load in load.tenants:
+                pool.add(tenant_load)
 
     def clear(self) -> None:
         """Drop all data, because another replica leads."""
@@ -181,17 +181,23 @@
         return [line]
 
     def _countable(self, load: PoolLoad) -> PoolLoad:
-        """Return the load without empty rows, and without tenants beyond :data:`MAX_TENANTS`."""
+        """Return the load without tenants that have no turns or exceed :data:`MAX_TENANTS`."""
         pool = self._pools.get(load.pool)
-        rows = tuple(row for row in load.tenants if row.running > 0 or row.waiting > 0)
+        tenant_loads = tuple(
+            tenant_load
+            for tenant_load in load.tenants
+            if tenant_load.running > 0 or tenant_load.waiting > 0
+        )
         if pool is not None and len(pool.demands) >= MAX_TENANTS:
-            rows = tuple(row for row in rows if row.tenant in pool.demands)
-        return msgspec.structs.replace(load, tenants=rows)
+            tenant_loads = tuple(
+                tenant_load for tenant_load in tenant_loads if tenant_load.tenant in pool.demands
+            )
+        return msgspec.structs.replace(load, tenants=tenant_loads)
 
     def _subtract(self, loads: Iterable[PoolLoad]) -> None:
         for load in loads:
-            for row in load.tenants:
-                self._pools[load.pool].remove(row)
+            for tenant_load in load.tenants:
+                self._pools[load.pool].remove(tenant_load)
 
     def _forget_silent(self, now: float) -> None:
         silent = self._nodes.pop_silent_loads(now)
