--- a/src/yokeline/ledger/operations.py
+++ b/src/yokeline/ledger/operations.py
@@ -25,7 +25,7 @@
 
     Attributes:
         rate: Requests per second.
-        burst: Requests above the rate that may accumulate while unused.
+        burst: Size of the token bucket: requests that may be sent at once after a pause.
     """
 
     tenant: str
@@ -46,8 +46,8 @@
         tokens: Maximum tokens that this turn generates.
         retention: Seconds for which the program is kept after its last turn.
         previous: Request id of the turn that this one continues; empty for none.
-        missing_from: The latest turn of the chain whose text the sender lacks; empty if it has all
-            texts.
+        missing_from: The latest turn of the chain whose text the sender lacks. The answer contains
+            this turn and all earlier ones; empty if the sender has all texts.
         limit: The limit against which the turn counts as one request; None for none.
         kind: Kind of program: the name of the request's route; empty if unknown.
         left: Seconds until the program's deadline; None if it has none.
@@ -70,10 +70,10 @@
     """A turn that was answered completely.
 
     Attributes:
-        turn_id: Its request id.
-        previous: The turn that it continues; empty for none.
-        text: Its input followed by its output.
-        retention: Seconds for which it is retained, with its chain.
+        turn_id: Request id of the turn.
+        previous: Request id of the turn that it continues; empty for none.
+        text: Input of the turn followed by its output.
+        retention: Seconds for which the turn and the turns of its chain are retained.
     """
 
     turn_id: str
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -60,7 +60,7 @@
         self._engines: dict[str, _EngineRecord] = {}
 
     def __len__(self) -> int:
-        """Return the number of running turns."""
+        """Return the number of running turns of all nodes."""
         return sum(record.running for record in self._engines.values())
 
     def take(self, process: ReplicaId, report: NodeTurns, now: float) -> None:
--- a/tests/unit/ledger/test_claims.py
+++ b/tests/unit/ledger/test_claims.py
@@ -262,7 +262,7 @@
 
 
 class LatePrograms(ClaimCase):
-    """Refused programs that retry too late leave the limit to those that meet their deadline."""
+    """Refused programs that retry too late are refused in favor of programs that meet deadlines."""
 
     time_limit = 4.0
 
@@ -316,7 +316,7 @@
         self.assertTrue(self.ask("p", 0.1, FULL).is_let_in)
 
     def test_admitted_programs_of_a_tenant_at_twice_its_limit_meet_their_deadlines(self) -> None:
-        """Each refused program retries up to five times; few are admitted too late."""
+        """Refused programs retry up to five times; few programs are admitted too late."""
         in_time, let_in = self.replay(knows_time=True)
         before, let_in_before = self.replay(knows_time=False)
         self.assertGreater(in_time, 0.95 * let_in)
