--- a/src/yokeline/ledger/own_turns.py
+++ b/src/yokeline/ledger/own_turns.py
@@ -17,8 +17,8 @@
 """Time after which a node with turns at engines reports without changes; the leader drops a node's
 loads after three such periods without a report."""
 ROWS_SECONDS = 0.05
-"""Minimum time between two reports with tenants' loads, which are longer than the rest of a
-report."""
+"""Minimum time between two reports with tenants' loads, which are larger than the rest of
+a report."""
 MAX_UNREPORTED_OUTCOMES = 256
 """Outcomes waiting to be reported; the oldest are dropped, as they only affect the choice of
 engines."""
@@ -48,8 +48,9 @@
 
     Attributes:
         dropped: Outcomes that were dropped without a report.
-        earlier_name: Returns the name under which an engine's load is also reported at a time, for
-            nodes of an earlier release; empty for none.
+        earlier_name: Called with an engine's id and the current time. Returns the id by which nodes
+            of an earlier release know the engine, under which its load is reported as well; empty
+            for none.
         tenants: Source of the tenants' loads; None by default.
     """
 
@@ -59,8 +60,8 @@
         self.earlier_name: Callable[[str, float], str] = _no_earlier_name
         self.tenants: TenantLoadSource | None = None
         self._reported_changes = 0
-        self._rows_reported_at = float("-inf")
-        self._owes_rows = False
+        self._tenant_loads_reported_at = float("-inf")
+        self._tenant_loads_overdue = False
         self._running: dict[str, str] = {}
         self._served: list[TurnServed] = []
         self._sequence = 0
@@ -96,14 +97,14 @@
     def leader_changed(self) -> None:
         """Report soon, since a new leader has no data on this node."""
         self._has_changes = self._has_changes or self._has_load()
-        self._rows_reported_at = float("-inf")
+        self._tenant_loads_reported_at = float("-inf")
 
     def report_due(self) -> float | None:
         """Return when a report is due; None if there is nothing to report."""
         if self._has_changes:
             return float("-inf")
-        if self._owes_rows or self._tenants_changed():
-            return self._rows_reported_at + ROWS_SECONDS
+        if self._tenant_loads_overdue or self._tenants_changed():
+            return self._tenant_loads_reported_at + ROWS_SECONDS
         return self._reported_at + REFRESH_SECONDS if self._has_load() else None
 
     def take_report(self, now: float) -> NodeTurns | None:
@@ -128,16 +129,16 @@
     def take_rows(self, now: float) -> tuple[PoolLoad, ...] | UnsetType:
         """Return the tenants' loads to accompany a report.
 
-        Unset if the configuration has no tenants, or if less than :data:`ROWS_SECONDS` have passed
-        since the last loads; a report is then due when they have.
+        Unset if the configuration has no tenants, or if the loads were last returned less than
+        :data:`ROWS_SECONDS` ago; another report is then due at the end of that period.
         """
         if self.tenants is None or not self.tenants.is_used:
-            self._owes_rows = False
+            self._tenant_loads_overdue = False
             return UNSET
-        self._owes_rows = now < self._rows_reported_at + ROWS_SECONDS
-        if self._owes_rows:
+        self._tenant_loads_overdue = now < self._tenant_loads_reported_at + ROWS_SECONDS
+        if self._tenant_loads_overdue:
             return UNSET
-        self._rows_reported_at = now
+        self._tenant_loads_reported_at = now
         self._reported_changes = self.tenants.changes
         return self.tenants.rows()
 
--- a/src/yokeline/ledger/tenant_places.py
+++ b/src/yokeline/ledger/tenant_places.py
@@ -1,8 +1,9 @@
 """The leader's data on tenants' use of engines, and their shares.
 
-Places are the requests that a pool's engines serve concurrently. Nodes report their tenants'
-running and waiting turns together with their own turns. The data is neither replicated nor stored:
-a new leader has it once each node has reported, and the loads of silent nodes are dropped.
+``places`` are slots: the requests that a pool's engines can serve concurrently. Nodes
+report their tenants' running and waiting turns together with their own turns. The data is neither
+replicated nor stored: a new leader has it once each node has reported, and the loads of silent
+nodes are dropped.
 """
 
 from __future__ import annotations
@@ -64,7 +65,7 @@
             self.demands.pop(load.tenant, None)
 
     def shares(self) -> Shares:
-        """Return the shares of the pool; skips the computation if there are enough places."""
+        """Return the shares of the pool; skips the computation if there are enough slots."""
         if not self.waiting or self.wanted <= self.places:
             return Shares()
         return shares_of(self.demands.values(), self.places)
@@ -100,8 +101,8 @@
         for load in countable:
             pool = self._pools.setdefault(load.pool, _Pool())
             pool.places = load.places
-            for row in load.tenants:
-                pool.add(row)
+            for tenant_load in load.tenants:
+                pool.add(tenant_load)
 
     def clear(self) -> None:
         """Drop all data, because another replica leads."""
@@ -114,7 +115,7 @@
         self._beyond_share_at.clear()
 
     def shares(self, now: float) -> tuple[PoolShares, ...]:
-        """Return the shares of the pools that have too few places."""
+        """Return the shares of the pools that have too few slots."""
         self._forget_silent(now)
         if now - self._computed_at < self._max_age():
             return self._messages
@@ -133,7 +134,7 @@
         return max(SHARES_MAX_AGE_SECONDS, SHARES_MAX_AGE_SECONDS_PER_TENANT * tenants)
 
     def gauges(self) -> dict[str, float]:
-        """Return the level of each pool with too few places, and the turns of tenants beyond it."""
+        """Return the level of each pool with too few slots, and the turns of tenants beyond it."""
         gauges: dict[str, float] = {}
         for pool, shares in self._shares.items():
             gauges[f'yokeline_ledger_share_level{{pool="{pool}"}}'] = shares.level
@@ -180,17 +181,23 @@
         return [line]
 
     def _countable(self, load: PoolLoad) -> PoolLoad:
-        """Return the load without empty rows, and without tenants beyond :data:`MAX_TENANTS`."""
+        """Return the load without tenants that have no turns or exceed :data:`MAX_TENANTS`."""
         pool = self._pools.get(load.pool)
-        rows = tuple(row for row in load.tenants if row.running > 0 or row.waiting > 0)
+        tenant_loads = tuple(
+            tenant_load
+            for tenant_load in load.tenants
+            if tenant_load.running > 0 or tenant_load.waiting > 0
+        )
         if pool is not None and len(pool.demands) >= MAX_TENANTS:
-            rows = tuple(row for row in rows if row.tenant in pool.demands)
-        return msgspec.structs.replace(load, tenants=rows)
+            tenant_loads = tuple(
+                tenant_load for tenant_load in tenant_loads if tenant_load.tenant in pool.demands
+            )
+        return msgspec.structs.replace(load, tenants=tenant_loads)
 
     def _subtract(self, loads: Iterable[PoolLoad]) -> None:
         for load in loads:
-            for row in load.tenants:
-                self._pools[load.pool].remove(row)
+            for tenant_load in load.tenants:
+                self._pools[load.pool].remove(tenant_load)
 
     def _forget_silent(self, now: float) -> None:
         silent = self._nodes.pop_silent_loads(now)
--- a/src/yokeline/ledger/turns_under_way.py
+++ b/src/yokeline/ledger/turns_under_way.py
@@ -52,7 +52,7 @@
 
 
 class TurnsUnderWay:
-    """The latest report of each node, and the engines by id."""
+    """The leader's counts of running turns: the latest report of each node, and sums by engine."""
 
     def __init__(self) -> None:
         """Start without reports."""
@@ -60,7 +60,7 @@
         self._engines: dict[str, _EngineRecord] = {}
 
     def __len__(self) -> int:
-        """Return the number of running turns."""
+        """Return the number of running turns of all nodes."""
         return sum(record.running for record in self._engines.values())
 
     def take(self, process: ReplicaId, report: NodeTurns, now: float) -> None:
