--- a/src/yokeline/runs/model.py
+++ b/src/yokeline/runs/model.py
@@ -1,9 +1,16 @@
 """Types of the replicated state of runs, and the commands in a shard's log.
 
-A **run** is the execution of one request to a program. It consists of numbered **calls**
-(model, tool, app or child run) and a **history** of messages. The state changes only by
-applying :data:`Command` values in log order, which is deterministic and reads no clock: the
-commands contain their times. Fields named ``*_wall`` are Unix times in seconds.
+A **program** is a configured definition. A **run** is the execution of one request to a
+program, and a **run tree** is a root run with all its descendants. A run consists of numbered
+**calls** (model, tool, app or child run) and a **history** of messages. The input of a
+conversation starts a **turn**, which may take several calls.
+
+The state changes only by applying :data:`Command` values in log order, which is deterministic
+and reads no clock: the commands contain their times. Fields named ``*_wall`` are Unix times in
+seconds; ``wall_seconds`` is a duration.
+
+A run **ends** when it becomes final or, in a conversation, idle. ``FINAL_STATUSES`` does not
+contain idle, because an idle conversation accepts another turn.
 """
 
 from __future__ import annotations
@@ -41,6 +48,7 @@
         RunStatus.OUTCOME_UNKNOWN,
     }
 )
+"""Statuses that no longer change; an idle conversation is not final."""
 
 
 class CallKind(enum.Enum):
@@ -85,7 +93,12 @@
 
 
 class ChatMessage(msgspec.Struct, frozen=True, kw_only=True):
-    """One message of a run's history."""
+    """One message of a run's history.
+
+    Attributes:
+        tool_requests: Tool requests of an assistant message.
+        tokens: Number of completion tokens of an assistant message; 0 for other messages.
+    """
 
     role: Role
     content: str
@@ -153,9 +166,11 @@
             different digest is an error.
         app: Name of the app, for a request to an app; empty for an agent program.
         tools: Names of tools that the model may call.
-        children: Names of programs that the model may run as children.
-        worth: Weight of a timely answer.
-        deadline_wall: Time by which the caller wants the answer.
+        children: Names of programs that the model may run as children; ``Run.children`` is
+            the number of child runs.
+        repeatable: Whether calls to the app may be repeated, that is, are idempotent.
+        worth: Weight of the run in scheduling.
+        deadline_wall: Unix time by which the caller wants the answer.
     """
 
     tenant: str
@@ -185,11 +200,15 @@
     Attributes:
         number: Number of the call within the run, counted from 1.
         attempt: Number of the attempt, counted from 1; above 1 only for repeatable calls.
+        repeatable: Whether a failed attempt may be followed by another attempt.
         backend: Name of the engine, tool or app; for a child, its run id.
         fence: Fencing token: the term of the leader that started the attempt.
         reason: Human-readable reason for the selection of the back end.
-        answered: Whether the call's message is in the history; no other attempt may follow.
-        may_have_run: Whether any finished attempt may have been executed by the back end.
+        tool_request: The model's request that the call carries out; None for model calls.
+        answered: Whether the call's result message is in the history, so that no other attempt
+            may follow.
+        may_have_run: Whether the back end may have executed any finished attempt. The function
+            ``rules.may_have_run`` also counts an attempt in flight.
     """
 
     number: int
@@ -214,10 +233,13 @@
     """The state of one run.
 
     Attributes:
+        turn: Number of the current turn, counted from 1; unrelated to ``Budget.turns``, which
+            limits model calls.
         children: Number of child runs created so far.
         spent: Usage of the run and all its descendants.
         reserved: Reservations of the in-flight calls of the run and all its descendants.
-        turn_started_wall: Time at which the input of the current turn was added.
+        finished_wall: Unix time at which the run last became final or idle.
+        turn_started_wall: Unix time at which the input of the current turn was added.
         turn_first_call: Number of the current turn's first call, which may not exist yet.
     """
 
@@ -306,7 +328,7 @@
 
 
 class FinishRun(msgspec.Struct, frozen=True, kw_only=True, tag="finish_run"):
-    """Set the answer and the final or idle status of a run."""
+    """Set the answer of a run and its final status, or idle status for a conversation."""
 
     run: RunId
     status: RunStatus
@@ -324,14 +346,16 @@
 
 
 class ForgetRuns(msgspec.Struct, frozen=True, kw_only=True, tag="forget_runs"):
-    """Remove final and idle runs after their retention time."""
+    """Remove final runs and idle conversations after their retention time."""
 
     runs: tuple[RunId, ...]
     wall: float
 
 
 class RecoverShard(msgspec.Struct, frozen=True, kw_only=True, tag="recover_shard"):
-    """First command of a shard group recovered from a copy; see ``runs.recovery``.
+    """First command of a shard group recovered from a copy after the loss of its quorum.
+
+    See ``runs.recovery``. A change of leader does not need this command.
 
     Attributes:
         copy_of: Replica id of the process that wrote the copy.
