--- a/src/yokeline/runs/cache_actions.py
+++ b/src/yokeline/runs/cache_actions.py
@@ -1,4 +1,7 @@
-"""Carries out cache decisions at engines: hold, release and drop a program's context."""
+"""Carries out cache decisions at engines: hold, release and drop a run tree's cached context.
+
+A hold is a lease that keeps a context in an engine's cache (pins it) until it expires.
+"""
 
 from __future__ import annotations
 
@@ -25,8 +28,8 @@
 class CacheActions:
     """Reports pauses to the engine directory and carries out the policy's cache decisions.
 
-    Requests to engines are best effort: a hold is a lease that expires, and entries left by a
-    lost release are dropped by the engine's steward (``scheduling.steward``).
+    Requests to engines are best effort: a hold expires by itself, and the cache reconciler
+    (``scheduling.steward``) drops entries whose release was lost.
     """
 
     def __init__(self, core: ExecutorCore, engines: EngineDirectoryInterface) -> None:
@@ -45,11 +48,11 @@
             self._carry_out(shard, root, planned)
 
     def run_ended(self, shard: ShardId, run: Run) -> None:
-        """Apply the cache decision for a child run that has ended."""
+        """Apply the policy's cache decision for a child run that has become final."""
         self.pause_started(shard, run, PauseCause(kind=PauseKind.END, name=program_name(run)))
 
     def turn_ended(self, shard: ShardId, run: Run) -> None:
-        """Apply the cache decision for a conversation that has become idle."""
+        """Apply the policy's cache decision for a conversation that has become idle."""
         self.pause_started(shard, run, PauseCause(kind=PauseKind.TURN, name=program_name(run)))
 
     def pause_ended(self, run: Run) -> None:
@@ -59,13 +62,13 @@
             self._engines.pause_ended(pause.cause.kind, pause.cause.name, pause.seconds)
 
     def end_hold(self, engine: str, cache_key: RunId) -> None:
-        """Release the hold of a context that a call uses again."""
+        """Release the cache hold of a context that a call uses again."""
         address = self._engines.hold_ended(engine, cache_key)
         if address is not None:
             self._client.release_hold(address, cache_key, self._count_result("release"))
 
     def drop(self, address: Address, cache_key: RunId) -> None:
-        """Drop the cached context of a program at an engine."""
+        """Drop the cached context of a run tree at an engine."""
         self._client.drop_entries(address, cache_key, self._count_result("drop"))
 
     # ------------------------------------------------------------ requests to engines
