--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -1,4 +1,8 @@
-"""Removal of runs after their retention time, and release of their engine caches."""
+"""Removal of runs after their retention time, and release of their engine caches.
+
+A run has **ended** here if it is final or an idle conversation. Its retention ends
+``retention_seconds`` after it became final or ``idle_seconds`` after it became idle.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 
 
 class Retention:
-    """Tracks the ended runs of the shards that this node leads."""
+    """Tracks the ended root runs of the shards that this node leads."""
 
     def __init__(
         self, core: ExecutorCore, engines: EngineDirectoryInterface, cache: CacheActions
@@ -41,7 +45,7 @@
     # ------------------------------------------------------------ ended runs
 
     def run_ended(self, shard: ShardId, run: Run) -> None:
-        """Release the caches of an idle or final run and schedule the removal of a root run."""
+        """Apply the cache decision for an idle or final run, and schedule a root run's removal."""
         if run.parent is not None:
             self._cache.run_ended(shard, run)
             return
@@ -84,9 +88,9 @@
     # ------------------------------------------------------------ caches
 
     def release_caches(self, shard: ShardId, root: Run) -> None:
-        """Drop the context of an ended run tree at every engine that may still hold it.
+        """Drop the context of an ended run tree at every engine that may have it in its cache.
 
-        This does not depend on the scheduling policy: ended programs must not occupy memory.
+        The scheduling policy has no say: an ended run tree needs no cache memory.
         """
         state_machine = self._core.host.state_machine(shard)
         tree = descendants(state_machine.runs, root) if state_machine is not None else [root]
