--- a/src/yokeline/runs/demands.py
+++ b/src/yokeline/runs/demands.py
@@ -1,4 +1,8 @@
-"""Scheduling demand of a run's next model call, derived from the run's state."""
+"""Scheduling demand of a run's next model call, derived from the run's state.
+
+The ``program`` of a demand is the configured program's name; ``program_since`` and
+``attained_service`` describe the run tree.
+"""
 
 from __future__ import annotations
 
