--- a/src/yokeline/runs/pauses.py
+++ b/src/yokeline/runs/pauses.py
@@ -1,4 +1,8 @@
-"""Pauses between the model calls of a run, derived from its state for scheduling policies."""
+"""Pauses of a run, derived from its state for scheduling policies.
+
+A pause is the idle gap between the end of one model call and the start of the next, in which the
+run waits for tools, child runs or the next turn.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,7 @@
 
 
 class EndedPause(msgspec.Struct, frozen=True, kw_only=True):
-    """A finished pause and its length in seconds."""
+    """A pause that the next model call has ended, and its length in seconds."""
 
     cause: PauseCause
     seconds: float
@@ -42,7 +46,7 @@
 
 
 def pause_cause(run: Run) -> PauseCause | None:
-    """Return the cause of the pause that begins with a run's next call, a non-model call.
+    """Return the cause of the pause before a run's next call, which is not a model call.
 
     Returns None if the last call was not a model call, because the pause has already begun.
     """
@@ -53,7 +57,7 @@
 
 
 def ended_pause(run: Run, wall: float) -> EndedPause | None:
-    """Return the pause that a run's next model call ends, or None if there was none."""
+    """Return the pause between the last model call and the next, or None if there was none."""
     last = last_model_call(run)
     if last is None or last.finished_wall is None:
         return None
@@ -72,7 +76,7 @@
 
 
 def program_pause(run: Run, root: Run, cause: PauseCause) -> ProgramPause | None:
-    """Return the pause of a run that begins now, or None if no engine has its context."""
+    """Return the pause that begins now, or None if the run has made no model call yet."""
     last = last_model_call(run)
     if last is None:
         return None
