--- a/src/yokeline/runs/activity.py
+++ b/src/yokeline/runs/activity.py
@@ -34,7 +34,7 @@
     """The start of the call is committed; the leader lease does not allow sending yet."""
     CALLING = "calling"
     AWAITING_CHILD = "awaiting_child"
-    """Waiting for a child run to end."""
+    """Waiting for a child run to become final."""
     AWAITING_HAND_OVER = "awaiting_hand_over"
     """Waiting for the shard's leadership to move, because this node is draining."""
 
@@ -47,7 +47,9 @@
         timer: Timer of :meth:`ExecutorCore.call_later`, if one is set.
         cancel: Cancels the external work of the activity, such as a call.
         detach: Stops following the external work and leaves it to the next leader.
-        repeatable: Whether the in-flight call may be abandoned and repeated.
+        repeatable: Whether the activity may stop before the outcome of its call is known, at a
+            deadline or a leadership transfer. True for idempotent calls and for a started child
+            call, whose child run is replicated itself.
     """
 
     __slots__ = ("cancel", "detach", "repeatable", "run", "shard", "stage", "term", "timer")
