--- a/src/yokeline/runs/child_calls.py
+++ b/src/yokeline/runs/child_calls.py
@@ -90,8 +90,12 @@
         return Success(_NewChild(spec=spec, input=content))
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Create the child run if it does not exist, and wait for it to end."""
+        """Create the child run if it does not exist, and wait for it to become final.
+
+        Called for a new call and for one that a previous leader started.
+        """
         activity.stage = Stage.AWAITING_CHILD
+        # The next leader continues to wait for the child run, so leadership may move.
         activity.repeatable = True
         child = self._core.find(activity.shard, RunId(record.backend))
         if child is None:
@@ -124,7 +128,7 @@
         self._core.propose(activity, command, created)
 
     def child_ended(self, child: Run) -> None:
-        """Finish the parent's call with the outcome of a child run that has ended."""
+        """Finish the parent's call with the outcome of a final child run."""
         activity = self._core.activities.get(child.parent) if child.parent is not None else None
         if activity is None or activity.stage is not Stage.AWAITING_CHILD:
             return
