--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -19,7 +19,7 @@
 
 DEADLINE_RETRY_AFTER_SECONDS = 1.0
 REFUSED_ATTEMPTS_FACTOR = 4
-"""Attempts refused before execution are cheap, so the attempt limit is multiplied for them."""
+"""Factor on the attempt limit for attempts that the back end refused before execution."""
 
 
 class StepLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -48,13 +48,13 @@
 
 
 class RecoverCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Determine the outcome of a started call, which a previous leader may have sent."""
+    """Take over a call that was started before this activity, usually by a previous leader."""
 
     call: CallRecord
 
 
 class EndRun(msgspec.Struct, frozen=True, kw_only=True):
-    """End the run, or the current turn of a conversation."""
+    """Give the run a final status, or idle status at the end of a conversation's turn."""
 
     status: RunStatus
     answer: str = ""
@@ -165,7 +165,7 @@
 
 
 def expiry_wall(run: Run, root: Run) -> float:
-    """Return the Unix time at which a run exceeds its deadline or wall time budget."""
+    """Return the Unix time at which an active run exceeds its deadline or wall time budget."""
     budget_end = root.turn_started_wall + root.spec.budget.wall_seconds
     if run.spec.deadline_wall is None:
         return budget_end
@@ -173,7 +173,7 @@
 
 
 def expiry_error(run: Run, root: Run, wall: float) -> YokelineError | None:
-    """Return the error of an expired run, or None if the run has not expired."""
+    """Return the error of a run past :func:`expiry_wall`, or None if it is not yet reached."""
     deadline = run.spec.deadline_wall
     if deadline is not None and wall >= deadline:
         return deadline_exceeded(DEADLINE_RETRY_AFTER_SECONDS)
@@ -182,7 +182,7 @@
 
 
 def failure_step(run: Run, error: YokelineError) -> EndRun | RefuseRequest:
-    """Return the step that ends a run or its current turn with an error.
+    """Return the step that gives a run a final or idle status with an error.
 
     A run without calls is refused. A conversation becomes idle again when a turn after the
     first fails, unless the budget is exhausted.
