--- a/src/yokeline/runs/records.py
+++ b/src/yokeline/runs/records.py
@@ -52,7 +52,7 @@
 
     Args:
         command: Describes the attempt.
-        may_have_run: Whether an earlier attempt of the call may have had an effect.
+        may_have_run: Whether the back end may have executed an earlier attempt of the call.
     """
     return CallRecord(
         number=command.number,
@@ -90,7 +90,7 @@
 
 
 def end_run(run: Run, status: RunStatus, wall: float) -> None:
-    """Set a final or idle status and the time at which the run got it."""
+    """Set a final or idle status and the time at which the run became final or idle."""
     run.status = status
     run.finished_wall = wall
 
