--- a/src/yokeline/runs/executor.py
+++ b/src/yokeline/runs/executor.py
@@ -55,7 +55,8 @@
             host: The replicated shards.
             configuration: Returns the current configuration.
             engines: Chooses engines for model calls.
-            leaving: Returns whether a tool or app address receives no new work.
+            leaving: Returns whether the back end at an address is draining, so that it receives no
+                new calls.
         """
         self._core = ExecutorCore(context, settings, host)
         self._watchers = Watchers(self._core)
@@ -89,7 +90,7 @@
     # ------------------------------------------------------------ ShardListener
 
     def leadership_gained(self, shard: ShardId, term: int) -> None:
-        """Resume the shard's runs; all earlier commands of its log are applied."""
+        """Resume the shard's active runs; all earlier commands of its log are applied."""
         self._core.context.log("runs_taken_over", shard=shard, term=term)
         # Activities of an earlier term of this node must not continue with an old fence.
         self._driver.leadership_lost(shard)
@@ -103,7 +104,7 @@
         self._watchers.leadership_lost(shard)
 
     def command_applied(self, shard: ShardId, command: Command, result: ApplyResult) -> None:
-        """Notify callers of changed runs and end the activities of ended runs."""
+        """Notify callers of changed runs and release the state of final and idle runs."""
         if not result.accepted or not self._core.host.leads(shard):
             return
         if isinstance(command, ForgetRuns):
@@ -149,7 +150,7 @@
     # ------------------------------------------------------------ draining
 
     def begin_drain(self) -> None:
-        """Hold new tool, app and child calls, because leadership is about to move."""
+        """Delay new tool, app and child calls, because leadership is about to move."""
         self._driver.begin_drain()
 
     def blocks_transfer(self, shard: ShardId) -> bool:
