--- a/src/yokeline/runs/events.py
+++ b/src/yokeline/runs/events.py
@@ -48,7 +48,7 @@
 
 
 class CallFinishedEvent(msgspec.Struct, frozen=True, kw_only=True, tag="call_finished"):
-    """A call has ended."""
+    """A call has its final outcome; no other attempt follows."""
 
     id: EventId
     status: CallStatus
@@ -57,7 +57,7 @@
 
 
 class FinishedEvent(msgspec.Struct, frozen=True, kw_only=True, tag="finished"):
-    """The last event of a stream: the run, or the current turn of a conversation, has ended.
+    """The last event of a stream: the run is final, or idle after a turn of a conversation.
 
     Attributes:
         answer: The complete answer.
