--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -60,10 +60,12 @@
     """Result of applying a command.
 
     Attributes:
-        accepted: Whether the command has taken effect, now or in an earlier repetition.
+        accepted: Whether the command has taken effect, now or when the same request was applied
+            before.
         run: The run that the command names, if it names one.
         error: Reason for a rejection.
-        created: Whether this command, not an earlier repetition, created the run or turn.
+        created: Whether this command created the run or turn; False if an earlier command with
+            the same request did.
     """
 
     accepted: bool
@@ -77,7 +79,8 @@
 
     Attributes:
         runs: Runs by id; other components must not modify them.
-        doubt_window: Doubt window of the last recovery from a copy.
+        doubt_window: Time in which duplicates of requests lost with the last log entries cannot
+            be recognised.
     """
 
     def __init__(self) -> None:
@@ -256,7 +259,7 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_forget_runs(self, command: ForgetRuns) -> ApplyResult:
-        """Remove run trees; rejected entirely if any root is active or a run is not a root."""
+        """Remove final and idle run trees; rejected if any root is active or a run is not a root."""
         roots = [self.runs[run] for run in dict.fromkeys(command.runs) if run in self.runs]
         for root in roots:
             if root.parent is not None or root.status is RunStatus.ACTIVE:
@@ -267,7 +270,7 @@
         return ApplyResult(accepted=True, run=None)
 
     def transition_recover_shard(self, command: RecoverShard) -> ApplyResult:
-        """End runs that may have advanced beyond the copy and extend the doubt window."""
+        """Make runs that may have advanced beyond the copy final, and extend the doubt window."""
         self.doubt_window = self.doubt_window.extended_by(command)
         for root in [run for run in self.runs.values() if run.parent is None]:
             tree = descendants(self.runs, root)
