--- a/src/yokeline/runs/state_machine.py
+++ b/src/yokeline/runs/state_machine.py
@@ -259,7 +259,10 @@
         return ApplyResult(accepted=True, run=command.run)
 
     def transition_forget_runs(self, command: ForgetRuns) -> ApplyResult:
-        """Remove final and idle run trees; rejected if any root is active or a run is not a root."""
+        """Remove run trees that are final or idle.
+
+        Rejected entirely if any root is active or a run is not a root.
+        """
         roots = [self.runs[run] for run in dict.fromkeys(command.runs) if run in self.runs]
         for root in roots:
             if root.parent is not None or root.status is RunStatus.ACTIVE:
