--- a/src/yokeline/runs/pauses.py
+++ b/src/yokeline/runs/pauses.py
@@ -76,7 +76,7 @@
 
 
 def program_pause(run: Run, root: Run, cause: PauseCause) -> ProgramPause | None:
-    """Return the pause that begins now, or None if the run has made no model call yet."""
+    """Return the pause that begins now, or None if no model call has succeeded yet."""
     last = last_model_call(run)
     if last is None:
         return None
