--- a/src/yokeline/runs/model.py
+++ b/src/yokeline/runs/model.py
@@ -168,7 +168,8 @@
         tools: Names of tools that the model may call.
         children: Names of programs that the model may run as children; ``Run.children`` is
             the number of child runs.
-        repeatable: Whether calls to the app may be repeated, that is, are idempotent.
+        repeatable: Whether calls to the app are idempotent, so that they may be repeated; true
+            for an agent program.
         worth: Weight of the run in scheduling.
         deadline_wall: Unix time by which the caller wants the answer.
     """
