--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -1,4 +1,4 @@
-"""Drives runs: executes their next steps and ends runs that expire or fail."""
+"""Drives runs: executes their next steps and ends runs that reach their deadline or fail."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from yokeline.timers import Timer
 
 NO_CALL_STAGES = frozenset({Stage.QUEUED, Stage.BACKING_OFF, Stage.AWAITING_HAND_OVER})
-"""Stages without a started call; a run that expires in one of them ends immediately."""
+"""Stages without a started call; a run whose deadline passes in one of them ends at once."""
 EXPIRY_RECHECK_SECONDS = 0.1
 HAND_OVER_WAIT_SECONDS = 5.0
 """Maximum wait for a new leader while draining; the call then starts on this node."""
@@ -125,6 +125,7 @@
                 self._keyed.start(activity, run, step)
 
     def _recover(self, activity: Activity, run: Run, call: CallRecord) -> None:
+        """Take over a call that was started before this activity, usually by another leader."""
         self._core.context.counters["yokeline_calls_recovered_total"] += 1
         match call.kind:
             case CallKind.MODEL:
@@ -157,7 +158,7 @@
         self._core.propose(activity, command, lambda _run: self._core.end_and_drive(activity))
 
     def run_ended(self, run: Run) -> None:
-        """Release the state kept for an idle or final run and cancel a final run's activity."""
+        """Release the state kept for a final or idle run, and cancel a final run's activity."""
         expiry = self._expiries.pop(run.run, None)
         if expiry is not None:
             expiry.cancel()
@@ -169,7 +170,7 @@
         self._models.forget_run(run.run)
         self._children.child_ended(run)
 
-    # ------------------------------------------------------------ expiry
+    # ------------------------------------------------------------ deadline
 
     def _schedule_expiry(self, shard: ShardId, run: Run, root: Run) -> None:
         context = self._core.context
@@ -185,7 +186,7 @@
         )
 
     def _expire(self, shard: ShardId, run_id: RunId) -> None:
-        """End the activity of an expired run; child and non-repeatable calls run to their end."""
+        """End a run's activity at its deadline; child and non-repeatable calls run to completion."""
         self._expiries.pop(run_id, None)
         run = self._core.find(shard, run_id)
         activity = self._core.activities.get(run_id)
@@ -208,7 +209,7 @@
             self._recheck_expiry(shard, run_id)
 
     def _recheck_expiry(self, shard: ShardId, run_id: RunId) -> None:
-        """Check the run again soon: the pending proposal decides what has to be ended."""
+        """Check the run again soon, when the pending proposal has been decided."""
         due = self._core.context.now + EXPIRY_RECHECK_SECONDS
         self._expiries[run_id] = self._core.timers.schedule(
             due, lambda: self._expire(shard, run_id)
@@ -244,11 +245,11 @@
                 expiry.cancel()
 
     def begin_drain(self) -> None:
-        """Hold new tool, app and child calls for the next leader."""
+        """Delay new tool, app and child calls, so that the next leader starts them."""
         self._draining = True
 
     def blocks_transfer(self, shard: ShardId) -> bool:
-        """Return whether a call that is not repeatable is in flight in a shard."""
+        """Return whether a call is in flight in a shard that the next leader could not repeat."""
         return any(
             activity.shard == shard and not activity.repeatable
             for activity in self._core.activities.values()
