--- a/src/yokeline/runs/spec.py
+++ b/src/yokeline/runs/spec.py
@@ -1,4 +1,4 @@
-"""Creates run specs from programs and their resolved policies."""
+"""Creates run specs from configured programs and their resolved program policies."""
 
 from __future__ import annotations
 
@@ -17,7 +17,12 @@
 
 
 def spec_of_program(program: Program, policy: ResolvedPolicy) -> RunSpec:
-    """Return the spec of a program's runs, without the fields set per request."""
+    """Return the spec of a program's runs, without the fields set per request.
+
+    Args:
+        program: The configured program.
+        policy: Combination of the program policies that match it.
+    """
     return RunSpec(
         tenant=program.tenant,
         program=program.name,
@@ -40,7 +45,7 @@
 def child_spec(parent: Run, program: Program, policy: ResolvedPolicy, content: str) -> RunSpec:
     """Return the spec of a child run.
 
-    A child inherits its parent's priority, worth and deadline. It shares the root's budget; its
+    A child inherits its parent's priority, scheduling weight (``worth``) and deadline. It shares the root's budget; its
     own limits apply where they are lower.
     """
     spec = spec_of_program(program, policy)
