--- a/src/yokeline/runs/engine_queue.py
+++ b/src/yokeline/runs/engine_queue.py
@@ -1,4 +1,4 @@
-"""Assigns waiting model calls to engines with capacity, in the order of the policy."""
+"""Assigns waiting model calls to engines with capacity, in the scheduling policy's order."""
 
 from __future__ import annotations
 
@@ -55,8 +55,9 @@
     def submit(self, activity: Activity, run: Run, step: StartCall, demand: CallDemand) -> None:
         """Start a call now if an engine has capacity and no call waits for it, else queue it.
 
-        If other calls wait for the same engines, the policy decides the order: an engine may
-        accept a call of a program that is already active there but not one of a new program.
+        If other calls wait for the same engines, the scheduling policy decides the order: an
+        engine may accept a call of a run tree that is already active there but not one of a new
+        run tree.
         """
         call = WaitingCall(activity=activity, step=step, demand=demand, sheddable=not run.calls)
         if self._waiting.has_waiting(queue_key(demand)):
