--- a/src/yokeline/runs/ports.py
+++ b/src/yokeline/runs/ports.py
@@ -20,6 +20,7 @@
 OperationDone = Callable[[Result[OperationResult, YokelineError]], None]
 EventsHandler = Callable[[tuple[RunEvent, ...]], None]
 LeavingPredicate = Callable[[Address], bool]
+"""Returns whether the back end at an address is draining, so that it receives no new calls."""
 
 
 class Host(Protocol):
@@ -73,10 +74,10 @@
         ...
 
     def resolve(self, program: Program) -> ResolvedPolicy:
-        """Return the combination of all policies that match a program."""
+        """Return the combination of all program policies that match a program."""
         ...
 
 
 def nothing_leaves(_address: Address) -> bool:
-    """Report no back end as leaving; for nodes without a machine list."""
+    """Report no back end as draining; for nodes without service discovery."""
     return False
