--- a/src/yokeline/runs/cursor.py
+++ b/src/yokeline/runs/cursor.py
@@ -71,6 +71,7 @@
     def _fully_seen(self, text: str, closed: bool) -> bool:
         if self._closed:
             return True
+        # An offset beyond the text is the id of ``call_finished``; see ``EventId``.
         self._closed = closed and bool(text) and self.offset > len(text)
         return self._closed
 
