--- a/src/yokeline/runs/outcome_lookups.py
+++ b/src/yokeline/runs/outcome_lookups.py
@@ -16,7 +16,7 @@
 """Time for lookups beyond the back end's own timeout."""
 
 LookupOutcome = ContentResult | str
-"""The recorded outcome, or the reason why it stays unknown."""
+"""The outcome recorded at the back end; a text if it is still unknown, with the reason."""
 
 
 class OutcomeLookups:
