--- a/src/yokeline/runs/partial_text.py
+++ b/src/yokeline/runs/partial_text.py
@@ -48,5 +48,5 @@
         return self._texts.get(run)
 
     def forget(self, run: RunId) -> None:
-        """Drop a run's partial text; the run's history or a later attempt replaces it."""
+        """Discard a run's partial text."""
         self._texts.pop(run, None)
