--- a/src/yokeline/runs/generation.py
+++ b/src/yokeline/runs/generation.py
@@ -18,7 +18,7 @@
 
     Attributes:
         call_id: Id of the attempt at the engine.
-        maybe_accepted: Whether the engine may have accepted the call.
+        maybe_accepted: Whether the engine may have accepted the call and started to generate.
         answer_started: Whether any part of the answer has arrived.
         prompt_tokens: Estimated number of prompt tokens.
         limited_by_budget: Whether the remaining budget, not the program, limits the answer.
@@ -70,7 +70,7 @@
         return f"engine {self.engine}"
 
     def usage_if_lost(self) -> Usage:
-        """Return the usage to charge if the generation is lost: its prompt and received text."""
+        """Return the usage to charge if the rest of the output cannot be read from the engine."""
         return Usage(
             prompt_tokens=self.prompt_tokens,
             completion_tokens=self.stream.chunks_received,
