--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -148,7 +148,7 @@
     # ------------------------------------------------------------ recovery
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Follow a call that a previous leader started, reading its text from offset 0."""
+        """Take over a call that a previous leader started, reading its text from offset 0."""
         address = self._engines.address_of(record.backend)
         if address is None:
             usage = budget.usage_of_reservation(record.reserved)
@@ -176,13 +176,13 @@
                 self._broken(generation, event)
 
     def _record_text(self, generation: Generation) -> None:
-        """Report the first text of an answer, which marks the end of the prefill."""
+        """Report the first text of an answer to the scheduler: the prefill has ended."""
         if not generation.answer_started:
             self._engines.text_received(generation.call_id)
         self._record_context_use(generation)
 
     def _record_context_use(self, generation: Generation) -> None:
-        """Release the cache hold of the run's context when its answer starts."""
+        """Release the cache hold of the run tree's context when the answer starts."""
         if not generation.answer_started:
             generation.answer_started = True
             self._cache.end_hold(generation.engine, root_run_id(generation.activity.run))
@@ -212,7 +212,12 @@
         return self._core.root_of(activity.shard, run).spec.budget.tokens if run is not None else 0
 
     def _broken(self, generation: Generation, event: StreamBroken) -> None:
-        """Resume a generation over a new connection unless it was refused or is lost."""
+        """Handle a broken stream.
+
+        The attempt ends if the engine did not accept the call, if it no longer has the generation,
+        or after too many connections without new text. Otherwise the stream is resumed over a
+        new connection.
+        """
         generation.connection = None
         not_run = event.refused or event.error.execution is Execution.NOT_RUN
         if not_run and not generation.maybe_accepted:
@@ -239,7 +244,7 @@
         self._finish_failed_at_engine(generation, error, Usage())
 
     def _lost(self, generation: Generation, error: YokelineError) -> None:
-        """End an attempt whose generation can no longer be read."""
+        """End an attempt that the engine may have executed but whose output cannot be read."""
         usage = generation.usage_if_lost()
         self._record_end(generation, usage, ok=False)
         self._cancel_at_engine(generation)
@@ -270,12 +275,12 @@
     # ------------------------------------------------------------ cancellation
 
     def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
-        """Cancel the call of an expired run at its engine and end it with ``error``."""
+        """Cancel a call at its engine when its run reaches its deadline; end it with ``error``."""
         activity.cancel()
         self._finish_failed(activity, error, budget.usage_of_reservation(record.reserved))
 
     def forget_run(self, run: RunId) -> None:
-        """Release the state kept for a run."""
+        """Discard the state kept for a run."""
         self._avoid.pop(run, None)
 
     def _cancel(self, generation: Generation) -> None:
@@ -299,4 +304,4 @@
 
 
 def _ignore(_result: Result[Accepted, YokelineError]) -> None:
-    """Ignore the result: if the engine is unreachable, the generation is lost as well."""
+    """Ignore the result: an engine that cannot be reached cannot be cancelled either."""
