--- a/src/yokeline/runs/recovery.py
+++ b/src/yokeline/runs/recovery.py
@@ -6,7 +6,8 @@
 * A run that is active in the copy ends as ``outcome_unknown``, since it may have advanced
   beyond the copy. The exception is a request to an app whose call is in the copy: an app run
   has no further call, so the run is resumed as after any failover.
-* During the doubt window after the recovery, a new request that is not safe to repeat is
+* The doubt window is the time after the recovery in which duplicates of requests in the lost
+  entries cannot be recognised. During it, a new request that is not safe to repeat is
   recorded as ``outcome_unknown`` and not sent, because the lost entries may contain it. The
   caller can send the request again under a new key. For requests with an idempotency key the
   window is the retention time of keys (``runs.retention_seconds``); a request without a key
@@ -24,7 +25,7 @@
 
 
 class DoubtWindow(msgspec.Struct, frozen=True, kw_only=True):
-    """Time after a recovery in which a request unknown to the shard may already have run.
+    """Time after a recovery in which duplicates of lost requests cannot be recognised.
 
     All times are Unix time in seconds.
 
