--- a/src/yokeline/runs/errors.py
+++ b/src/yokeline/runs/errors.py
@@ -72,7 +72,10 @@
 
 
 def leadership_lost() -> YokelineError:
-    """Return the error for an operation on a shard that this node no longer leads."""
+    """Return the error for an operation on a shard that this node does not lead.
+
+    It is also used for a request to a node that has never led the shard.
+    """
     return YokelineError(
         kind=ErrorKind.UNAVAILABLE,
         message="this node no longer leads the run's shard",
