--- a/src/yokeline/runs/context_window.py
+++ b/src/yokeline/runs/context_window.py
@@ -14,7 +14,7 @@
 )
 
 BYTES_PER_TOKEN = 3
-"""Lower than the typical ratio of about four, so that estimates err on the high side."""
+"""Bytes of text per token in estimates, which err on the high side."""
 TOKENS_PER_MESSAGE = 8
 MISSING_RESULT = "no result: the call was given up"
 
