--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -24,8 +24,8 @@
 FORGET_BATCH_SIZE = 100
 FORGET_PERIOD_SECONDS = 5.0
 RECENTLY_ENDED_SECONDS = 60.0
-"""A new leader releases the caches of runs that ended within this time once more, because the
-previous leader may have stopped before it released them."""
+"""Age up to which a new leader releases the caches of final runs again, in case the previous
+leader stopped before it released them."""
 
 _ExpiryEntry = tuple[float, RunId]
 
