--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -207,7 +207,7 @@
     # ------------------------------------------------------------ recovery and expiry
 
     def recover(self, activity: Activity, run: Run, record: CallRecord) -> None:
-        """Determine the outcome of a call that a previous leader may have sent."""
+        """Take over a call that a previous leader may have sent, and determine its outcome."""
         if record.repeatable:
             error = _previous_leader_error(record.backend)
             will_retry = may_retry(record.attempt, True, error, self._core.step_limits)
@@ -244,7 +244,7 @@
         self._core.finish_call(activity, outcome)
 
     def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
-        """End a repeatable call of an expired run."""
+        """End a repeatable call when its run reaches its deadline."""
         activity.cancel()
         usage = budget.usage_of_reservation(record.reserved)
         outcome = CallOutcome(status=CallStatus.FAILED, usage=usage, error=error)
