--- a/src/yokeline/runs/rules.py
+++ b/src/yokeline/runs/rules.py
@@ -73,7 +73,7 @@
 
 
 def may_have_run(call: CallRecord) -> bool:
-    """Return whether any attempt of a call may have had an effect."""
+    """Return whether the back end may have executed any attempt, finished or in flight."""
     return call.may_have_run or call.status is CallStatus.STARTED
 
 
