--- a/tests/unit/runs/test_executor_failures.py
+++ b/tests/unit/runs/test_executor_failures.py
@@ -92,6 +92,7 @@
         run = bench.run()
         assert run.error is not None
         self.assertEqual((run.status, run.error.execution), (RunStatus.FAILED, Execution.UNKNOWN))
+        # 4 is the default of the setting ``call_attempts``.
         self.assertEqual(len(bench.sent_requests("POST", "/v1/chat")), 4)
 
     def test_malformed_stream_never_becomes_an_answer(self) -> None:
@@ -121,12 +122,14 @@
             bench.answer(bench.open_request("POST", "/v1/tools"), 500)
             bench.advance(5.0)
         keys = [r.headers["idempotency-key"] for r in bench.sent_requests("POST", "/v1/tools")]
+        # 4 is the default of the setting ``call_attempts``.
         self.assertEqual(keys, ["run-1/2"] * 4)
         content = json.loads(bench.open_request("POST", "/v1/chat").body)["messages"][-1]["content"]
         self.assertEqual(json.loads(content)["error"], "backend_failed")
 
     def test_unanswered_tool_call_ends_without_a_transport_timeout(self) -> None:
         bench = self._with_tool_call(repeatable=False)
+        # Just below the tool's timeout of 5 s plus ``ANSWER_GRACE_SECONDS``.
         bench.advance(9.9)
         self.assertEqual(bench.run().status, RunStatus.ACTIVE)
         bench.advance(0.2)
@@ -210,6 +213,7 @@
         bench = Bench()
         bench.engines.has_capacity = False
         bench.start(agent_spec(deadline_wall=1003.0))
+        # The bench's clock starts at Unix time 1000, so the deadline is at 3 s.
         bench.advance(4.0)
         self.assertEqual(bench.run().status, RunStatus.REFUSED)
         self.assertEqual(bench.executor.waiting_calls(), 0)
