--- a/tests/unit/runs/test_cache_actions.py
+++ b/tests/unit/runs/test_cache_actions.py
@@ -1,4 +1,4 @@
-"""Tests of the executor's cache actions when programs pause and end."""
+"""Tests of the executor's cache actions when run trees pause and end."""
 
 from __future__ import annotations
 
