--- a/tests/unit/runs/test_recovery.py
+++ b/tests/unit/runs/test_recovery.py
@@ -1,4 +1,4 @@
-"""Tests of runs after their shard is recovered from a copy."""
+"""Tests of runs after their shard is recovered from a copy after the loss of its quorum."""
 
 from __future__ import annotations
 
