--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -186,7 +186,7 @@
         )
 
     def _expire(self, shard: ShardId, run_id: RunId) -> None:
-        """End a run's activity at its deadline; child and non-repeatable calls run to completion."""
+        """End a run's activity at its deadline; child and non-repeatable calls complete."""
         self._expiries.pop(run_id, None)
         run = self._core.find(shard, run_id)
         activity = self._core.activities.get(run_id)
