--- a/src/yokeline/runs/spec.py
+++ b/src/yokeline/runs/spec.py
@@ -45,8 +45,8 @@
 def child_spec(parent: Run, program: Program, policy: ResolvedPolicy, content: str) -> RunSpec:
     """Return the spec of a child run.
 
-    A child inherits its parent's priority, scheduling weight (``worth``) and deadline. It shares the root's budget; its
-    own limits apply where they are lower.
+    A child inherits its parent's priority, scheduling weight (``worth``) and deadline. It shares
+    the root's budget; its own limits apply where they are lower.
     """
     spec = spec_of_program(program, policy)
     return msgspec.structs.replace(
