--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -304,4 +304,4 @@
 
 
 def _ignore(_result: Result[Accepted, YokelineError]) -> None:
-    """Ignore the result: an engine that cannot be reached cannot be cancelled either."""
+    """Ignore the result: cancellation at an engine is best effort."""
