--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -99,7 +99,7 @@
             repeatable=True,
             reserved=model_reservation(demand.prompt_tokens, demand.completion_tokens),
         )
-        activity.cancel = lambda: self._record_not_sent(call)
+        activity.cancel = lambda: self._report_not_sent(call)
         activity.detach = activity.cancel
 
         def send(run: Run) -> None:
@@ -107,7 +107,7 @@
 
         self._core.start_call(activity, step, attempt_spec, send)
 
-    def _record_not_sent(self, call: str) -> None:
+    def _report_not_sent(self, call: str) -> None:
         self._engines.call_ended(call, prompt_tokens=0, cached_tokens=0, ok=False)
 
     def _send(self, activity: Activity, run: Run, demand: CallDemand, address: Address) -> None:
@@ -165,7 +165,7 @@
     def _handle(self, generation: Generation, event: StreamEvent) -> None:
         match event:
             case TextReceived():
-                self._record_text(generation)
+                self._report_first_text(generation)
                 generation.maybe_accepted = True
                 generation.breaks_without_progress = 0
                 generation.text.append(event.text)
@@ -175,13 +175,13 @@
             case StreamBroken():
                 self._broken(generation, event)
 
-    def _record_text(self, generation: Generation) -> None:
+    def _report_first_text(self, generation: Generation) -> None:
         """Report the first text of an answer to the scheduler: the prefill has ended."""
         if not generation.answer_started:
             self._engines.text_received(generation.call_id)
-        self._record_context_use(generation)
+        self._release_cache_hold(generation)
 
-    def _record_context_use(self, generation: Generation) -> None:
+    def _release_cache_hold(self, generation: Generation) -> None:
         """Release the cache hold of the run tree's context when the answer starts."""
         if not generation.answer_started:
             generation.answer_started = True
@@ -189,8 +189,8 @@
 
     def _complete(self, generation: Generation, answer: ModelAnswer) -> None:
         # Tool requests arrive as a single event at the end and do not mark the prefill's end.
-        self._record_context_use(generation)
-        self._record_end(generation, answer.usage, ok=True)
+        self._release_cache_hold(generation)
+        self._report_end(generation, answer.usage, ok=True)
         if generation.limited_by_budget and answer.finish_reason == LENGTH_REASON:
             error = budget_exhausted("tokens", self._token_budget(generation.activity))
             error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
@@ -240,13 +240,13 @@
     def _refused(self, generation: Generation, error: YokelineError) -> None:
         """End an attempt that the engine did not accept."""
         self._queue.engine_refused(generation.engine, error.retry_after or 0.0)
-        self._record_end(generation, Usage(), ok=False)
+        self._report_end(generation, Usage(), ok=False)
         self._finish_failed_at_engine(generation, error, Usage())
 
     def _lost(self, generation: Generation, error: YokelineError) -> None:
         """End an attempt that the engine may have executed but whose output cannot be read."""
         usage = generation.usage_if_lost()
-        self._record_end(generation, usage, ok=False)
+        self._report_end(generation, usage, ok=False)
         self._cancel_at_engine(generation)
         error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
         self._finish_failed_at_engine(generation, error, usage)
@@ -262,7 +262,7 @@
         outcome = CallOutcome(status=CallStatus.FAILED, usage=usage, error=error)
         self._core.finish_call(activity, outcome)
 
-    def _record_end(self, generation: Generation, usage: Usage, *, ok: bool) -> None:
+    def _report_end(self, generation: Generation, usage: Usage, *, ok: bool) -> None:
         self._engines.call_ended(
             generation.call_id,
             prompt_tokens=usage.prompt_tokens,
@@ -284,7 +284,7 @@
         self._avoid.pop(run, None)
 
     def _cancel(self, generation: Generation) -> None:
-        self._record_end(generation, Usage(), ok=False)
+        self._report_end(generation, Usage(), ok=False)
         self._cancel_at_engine(generation)
 
     def _cancel_at_engine(self, generation: Generation) -> None:
@@ -293,7 +293,7 @@
 
     def _detach(self, generation: Generation) -> None:
         """Stop reading a generation, which continues at the engine for the next leader."""
-        self._record_end(generation, Usage(), ok=False)
+        self._report_end(generation, Usage(), ok=False)
         self._close_connection(generation)
 
     def _close_connection(self, generation: Generation) -> None:
