--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -36,7 +36,7 @@
 
 NO_CALL_STAGES = frozenset({Stage.QUEUED, Stage.BACKING_OFF, Stage.AWAITING_HAND_OVER})
 """Stages without a started call; a run whose deadline passes in one of them ends at once."""
-EXPIRY_RECHECK_SECONDS = 0.1
+DEADLINE_RECHECK_SECONDS = 0.1
 HAND_OVER_WAIT_SECONDS = 5.0
 """Maximum wait for a new leader while draining; the call then starts on this node."""
 
@@ -60,7 +60,7 @@
         self._models = ModelCalls(core, engines, self.queue, cache, text_arrived)
         self._keyed = KeyedCalls(core, configuration, leaving, self.end_with_error)
         self._children = ChildCalls(core, configuration, self._keyed)
-        self._expiries: dict[RunId, Timer] = {}
+        self._deadline_timers: dict[RunId, Timer] = {}
         self._draining = False
         core.on_step = self._step
         core.on_budget_exhausted = self.end_with_error
@@ -73,7 +73,7 @@
         if step is None:
             self._core.end(activity)
             return
-        self._schedule_expiry(activity.shard, run, root)
+        self._schedule_deadline(activity.shard, run, root)
         self._execute(activity, run, step)
 
     def _execute(self, activity: Activity, run: Run, step: NextStep) -> None:
@@ -90,7 +90,7 @@
     def _start_or_back_off(self, activity: Activity, run: Run, step: StartCall) -> None:
         failed_attempt = step.failed_attempt
         if failed_attempt is None:
-            self._start_or_hold(activity, run, step)
+            self._start_or_delay(activity, run, step)
             return
         # The queue skips an engine that sent Retry-After; a model call may use another engine.
         retry_error = failed_attempt.error if failed_attempt.kind is not CallKind.MODEL else None
@@ -101,9 +101,9 @@
             return
         self._core.context.counters["yokeline_call_retries_total"] += 1
         activity.stage = Stage.BACKING_OFF
-        self._core.call_later(activity, delay, lambda: self._start_or_hold(activity, run, step))
+        self._core.call_later(activity, delay, lambda: self._start_or_delay(activity, run, step))
 
-    def _start_or_hold(self, activity: Activity, run: Run, step: StartCall) -> None:
+    def _start_or_delay(self, activity: Activity, run: Run, step: StartCall) -> None:
         if self._draining and step.kind is not CallKind.MODEL:
             activity.stage = Stage.AWAITING_HAND_OVER
             self._core.call_later(
@@ -159,9 +159,9 @@
 
     def run_ended(self, run: Run) -> None:
         """Release the state kept for a final or idle run, and cancel a final run's activity."""
-        expiry = self._expiries.pop(run.run, None)
-        if expiry is not None:
-            expiry.cancel()
+        timer = self._deadline_timers.pop(run.run, None)
+        if timer is not None:
+            timer.cancel()
         activity = self._core.activities.get(run.run)
         if activity is not None and rules.is_final(run):
             activity.cancel()
@@ -172,22 +172,22 @@
 
     # ------------------------------------------------------------ deadline
 
-    def _schedule_expiry(self, shard: ShardId, run: Run, root: Run) -> None:
+    def _schedule_deadline(self, shard: ShardId, run: Run, root: Run) -> None:
         context = self._core.context
         due = context.now + expiry_wall(run, root) - context.wall()
-        scheduled = self._expiries.get(run.run)
+        scheduled = self._deadline_timers.get(run.run)
         if scheduled is not None:
             if not scheduled.cancelled and scheduled.due <= due:
                 return
             scheduled.cancel()
         run_id = run.run
-        self._expiries[run_id] = self._core.timers.schedule(
-            due, lambda: self._expire(shard, run_id)
+        self._deadline_timers[run_id] = self._core.timers.schedule(
+            due, lambda: self._deadline_reached(shard, run_id)
         )
 
-    def _expire(self, shard: ShardId, run_id: RunId) -> None:
+    def _deadline_reached(self, shard: ShardId, run_id: RunId) -> None:
         """End a run's activity at its deadline; child and non-repeatable calls complete."""
-        self._expiries.pop(run_id, None)
+        self._deadline_timers.pop(run_id, None)
         run = self._core.find(shard, run_id)
         activity = self._core.activities.get(run_id)
         if run is None or activity is None:
@@ -195,7 +195,7 @@
             return
         error = expiry_error(run, self._core.root_of(shard, run), self._core.context.wall())
         if error is None:
-            self._schedule_expiry(shard, run, self._core.root_of(shard, run))
+            self._schedule_deadline(shard, run, self._core.root_of(shard, run))
         elif activity.stage in NO_CALL_STAGES:
             activity.cancel()
             self._core.end_and_drive(activity)
@@ -204,18 +204,20 @@
             outcome = CallOutcome(status=CallStatus.FAILED, error=rules.as_not_run(error))
             self._core.finish_call(activity, outcome)
         elif activity.stage is Stage.CALLING and activity.repeatable:
-            self._expire_call(activity, run.calls[-1], error)
+            self._end_call_at_deadline(activity, run.calls[-1], error)
         elif activity.stage is Stage.PROPOSING:
-            self._recheck_expiry(shard, run_id)
+            self._recheck_deadline(shard, run_id)
 
-    def _recheck_expiry(self, shard: ShardId, run_id: RunId) -> None:
+    def _recheck_deadline(self, shard: ShardId, run_id: RunId) -> None:
         """Check the run again soon, when the pending proposal has been decided."""
-        due = self._core.context.now + EXPIRY_RECHECK_SECONDS
-        self._expiries[run_id] = self._core.timers.schedule(
-            due, lambda: self._expire(shard, run_id)
+        due = self._core.context.now + DEADLINE_RECHECK_SECONDS
+        self._deadline_timers[run_id] = self._core.timers.schedule(
+            due, lambda: self._deadline_reached(shard, run_id)
         )
 
-    def _expire_call(self, activity: Activity, call: CallRecord, error: YokelineError) -> None:
+    def _end_call_at_deadline(
+        self, activity: Activity, call: CallRecord, error: YokelineError
+    ) -> None:
         """End a sent call without an answer; its execution is unknown."""
         error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
         if call.kind is CallKind.MODEL:
@@ -240,9 +242,9 @@
             self._core.end(activity)
             self._core.partial_texts.forget(activity.run)
             self._models.forget_run(activity.run)
-            expiry = self._expiries.pop(activity.run, None)
-            if expiry is not None:
-                expiry.cancel()
+            timer = self._deadline_timers.pop(activity.run, None)
+            if timer is not None:
+                timer.cancel()
 
     def begin_drain(self) -> None:
         """Delay new tool, app and child calls, so that the next leader starts them."""
