--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -27,7 +27,7 @@
 """Age up to which a new leader releases the caches of final runs again, in case the previous
 leader stopped before it released them."""
 
-_ExpiryEntry = tuple[float, RunId]
+_RetentionEntry = tuple[float, RunId]
 
 
 class Retention:
@@ -39,7 +39,7 @@
         self._core = core
         self._engines = engines
         self._cache = cache
-        self._expiries: dict[ShardId, list[_ExpiryEntry]] = {}
+        self._retention_ends: dict[ShardId, list[_RetentionEntry]] = {}
         self._scheduled = False
 
     # ------------------------------------------------------------ ended runs
@@ -53,11 +53,11 @@
             self.release_caches(shard, run)
         else:
             self._cache.turn_ended(shard, run)
-        heap = self._expiries.setdefault(shard, [])
-        heapq.heappush(heap, (self._expiry_wall(run), run.run))
+        heap = self._retention_ends.setdefault(shard, [])
+        heapq.heappush(heap, (self._retention_end_wall(run), run.run))
         self._schedule()
 
-    def _expiry_wall(self, run: Run) -> float:
+    def _retention_end_wall(self, run: Run) -> float:
         runs = self._core.settings.runs
         retention = runs.retention_seconds if rules.is_final(run) else runs.idle_seconds
         return (run.finished_wall or run.created_wall) + retention
@@ -73,9 +73,9 @@
             for run in state_machine.runs.values()
             if run.parent is None and run.status is not RunStatus.ACTIVE
         ]
-        heap = [(self._expiry_wall(run), run.run) for run in ended]
+        heap = [(self._retention_end_wall(run), run.run) for run in ended]
         heapq.heapify(heap)
-        self._expiries[shard] = heap
+        self._retention_ends[shard] = heap
         for run in sorted(ended, key=lambda run: run.run):
             if rules.is_final(run) and (run.finished_wall or 0.0) > recently_ended_after:
                 self.release_caches(shard, run)
@@ -83,7 +83,7 @@
 
     def leadership_lost(self, shard: ShardId) -> None:
         """Stop tracking the runs of a shard."""
-        self._expiries.pop(shard, None)
+        self._retention_ends.pop(shard, None)
 
     # ------------------------------------------------------------ caches
 
@@ -104,31 +104,31 @@
     # ------------------------------------------------------------ removal
 
     def _schedule(self) -> None:
-        if self._scheduled or not any(self._expiries.values()):
+        if self._scheduled or not any(self._retention_ends.values()):
             return
         self._scheduled = True
         due = self._core.context.now + FORGET_PERIOD_SECONDS
-        self._core.timers.schedule(due, self._forget_expired)
+        self._core.timers.schedule(due, self._remove_expired)
 
-    def _forget_expired(self) -> None:
+    def _remove_expired(self) -> None:
         self._scheduled = False
-        for shard in sorted(self._expiries):
-            self._forget_in(shard)
+        for shard in sorted(self._retention_ends):
+            self._remove_expired_in(shard)
         self._schedule()
 
-    def _forget_in(self, shard: ShardId) -> None:
+    def _remove_expired_in(self, shard: ShardId) -> None:
         wall = self._core.context.wall()
-        heap = self._expiries[shard]
+        heap = self._retention_ends[shard]
         expired: list[Run] = []
         while heap and heap[0][0] <= wall and len(expired) < FORGET_BATCH_SIZE:
             run = self._core.find(shard, heapq.heappop(heap)[1])
-            if run is not None and self._still_expired(run, wall):
+            if run is not None and self._is_past_retention(run, wall):
                 expired.append(run)
         if expired:
             self._propose(shard, expired, wall)
 
-    def _still_expired(self, run: Run, wall: float) -> bool:
-        return run.status is not RunStatus.ACTIVE and self._expiry_wall(run) <= wall
+    def _is_past_retention(self, run: Run, wall: float) -> bool:
+        return run.status is not RunStatus.ACTIVE and self._retention_end_wall(run) <= wall
 
     def _propose(self, shard: ShardId, expired: list[Run], wall: float) -> None:
         for run in expired:
@@ -145,11 +145,11 @@
         def done(result: Result[ApplyResult, YokelineError]) -> None:
             if not isinstance(result, Failure) and result.unwrap().accepted:
                 return
-            heap = self._expiries.get(shard)
+            heap = self._retention_ends.get(shard)
             if heap is None:
                 return
             for run in expired:
-                heapq.heappush(heap, (self._expiry_wall(run), run.run))
+                heapq.heappush(heap, (self._retention_end_wall(run), run.run))
             self._schedule()
 
         return done
