--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -24,10 +24,10 @@
     RecoverCall,
     RefuseRequest,
     StartCall,
-    expiry_error,
-    expiry_wall,
     failure_step,
     next_step,
+    run_deadline_error,
+    run_deadline_wall,
 )
 from yokeline.runs.pauses import pause_cause
 from yokeline.runs.ports import Configuration, LeavingPredicate
@@ -96,7 +96,7 @@
         retry_error = failed_attempt.error if failed_attempt.kind is not CallKind.MODEL else None
         delay = self._core.backoff(failed_attempt.attempt, retry_error)
         root = self._core.root_of(activity.shard, run)
-        if self._core.context.wall() + delay >= expiry_wall(run, root):
+        if self._core.context.wall() + delay >= run_deadline_wall(run, root):
             self.end_with_error(activity, run, failed_attempt.error or deadline_exceeded(None))
             return
         self._core.context.counters["yokeline_call_retries_total"] += 1
@@ -174,7 +174,7 @@
 
     def _schedule_deadline(self, shard: ShardId, run: Run, root: Run) -> None:
         context = self._core.context
-        due = context.now + expiry_wall(run, root) - context.wall()
+        due = context.now + run_deadline_wall(run, root) - context.wall()
         scheduled = self._deadline_timers.get(run.run)
         if scheduled is not None:
             if not scheduled.cancelled and scheduled.due <= due:
@@ -193,7 +193,7 @@
         if run is None or activity is None:
             self._core.drive(shard, run_id)
             return
-        error = expiry_error(run, self._core.root_of(shard, run), self._core.context.wall())
+        error = run_deadline_error(run, self._core.root_of(shard, run), self._core.context.wall())
         if error is None:
             self._schedule_deadline(shard, run, self._core.root_of(shard, run))
         elif activity.stage in NO_CALL_STAGES:
--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -94,7 +94,7 @@
     if answer is not None:
         status = RunStatus.IDLE if run.spec.conversation else RunStatus.SUCCEEDED
         return EndRun(status=status, answer=answer)
-    expired = expiry_error(run, root, wall)
+    expired = run_deadline_error(run, root, wall)
     if expired is not None:
         return failure_step(run, expired)
     return _next_call(run, limits)
@@ -164,7 +164,7 @@
     return message.content
 
 
-def expiry_wall(run: Run, root: Run) -> float:
+def run_deadline_wall(run: Run, root: Run) -> float:
     """Return the Unix time at which an active run exceeds its deadline or wall time budget."""
     budget_end = root.turn_started_wall + root.spec.budget.wall_seconds
     if run.spec.deadline_wall is None:
@@ -172,13 +172,13 @@
     return min(budget_end, run.spec.deadline_wall)
 
 
-def expiry_error(run: Run, root: Run, wall: float) -> YokelineError | None:
+def run_deadline_error(run: Run, root: Run, wall: float) -> YokelineError | None:
     """Return the error of a run past :func:`expiry_wall`, or None if it is not yet reached."""
     deadline = run.spec.deadline_wall
     if deadline is not None and wall >= deadline:
         return deadline_exceeded(DEADLINE_RETRY_AFTER_SECONDS)
     wall_check = budget.check_wall(root, wall)
-    return None if wall < expiry_wall(run, root) else wall_check.failure()
+    return None if wall < run_deadline_wall(run, root) else wall_check.failure()
 
 
 def failure_step(run: Run, error: YokelineError) -> EndRun | RefuseRequest:
