--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -221,9 +221,9 @@
         """End a sent call without an answer; its execution is unknown."""
         error = msgspec.structs.replace(error, execution=Execution.UNKNOWN)
         if call.kind is CallKind.MODEL:
-            self._models.expire_call(activity, call, error)
+            self._models.end_at_deadline(activity, call, error)
         else:
-            self._keyed.expire_call(activity, call, error)
+            self._keyed.end_at_deadline(activity, call, error)
 
     # ------------------------------------------------------------ leadership
 
--- a/src/yokeline/runs/keyed_calls.py
+++ b/src/yokeline/runs/keyed_calls.py
@@ -243,7 +243,7 @@
         outcome = CallOutcome(status=CallStatus.UNKNOWN, usage=usage, error=error)
         self._core.finish_call(activity, outcome)
 
-    def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
+    def end_at_deadline(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
         """End a repeatable call when its run reaches its deadline."""
         activity.cancel()
         usage = budget.usage_of_reservation(record.reserved)
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -274,7 +274,7 @@
 
     # ------------------------------------------------------------ cancellation
 
-    def expire_call(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
+    def end_at_deadline(self, activity: Activity, record: CallRecord, error: YokelineError) -> None:
         """Cancel a call at its engine when its run reaches its deadline; end it with ``error``."""
         activity.cancel()
         self._finish_failed(activity, error, budget.usage_of_reservation(record.reserved))
