--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -167,7 +167,7 @@
             activity.cancel()
             self._core.end(activity)
         self._core.partial_texts.forget(run.run)
-        self._models.forget_run(run.run)
+        self._models.discard_run_state(run.run)
         self._children.child_ended(run)
 
     # ------------------------------------------------------------ deadline
@@ -241,7 +241,7 @@
             activity.detach()
             self._core.end(activity)
             self._core.partial_texts.forget(activity.run)
-            self._models.forget_run(activity.run)
+            self._models.discard_run_state(activity.run)
             timer = self._deadline_timers.pop(activity.run, None)
             if timer is not None:
                 timer.cancel()
--- a/src/yokeline/runs/model_calls.py
+++ b/src/yokeline/runs/model_calls.py
@@ -279,7 +279,7 @@
         activity.cancel()
         self._finish_failed(activity, error, budget.usage_of_reservation(record.reserved))
 
-    def forget_run(self, run: RunId) -> None:
+    def discard_run_state(self, run: RunId) -> None:
         """Discard the state kept for a run."""
         self._avoid.pop(run, None)
 
