--- a/src/yokeline/runs/core.py
+++ b/src/yokeline/runs/core.py
@@ -223,7 +223,7 @@
         self.propose(activity, command, lambda _run: self._call_finished(activity))
 
     def _call_finished(self, activity: Activity) -> None:
-        self.partial_texts.forget(activity.run)
+        self.partial_texts.discard(activity.run)
         self.end_and_drive(activity)
 
     def count_call(self, event: str, kind: CallKind) -> None:
--- a/src/yokeline/runs/driver.py
+++ b/src/yokeline/runs/driver.py
@@ -166,7 +166,7 @@
         if activity is not None and rules.is_final(run):
             activity.cancel()
             self._core.end(activity)
-        self._core.partial_texts.forget(run.run)
+        self._core.partial_texts.discard(run.run)
         self._models.discard_run_state(run.run)
         self._children.child_ended(run)
 
@@ -240,7 +240,7 @@
         for activity in [a for a in self._core.activities.values() if a.shard == shard]:
             activity.detach()
             self._core.end(activity)
-            self._core.partial_texts.forget(activity.run)
+            self._core.partial_texts.discard(activity.run)
             self._models.discard_run_state(activity.run)
             timer = self._deadline_timers.pop(activity.run, None)
             if timer is not None:
--- a/src/yokeline/runs/partial_text.py
+++ b/src/yokeline/runs/partial_text.py
@@ -47,6 +47,6 @@
         """Return a run's partial text, if any."""
         return self._texts.get(run)
 
-    def forget(self, run: RunId) -> None:
+    def discard(self, run: RunId) -> None:
         """Discard a run's partial text."""
         self._texts.pop(run, None)
