--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -173,7 +173,7 @@
 
 
 def run_deadline_error(run: Run, root: Run, wall: float) -> YokelineError | None:
-    """Return the error of a run past :func:`run_deadline_wall`, or None if it is not yet reached."""
+    """Return the error of a run past :func:`run_deadline_wall`, or None before that time."""
     deadline = run.spec.deadline_wall
     if deadline is not None and wall >= deadline:
         return deadline_exceeded(DEADLINE_RETRY_AFTER_SECONDS)
