--- a/src/yokeline/runs/rules.py
+++ b/src/yokeline/runs/rules.py
@@ -85,7 +85,7 @@
 
 
 def check_same_request(run: Run, spec: RunSpec) -> Check:
-    """Check that a repeated request matches the one that created the run."""
+    """Check that a duplicate request matches the one that created the run."""
     same_owner = run.spec.tenant == spec.tenant and run.spec.program == spec.program
     if not same_owner or run.spec.request_digest != spec.request_digest:
         return Failure(key_reused())
@@ -93,7 +93,7 @@
 
 
 def check_same_turn(run: Run, command: AddTurn) -> Check:
-    """Check that a repeated turn has the same input as the first time."""
+    """Check that a duplicate of an earlier turn has the same input."""
     inputs = [message.content for message in run.history if message.role is Role.USER]
     first_input = inputs[run.turn_keys.index(command.turn_key) + 1]
     return Success(None) if first_input == command.input else Failure(key_reused())
