--- a/src/yokeline/runs/next_step.py
+++ b/src/yokeline/runs/next_step.py
@@ -19,7 +19,7 @@
 
 DEADLINE_RETRY_AFTER_SECONDS = 1.0
 REFUSED_ATTEMPTS_FACTOR = 4
-"""Attempts refused before execution are cheap, so the attempt limit is multiplied for them."""
+"""Factor on the attempt limit for attempts that the back end refused before execution."""
 
 
 class StepLimits(msgspec.Struct, frozen=True, kw_only=True):
@@ -48,13 +48,13 @@
 
 
 class RecoverCall(msgspec.Struct, frozen=True, kw_only=True):
-    """Determine the outcome of a started call, which a previous leader may have sent."""
+    """Take over a call that was started before this activity, usually by a previous leader."""
 
     call: CallRecord
 
 
 class EndRun(msgspec.Struct, frozen=True, kw_only=True):
-    """End the run, or the current turn of a conversation."""
+    """Give the run a final status, or idle status at the end of a conversation's turn."""
 
     status: RunStatus
     answer: str = ""
@@ -94,7 +94,7 @@
     if answer is not None:
         status = RunStatus.IDLE if run.spec.conversation else RunStatus.SUCCEEDED
         return EndRun(status=status, answer=answer)
-    expired = expiry_error(run, root, wall)
+    expired = run_deadline_error(run, root, wall)
     if expired is not None:
         return failure_step(run, expired)
     return _next_call(run, limits)
@@ -164,25 +164,25 @@
     return message.content
 
 
-def expiry_wall(run: Run, root: Run) -> float:
-    """Return the Unix time at which a run exceeds its deadline or wall time budget."""
+def run_deadline_wall(run: Run, root: Run) -> float:
+    """Return the Unix time at which an active run exceeds its deadline or wall time budget."""
     budget_end = root.turn_started_wall + root.spec.budget.wall_seconds
     if run.spec.deadline_wall is None:
         return budget_end
     return min(budget_end, run.spec.deadline_wall)
 
 
-def expiry_error(run: Run, root: Run, wall: float) -> YokelineError | None:
-    """Return the error of an expired run, or None if the run has not expired."""
+def run_deadline_error(run: Run, root: Run, wall: float) -> YokelineError | None:
+    """Return the error of a run past :func:`run_deadline_wall`, or None before that time."""
     deadline = run.spec.deadline_wall
     if deadline is not None and wall >= deadline:
         return deadline_exceeded(DEADLINE_RETRY_AFTER_SECONDS)
     wall_check = budget.check_wall(root, wall)
-    return None if wall < expiry_wall(run, root) else wall_check.failure()
+    return None if wall < run_deadline_wall(run, root) else wall_check.failure()
 
 
 def failure_step(run: Run, error: YokelineError) -> EndRun | RefuseRequest:
-    """Return the step that ends a run or its current turn with an error.
+    """Return the step that gives a run a final or idle status with an error.
 
     A run without calls is refused. A conversation becomes idle again when a turn after the
     first fails, unless the budget is exhausted.
--- a/src/yokeline/runs/partial_text.py
+++ b/src/yokeline/runs/partial_text.py
@@ -47,6 +47,6 @@
         """Return a run's partial text, if any."""
         return self._texts.get(run)
 
-    def forget(self, run: RunId) -> None:
-        """Drop a run's partial text; the run's history or a later attempt replaces it."""
+    def discard(self, run: RunId) -> None:
+        """Discard a run's partial text."""
         self._texts.pop(run, None)
--- a/src/yokeline/runs/retention.py
+++ b/src/yokeline/runs/retention.py
@@ -1,4 +1,8 @@
-"""Removal of runs after their retention time, and release of their engine caches."""
+"""Removal of runs after their retention time, and release of their engine caches.
+
+A run has **ended** here if it is final or an idle conversation. Its retention ends
+``retention_seconds`` after it became final or ``idle_seconds`` after it became idle.
+"""
 
 from __future__ import annotations
 
@@ -20,14 +24,14 @@
 FORGET_BATCH_SIZE = 100
 FORGET_PERIOD_SECONDS = 5.0
 RECENTLY_ENDED_SECONDS = 60.0
-"""A new leader releases the caches of runs that ended within this time once more, because the
-previous leader may have stopped before it released them."""
+"""Age up to which a new leader releases the caches of final runs again, in case the previous
+leader stopped before it released them."""
 
-_ExpiryEntry = tuple[float, RunId]
+_RetentionEntry = tuple[float, RunId]
 
 
 class Retention:
-    """Tracks the ended runs of the shards that this node leads."""
+    """Tracks the ended root runs of the shards that this node leads."""
 
     def __init__(
         self, core: ExecutorCore, engines: EngineDirectoryInterface, cache: CacheActions
@@ -35,13 +39,13 @@
         self._core = core
         self._engines = engines
         self._cache = cache
-        self._expiries: dict[ShardId, list[_ExpiryEntry]] = {}
+        self._retention_ends: dict[ShardId, list[_RetentionEntry]] = {}
         self._scheduled = False
 
     # ------------------------------------------------------------ ended runs
 
     def run_ended(self, shard: ShardId, run: Run) -> None:
-        """Release the caches of an idle or final run and schedule the removal of a root run."""
+        """Apply the cache decision for an idle or final run, and schedule a root run's removal."""
         if run.parent is not None:
             self._cache.run_ended(shard, run)
             return
@@ -49,11 +53,11 @@
             self.release_caches(shard, run)
         else:
             self._cache.turn_ended(shard, run)
-        heap = self._expiries.setdefault(shard, [])
-        heapq.heappush(heap, (self._expiry_wall(run), run.run))
+        heap = self._retention_ends.setdefault(shard, [])
+        heapq.heappush(heap, (self._retention_end_wall(run), run.run))
         self._schedule()
 
-    def _expiry_wall(self, run: Run) -> float:
+    def _retention_end_wall(self, run: Run) -> float:
         runs = self._core.settings.runs
         retention = runs.retention_seconds if rules.is_final(run) else runs.idle_seconds
         return (run.finished_wall or run.created_wall) + retention
@@ -69,9 +73,9 @@
             for run in state_machine.runs.values()
             if run.parent is None and run.status is not RunStatus.ACTIVE
         ]
-        heap = [(self._expiry_wall(run), run.run) for run in ended]
+        heap = [(self._retention_end_wall(run), run.run) for run in ended]
         heapq.heapify(heap)
-        self._expiries[shard] = heap
+        self._retention_ends[shard] = heap
         for run in sorted(ended, key=lambda run: run.run):
             if rules.is_final(run) and (run.finished_wall or 0.0) > recently_ended_after:
                 self.release_caches(shard, run)
@@ -79,14 +83,14 @@
 
     def leadership_lost(self, shard: ShardId) -> None:
         """Stop tracking the runs of a shard."""
-        self._expiries.pop(shard, None)
+        self._retention_ends.pop(shard, None)
 
     # ------------------------------------------------------------ caches
 
     def release_caches(self, shard: ShardId, root: Run) -> None:
-        """Drop the context of an ended run tree at every engine that may still hold it.
+        """Drop the context of an ended run tree at every engine that may have it in its cache.
 
-        This does not depend on the scheduling policy: ended programs must not occupy memory.
+        The scheduling policy has no say: an ended run tree needs no cache memory.
         """
         state_machine = self._core.host.state_machine(shard)
         tree = descendants(state_machine.runs, root) if state_machine is not None else [root]
@@ -100,31 +104,31 @@
     # ------------------------------------------------------------ removal
 
     def _schedule(self) -> None:
-        if self._scheduled or not any(self._expiries.values()):
+        if self._scheduled or not any(self._retention_ends.values()):
             return
         self._scheduled = True
         due = self._core.context.now + FORGET_PERIOD_SECONDS
-        self._core.timers.schedule(due, self._forget_expired)
+        self._core.timers.schedule(due, self._remove_expired)
 
-    def _forget_expired(self) -> None:
+    def _remove_expired(self) -> None:
         self._scheduled = False
-        for shard in sorted(self._expiries):
-            self._forget_in(shard)
+        for shard in sorted(self._retention_ends):
+            self._remove_expired_in(shard)
         self._schedule()
 
-    def _forget_in(self, shard: ShardId) -> None:
+    def _remove_expired_in(self, shard: ShardId) -> None:
         wall = self._core.context.wall()
-        heap = self._expiries[shard]
+        heap = self._retention_ends[shard]
         expired: list[Run] = []
         while heap and heap[0][0] <= wall and len(expired) < FORGET_BATCH_SIZE:
             run = self._core.find(shard, heapq.heappop(heap)[1])
-            if run is not None and self._still_expired(run, wall):
+            if run is not None and self._is_past_retention(run, wall):
                 expired.append(run)
         if expired:
             self._propose(shard, expired, wall)
 
-    def _still_expired(self, run: Run, wall: float) -> bool:
-        return run.status is not RunStatus.ACTIVE and self._expiry_wall(run) <= wall
+    def _is_past_retention(self, run: Run, wall: float) -> bool:
+        return run.status is not RunStatus.ACTIVE and self._retention_end_wall(run) <= wall
 
     def _propose(self, shard: ShardId, expired: list[Run], wall: float) -> None:
         for run in expired:
@@ -141,11 +145,11 @@
         def done(result: Result[ApplyResult, YokelineError]) -> None:
             if not isinstance(result, Failure) and result.unwrap().accepted:
                 return
-            heap = self._expiries.get(shard)
+            heap = self._retention_ends.get(shard)
             if heap is None:
                 return
             for run in expired:
-                heapq.heappush(heap, (self._expiry_wall(run), run.run))
+                heapq.heappush(heap, (self._retention_end_wall(run), run.run))
             self._schedule()
 
         return done
