--- a/src/yokeline/forwarding/patience.py
+++ b/src/yokeline/forwarding/call_timeouts.py
@@ -14,9 +14,9 @@
 MEAN_WEIGHT = 0.05
 DEVIATIONS = 6.0
 """Mean deviations above the mean after which a call is late."""
-LEAST_MEANS = 3.0
+MIN_MEANS = 3.0
 """The same as a multiple of the mean at least."""
-LEAST_CALLS = 20
+MIN_CALLS = 20
 """Answered calls before patience is known."""
 CENSORED_FACTOR = 1.5
 """A call that was given up took longer than was waited; it counts as this multiple of it."""
@@ -28,14 +28,14 @@
     calls: int = 0
 
 
-class CallPatience:
+class CallTimeouts:
     """Times of calls, by kind of call."""
 
     def __init__(self) -> None:
         """Know nothing yet."""
         self._times: dict[str, _CallTimes] = {}
 
-    def note_answered(self, kind: str, seconds: float) -> None:
+    def record_answered(self, kind: str, seconds: float) -> None:
         """Take the time of a call that was answered into its kind's."""
         times = self._times.setdefault(kind, _CallTimes())
         if not times.calls:
@@ -45,24 +45,24 @@
         times.deviation += MEAN_WEIGHT * (abs(seconds - times.mean) - times.deviation)
         times.mean += MEAN_WEIGHT * (seconds - times.mean)
 
-    def note_given_up(self, kind: str, waited: float) -> None:
+    def record_timeout(self, kind: str, waited: float) -> None:
         """Note that a call was not answered in time; so patience grows if all are slow."""
-        self.note_answered(kind, CENSORED_FACTOR * waited)
+        self.record_answered(kind, CENSORED_FACTOR * waited)
 
-    def seconds(self, kind: str, sends: int, calls_before: float = 0.0) -> float | None:
+    def timeout(self, kind: str, sends: int, rounds_before: float = 0.0) -> float | None:
         """Return how long to wait for an answer, twice as long with each further send.
 
         ``calls_before`` is how many calls, one after the other, the engine has to end first. None
         while too little is known.
         """
         times = self._times.get(kind)
-        if times is None or times.calls < LEAST_CALLS:
+        if times is None or times.calls < MIN_CALLS:
             return None
-        least = LEAST_MEANS * times.mean
-        usual = max(least, times.mean + DEVIATIONS * times.deviation)
-        return (usual + calls_before * times.mean) * 2.0 ** (sends - 1)
+        least = MIN_MEANS * times.mean
+        base = max(least, times.mean + DEVIATIONS * times.deviation)
+        return (base + rounds_before * times.mean) * 2.0 ** (sends - 1)
 
 
-def calls_before(load: int, slots: int) -> float:
+def queue_rounds(load: int, slots: int) -> float:
     """Return how many calls a new one waits for at an engine that has ``load`` calls already."""
     return max(0, load - slots + 1) / slots
--- a/src/yokeline/forwarding/retries.py
+++ b/src/yokeline/forwarding/retries.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 
 from yokeline.effects import HttpFailed, HttpResponse
+from yokeline.forwarding.call_timeouts import CallTimeouts, queue_rounds
 from yokeline.forwarding.dispatcher import Dispatcher, ignore_exchange
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineState
@@ -17,7 +18,6 @@
 from yokeline.forwarding.http_statuses import MISDIRECTED
 from yokeline.forwarding.model import RouteKind
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.patience import CallPatience, calls_before
 from yokeline.forwarding.refusals import RefusalCause, RefusalJudge, pause_after
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retry_budget import RetryBudget
@@ -51,7 +51,7 @@
         self._dispatcher = dispatcher
         self._responder = responder
         self._retry_budget = RetryBudget()
-        self._patience = CallPatience()
+        self._call_timeouts = CallTimeouts()
         self._judge = RefusalJudge()
         self.on_rerun: Callable[[Exchange], None] = ignore_exchange
         dispatcher.on_sent = self._handle_sent
@@ -164,7 +164,7 @@
     def record_answered(self, exchange: Exchange) -> None:
         """Learn how long a call that was answered took."""
         seconds = self._state.now - exchange.sent_at
-        self._patience.note_answered(exchange.route.name, seconds)
+        self._call_timeouts.record_answered(exchange.route.name, seconds)
 
     # ------------------------------------------------------------ inner steps
 
@@ -250,25 +250,25 @@
 
     def _schedule_late_check(self, exchange: Exchange) -> None:
         """Look again when an answer of this engine is late; only a call that may be repeated."""
-        patience = self._patience_with(exchange)
-        if patience is not None:
-            due = self._state.now + patience
+        timeout = self._call_timeout(exchange)
+        if timeout is not None:
+            due = self._state.now + timeout
             self._state.schedule(exchange, due, self._move_late_call)
 
-    def _patience_with(self, exchange: Exchange) -> float | None:
+    def _call_timeout(self, exchange: Exchange) -> float | None:
         """Return how long a call waits for the engine that has it; None if it is not known."""
         slots = exchange.engine.engine.slots if exchange.engine is not None else 1
-        queued = calls_before(exchange.load_when_sent, max(1, slots))
-        return self._patience.seconds(exchange.route.name, exchange.sends, queued)
+        rounds_before = queue_rounds(exchange.load_when_sent, max(1, slots))
+        return self._call_timeouts.timeout(exchange.route.name, exchange.sends, rounds_before)
 
     def _move_late_call(self, exchange: Exchange) -> None:
         """Give a call up at an engine that is late with it, and try another one."""
         waited = self._state.now - exchange.sent_at
-        patience = self._patience_with(exchange)
-        is_late = patience is not None and waited >= patience
+        timeout = self._call_timeout(exchange)
+        is_late = timeout is not None and waited >= timeout
         if exchange.phase is not Phase.SENT or exchange.response_head is not None or not is_late:
             return
-        self._patience.note_given_up(exchange.route.name, waited)
+        self._call_timeouts.record_timeout(exchange.route.name, waited)
         engine = exchange.engine
         if engine is None:
             return
--- a/tests/unit/forwarding/test_patience.py
+++ b/tests/unit/forwarding/test_patience.py
@@ -4,63 +4,63 @@
 import unittest
 
 from tests.unit.forwarding.support import Played
-from yokeline.forwarding.patience import LEAST_CALLS, CallPatience, calls_before
+from yokeline.forwarding.call_timeouts import MIN_CALLS, CallTimeouts, queue_rounds
 
 
 class Learned(unittest.TestCase):
     def test_nothing_is_given_up_before_times_are_known(self) -> None:
-        patience = CallPatience()
-        self.assertIsNone(patience.seconds("calls", 1))
+        timeouts = CallTimeouts()
+        self.assertIsNone(timeouts.timeout("calls", 1))
 
     def test_few_calls_of_a_usual_spread_count_as_late(self) -> None:
         source = random.Random(1)
-        patience = CallPatience()
+        timeouts = CallTimeouts()
         late = 0
         for _ in range(2000):
             seconds = 0.08 * source.lognormvariate(0.0, 0.7)
-            limit = patience.seconds("calls", 1)
+            limit = timeouts.timeout("calls", 1)
             late += limit is not None and seconds > limit
-            patience.note_answered("calls", seconds)
+            timeouts.record_answered("calls", seconds)
         self.assertLess(late, 40)
 
     def test_when_all_calls_turn_slow_patience_grows(self) -> None:
-        patience = CallPatience()
+        timeouts = CallTimeouts()
         for _ in range(100):
-            patience.note_answered("calls", 0.05)
+            timeouts.record_answered("calls", 0.05)
         given_up = 0
         for _ in range(100):
-            limit = patience.seconds("calls", 1)
+            limit = timeouts.timeout("calls", 1)
             assert limit is not None
             if limit < 0.5:
                 given_up += 1
-                patience.note_given_up("calls", limit)
+                timeouts.record_timeout("calls", limit)
             else:
-                patience.note_answered("calls", 0.5)
+                timeouts.record_answered("calls", 0.5)
         self.assertLess(given_up, 25)
 
     def test_each_send_waits_twice_as_long_as_the_one_before(self) -> None:
-        patience = CallPatience()
-        for _ in range(LEAST_CALLS):
-            patience.note_answered("calls", 0.1)
-        first, second = patience.seconds("calls", 1), patience.seconds("calls", 2)
+        timeouts = CallTimeouts()
+        for _ in range(MIN_CALLS):
+            timeouts.record_answered("calls", 0.1)
+        first, second = timeouts.timeout("calls", 1), timeouts.timeout("calls", 2)
         assert first is not None
         self.assertEqual(second, 2 * first)
 
     def test_a_call_that_waits_for_others_at_its_engine_is_late_later(self) -> None:
-        patience = CallPatience()
-        for _ in range(LEAST_CALLS):
-            patience.note_answered("calls", 0.1)
-        free, full = (patience.seconds("calls", 1, calls_before(load, slots=4)) for load in (3, 7))
+        timeouts = CallTimeouts()
+        for _ in range(MIN_CALLS):
+            timeouts.record_answered("calls", 0.1)
+        free, full = (timeouts.timeout("calls", 1, queue_rounds(load, slots=4)) for load in (3, 7))
         assert free is not None
         assert full is not None
-        self.assertEqual(patience.seconds("calls", 1), free)
+        self.assertEqual(timeouts.timeout("calls", 1), free)
         self.assertAlmostEqual(full - free, 0.1, delta=0.001)
 
 
 class LateCalls(unittest.TestCase):
     def played(self) -> Played:
         played = Played()
-        for _ in range(LEAST_CALLS + 5):
+        for _ in range(MIN_CALLS + 5):
             played.request("/look-twice/x")
             played.wait(0.02)
             played.engine_answers()
@@ -99,7 +99,7 @@
 
     def test_a_call_on_a_route_of_one_attempt_stays_where_it_is(self) -> None:
         played = Played()
-        for _ in range(LEAST_CALLS + 5):
+        for _ in range(MIN_CALLS + 5):
             played.request("/look/x")
             played.wait(0.02)
             played.engine_answers()
@@ -124,7 +124,7 @@
 
     def test_a_correction_is_never_moved(self) -> None:
         played = self.played()
-        for _ in range(LEAST_CALLS + 5):
+        for _ in range(MIN_CALLS + 5):
             played.request("/fix/x")
             played.wait(0.02)
             played.engine_answers()
