--- a/benchmarks/refusals.py
+++ b/benchmarks/refusals.py
@@ -14,30 +14,35 @@
 from tests.unit.forwarding.refusal_replay import POISON_SHARE, replay
 from tests.unit.forwarding.test_refusals import charges_each_engine
 
+from yokeline.forwarding.engine_rejections import RejectionCause, RejectionClassifier
 from yokeline.forwarding.engines import FULL_BACKOFF_SECONDS, EngineState
 from yokeline.forwarding.exchange import Exchange
-from yokeline.forwarding.refusals import RefusalCause, RefusalJudge
 
 LOADS = (1 / 3, 0.8, 1.2)
 SEEDS = range(3)
 
 
 def charges_by_likelihood(
-    judge: RefusalJudge, exchange: Exchange, engine: EngineState, now: float, *, misdirected: bool
-) -> RefusalCause:
+    classifier: RejectionClassifier,
+    exchange: Exchange,
+    engine: EngineState,
+    now: float,
+    *,
+    misdirected: bool,
+) -> RejectionCause:
     """Hold an engine for full for a time that grows with the places believed taken."""
     full = min(1.0, engine.load / max(1, engine.engine.slots))
-    if judge.suspects(exchange, now):
+    if classifier.is_suspect(exchange, now):
         full = 0.0
     engine.full_until = max(engine.full_until, now + full * FULL_BACKOFF_SECONDS)
     exchange.rejected_by.append(engine)
-    return RefusalCause.OPEN
+    return RejectionCause.UNDECIDED
 
 
 WAYS = {
     "each refusal is load": charges_each_engine,
     "by likelihood": charges_by_likelihood,
-    "by what else is known": RefusalJudge.judge,
+    "by what else is known": RejectionClassifier.classify,
 }
 
 
@@ -46,7 +51,7 @@
     print("way                      load  asked  refused  wait ms  refusals by engines")
     for name, way in WAYS.items():
         for load in LOADS:
-            with patch.object(RefusalJudge, "judge", way):
+            with patch.object(RejectionClassifier, "classify", way):
                 rows = [replay(seed, poison_share=POISON_SHARE, load=load) for seed in SEEDS]
             asked = sum(row.asked for row in rows)
             refused = sum(row.refused for row in rows)
--- a/src/yokeline/forwarding/retries.py
+++ b/src/yokeline/forwarding/retries.py
@@ -12,13 +12,17 @@
 from yokeline.effects import HttpFailed, HttpResponse
 from yokeline.forwarding.call_timeouts import CallTimeouts, queue_rounds
 from yokeline.forwarding.dispatcher import Dispatcher, ignore_exchange
+from yokeline.forwarding.engine_rejections import (
+    RejectionCause,
+    RejectionClassifier,
+    rejection_backoff,
+)
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import MISDIRECTED
 from yokeline.forwarding.model import RouteKind
 from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.refusals import RefusalCause, RefusalJudge, pause_after
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retry_budget import RetryBudget
 
@@ -52,7 +56,7 @@
         self._responder = responder
         self._retry_budget = RetryBudget()
         self._call_timeouts = CallTimeouts()
-        self._judge = RefusalJudge()
+        self._rejections = RejectionClassifier()
         self.on_rerun: Callable[[Exchange], None] = ignore_exchange
         dispatcher.on_sent = self._handle_sent
 
@@ -88,24 +92,30 @@
             return
         exchange.excluded_engine_ids.add(engine.engine.engine_id)
         cause = self._classify_rejection(exchange, engine, response)
-        is_exhausted = self._judge.gives_up(exchange, self._state.now)
+        is_exhausted = self._rejections.is_exhausted(exchange, self._state.now)
         if is_exhausted and exchange.rejected_by:
-            self._judge.note_given_up(exchange, self._state.now)
+            self._rejections.record_rejected_by_all(exchange, self._state.now)
         if is_exhausted or exchange.rejections >= MAX_REJECTIONS:
             self._dispatcher.refuse_for_capacity(exchange)
             return
-        delay = pause_after(exchange) if cause in (RefusalCause.OPEN, RefusalCause.REQUEST) else 0.0
+        delay = (
+            rejection_backoff(exchange)
+            if cause in (RejectionCause.UNDECIDED, RejectionCause.REQUEST)
+            else 0.0
+        )
         self._enqueue_after(exchange, delay)
 
     def _classify_rejection(
         self, exchange: Exchange, engine: EngineState, response: HttpResponse
-    ) -> RefusalCause:
+    ) -> RejectionCause:
         """Charge a refusal, and write whom with what speaks for it."""
         is_misdirected = response.status == MISDIRECTED
         if is_misdirected:
             exchange.attempts.discard(engine.engine.engine_id)
         load = engine.load
-        cause = self._judge.judge(exchange, engine, self._state.now, misdirected=is_misdirected)
+        cause = self._rejections.classify(
+            exchange, engine, self._state.now, misdirected=is_misdirected
+        )
         name = f'yokeline_forwarding_engine_refusals_total{{cause="{cause.value}"}}'
         self._outcomes.counters[name] += 1
         self._outcomes.log(
@@ -118,13 +128,13 @@
             load=load,
             slots=engine.engine.slots,
             free_refusals=len(exchange.rejected_by),
-            caller_suspected=self._judge.suspects(exchange, self._state.now),
+            caller_suspected=self._rejections.is_suspect(exchange, self._state.now),
         )
         return cause
 
     def record_accepted(self, exchange: Exchange) -> None:
         """Note that an engine runs a request."""
-        self._judge.note_taken(exchange, self._state.now)
+        self._rejections.record_accepted(exchange, self._state.now)
 
     def handle_failure(self, exchange: Exchange, failure: HttpFailed) -> None:
         """Go on after an engine broke off, or could not be reached."""
--- a/tests/unit/forwarding/test_refusals.py
+++ b/tests/unit/forwarding/test_refusals.py
@@ -13,9 +13,13 @@
 from tests.unit.forwarding.refusal_replay import POISON_SHARE, replay
 from tests.unit.forwarding.support import Played
 from yokeline.effects import HttpResponse
+from yokeline.forwarding.engine_rejections import (
+    MAX_FREE_SLOT_REJECTIONS,
+    RejectionCause,
+    RejectionClassifier,
+)
 from yokeline.forwarding.engines import FULL_BACKOFF_SECONDS, EngineState
 from yokeline.forwarding.exchange import Exchange
-from yokeline.forwarding.refusals import MAX_FREE_REFUSALS, RefusalCause, RefusalJudge
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
 
@@ -23,11 +27,16 @@
 
 
 def charges_each_engine(
-    judge: RefusalJudge, exchange: Exchange, engine: EngineState, now: float, *, misdirected: bool
-) -> RefusalCause:
+    classifier: RejectionClassifier,
+    exchange: Exchange,
+    engine: EngineState,
+    now: float,
+    *,
+    misdirected: bool,
+) -> RejectionCause:
     """Take each refusal for a full engine, whatever speaks against it."""
     engine.full_until = now + FULL_BACKOFF_SECONDS
-    return RefusalCause.ENGINE_FULL
+    return RejectionCause.ENGINE_FULL
 
 
 class Charged(unittest.TestCase):
@@ -67,7 +76,7 @@
 
     def test_a_request_that_nobody_takes_makes_no_engine_full(self) -> None:
         self.played.request("/fix/x", program_id="p")
-        self.assertEqual(self.reject_all(), MAX_FREE_REFUSALS)
+        self.assertEqual(self.reject_all(), MAX_FREE_SLOT_REJECTIONS)
         self.assertEqual(self.full(), [])
         self.assertEqual(self.played.replies[-1].status, 503)
         self.assertEqual(self.causes(), {"open": 1, "request": 2})
@@ -111,7 +120,7 @@
                 self.played.engine_rejects()
                 self.played.wait(0.1)
             asked.append(len(self.played.sent) - before)
-        self.assertEqual((asked[0], asked[-1]), (MAX_FREE_REFUSALS, 1))
+        self.assertEqual((asked[0], asked[-1]), (MAX_FREE_SLOT_REJECTIONS, 1))
         self.played.request("/fix/x", program_id="good")
         self.played.engine_rejects()
         self.played.engine_answers()
@@ -155,6 +164,6 @@
 
     def test_the_reading_of_each_refusal_as_load_is_caught(self) -> None:
         """A planted fault: the replay shows what it costs the others."""
-        with patch.object(RefusalJudge, "judge", charges_each_engine):
+        with patch.object(RejectionClassifier, "classify", charges_each_engine):
             worse = [replay(seed, poison_share=POISON_SHARE) for seed in SEEDS]
         self.assertGreater(sum(item.waited_seconds + item.refused for item in worse), 1.0)
