--- a/benchmarks/tenant_shares.py
+++ b/benchmarks/tenant_shares.py
@@ -20,7 +20,7 @@
 from tests.unit.scheduling.share_replay import HOT, Load, Replay, Result, Way
 
 from benchmarks.dispatch import POOL, Node
-from yokeline.forwarding.waiting import WaitingRequests
+from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.messages import PoolLoad, TenantLoad
 from yokeline.ledger.tenant_places import TenantPlaces
@@ -91,14 +91,14 @@
         for number in range(ROUNDS):
             held_back = frozenset({""}) if number % 2 else frozenset()
             began = time.perf_counter()
-            queue.hold_back(held_back)
+            queue.set_held_back(held_back)
             seconds.append(time.perf_counter() - began)
         print(f"{waiting:8}{statistics.median(seconds) * MICROSECONDS:9.1f}")
 
 
-def _queue(waiting: int) -> WaitingRequests:
+def _queue(waiting: int) -> WaitQueue:
     """Return a queue of which every second turn begins a program."""
-    queue = WaitingRequests()
+    queue = WaitQueue()
     for number, exchange in enumerate(Node(1, waiting).state.waiting[POOL].in_order()):
         exchange.spent_tokens = number % 2
         queue.add(exchange)
--- a/src/yokeline/forwarding/dispatcher.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -12,7 +12,7 @@
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.room_weighing import Look, RoomWeighing, would_lose_work
-from yokeline.forwarding.waiting import WaitingRequests
+from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.scheduling.return_times import Returning, return_after
 from yokeline.scheduling.room_waits import RoomRefusal
 
@@ -44,7 +44,7 @@
         exchange.engine = None
         exchange.waiting_since = self._state.now
         exchange.room_wait = None
-        queue = self._state.waiting.setdefault(exchange.pool, WaitingRequests())
+        queue = self._state.waiting.setdefault(exchange.pool, WaitQueue())
         displaced = queue.add(exchange)
         if displaced is not None:
             self.refuse_for_capacity(displaced, RoomRefusal.QUEUE_FULL)
@@ -91,7 +91,7 @@
         if queue is None or not len(queue):
             return
         held_back = self._state.shares.held_back(pool, self._state.now)
-        queue.hold_back(held_back)
+        queue.set_held_back(held_back)
         full_engines = _FullEngineCache(held_back)
         look: Look | None = None
         ahead = 0
--- a/src/yokeline/forwarding/node_state.py
+++ b/src/yokeline/forwarding/node_state.py
@@ -10,7 +10,7 @@
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.placement import Placement
-from yokeline.forwarding.waiting import WaitingRequests
+from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ExchangeId, RequestId
 from yokeline.timers import TimerQueue
@@ -46,7 +46,7 @@
         self.placement = Placement(zone, engines)
         self.exchanges: dict[ExchangeId, Exchange] = {}
         self.by_request: dict[RequestId, Exchange] = {}
-        self.waiting: dict[str, WaitingRequests] = {}
+        self.waiting: dict[str, WaitQueue] = {}
         self.shares = PlaceShares()
         self.timers = TimerQueue()
         self.added_seconds = Histogram()
--- a/src/yokeline/forwarding/waiting.py
+++ b/src/yokeline/forwarding/wait_queue.py
@@ -8,14 +8,14 @@
 from yokeline.forwarding.exchange import Exchange
 from yokeline.scheduling.queue_order import OrderKey, Standing, order_key
 
-MAX_WAITING = 512
+MAX_QUEUED = 512
 """Requests of one pool that may wait at a node; beyond it the least urgent is refused."""
 
 
-_NOBODY: frozenset[str] = frozenset()
+_NO_TENANTS: frozenset[str] = frozenset()
 
 
-def standing_of(exchange: Exchange, held_back: frozenset[str] = _NOBODY) -> Standing:
+def standing_of(exchange: Exchange, held_back: frozenset[str] = _NO_TENANTS) -> Standing:
     """Return what decides the place of a request in the queue.
 
     ``held_back`` are the tenants whose new programs leave places to others.
@@ -31,7 +31,7 @@
     )
 
 
-class WaitingRequests:
+class WaitQueue:
     """The queue of one pool.
 
     Attributes:
@@ -43,7 +43,7 @@
     def __init__(self) -> None:
         """Create an empty queue."""
         self._waiting: list[Exchange] = []
-        self._held_back = _NOBODY
+        self._held_back = _NO_TENANTS
         self.first_turns: Counter[str] = Counter()
         self.tenant_changes = 0
 
@@ -53,21 +53,21 @@
 
     def add(self, exchange: Exchange) -> Exchange | None:
         """Add a request; return the one that must give way, if there are too many."""
-        insort(self._waiting, exchange, key=self._order_of)
-        self._count(exchange, 1)
-        if len(self._waiting) <= MAX_WAITING:
+        insort(self._waiting, exchange, key=self._order_key)
+        self._count_first_turn(exchange, 1)
+        if len(self._waiting) <= MAX_QUEUED:
             return None
         displaced = self._waiting.pop()
-        self._count(displaced, -1)
+        self._count_first_turn(displaced, -1)
         return displaced
 
     def remove(self, exchange: Exchange) -> None:
         """Take a request out; one that does not wait is a no-op."""
         if exchange in self._waiting:
             self._waiting.remove(exchange)
-            self._count(exchange, -1)
+            self._count_first_turn(exchange, -1)
 
-    def hold_back(self, tenants: frozenset[str]) -> None:
+    def set_held_back(self, tenants: frozenset[str]) -> None:
         """Put new programs of ``tenants`` behind all others, and no longer those of earlier ones.
 
         The queue is put in order anew only if the tenants are others than before.
@@ -77,16 +77,16 @@
         changed = tenants ^ self._held_back
         self._held_back = tenants
         if any(tenant in self.first_turns for tenant in changed):
-            self._waiting.sort(key=self._order_of)
+            self._waiting.sort(key=self._order_key)
 
     def in_order(self) -> list[Exchange]:
         """Return the requests, the most urgent first."""
         return list(self._waiting)
 
-    def _order_of(self, exchange: Exchange) -> OrderKey:
+    def _order_key(self, exchange: Exchange) -> OrderKey:
         return order_key(standing_of(exchange, self._held_back))
 
-    def _count(self, exchange: Exchange, change: int) -> None:
+    def _count_first_turn(self, exchange: Exchange, change: int) -> None:
         if not exchange.is_unstarted_first_turn:
             return
         tenant = exchange.tenant_name
--- a/tests/unit/forwarding/test_place_shares.py
+++ b/tests/unit/forwarding/test_place_shares.py
@@ -14,7 +14,7 @@
 from yokeline.forwarding.model import RouteKind
 from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
-from yokeline.forwarding.waiting import WaitingRequests
+from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport, PoolLoad, PoolShares, TenantLoad
 from yokeline.ledger.node_reports import NODE_SILENCE_SECONDS
@@ -147,7 +147,7 @@
         for _ in range(5):
             self.turn("hot", HOT_IS_BEYOND)
         with patch.object(
-            WaitingRequests, "_order_of", autospec=True, side_effect=WaitingRequests._order_of
+            WaitQueue, "_order_key", autospec=True, side_effect=WaitQueue._order_key
         ) as order_of:
             for _ in range(10):
                 self.played.take(self.played.forwarder.tick(self.played.now))
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -23,7 +23,7 @@
 from yokeline.forwarding.model import Call, PoolWeight, Route, RouteKind
 from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.tenants import StateNames, Tenant
-from yokeline.forwarding.waiting import WaitingRequests
+from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import ExchangeId, ReplicaId
 from yokeline.ledger.messages import PoolLoad, PoolShares, TenantLoad
 from yokeline.ledger.own_turns import REFRESH_SECONDS, ROWS_SECONDS
@@ -143,7 +143,7 @@
     def __init__(self, name: str, way: Way) -> None:
         self.process = ReplicaId(name)
         self.way = way
-        self.queue = WaitingRequests()
+        self.queue = WaitQueue()
         self.shares = PlaceShares()
         self.running: Counter[str] = Counter()
         self.told_running = 0
@@ -166,7 +166,7 @@
             return waiting
         if self.way is Way.FIRST_COME:
             return waiting
-        self.queue.hold_back(self.shares.held_back(POOL, now))
+        self.queue.set_held_back(self.shares.held_back(POOL, now))
         return self.queue.in_order()
 
     def may_take(self, exchange: Exchange, now: float) -> bool:
