--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -23,6 +23,7 @@
 
 from yokeline.effects import Address, HttpArrived
 from yokeline.forwarding.attempts import Attempts
+from yokeline.forwarding.capacity_view import MAX_VIEW_AGE_SECONDS
 from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_choice import MODEL_OVERCOMMIT
 from yokeline.forwarding.engine_sender import EngineSender
@@ -42,7 +43,6 @@
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.responder import Responder
-from yokeline.forwarding.room_view import REFRESH_SECONDS
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.tenants import StateNames
 from yokeline.identifiers import ExchangeId
@@ -102,7 +102,7 @@
 
     def look_with_fresh_view(self) -> float:
         """Return the same when the view of the pool is too old and is taken anew."""
-        self.state.now += REFRESH_SECONDS
+        self.state.now += MAX_VIEW_AGE_SECONDS
         return self.look()
 
     def look_with_one_free(self) -> float:
--- a/benchmarks/room_waits.py
+++ b/benchmarks/room_waits.py
@@ -15,7 +15,7 @@
 
 from tests.unit.forwarding.room_replay import Load, Replayed, replay
 
-from yokeline.forwarding import admission, dispatcher, room_weighing
+from yokeline.forwarding import admission, dispatcher, queue_admission
 from yokeline.scheduling.return_times import Returning
 from yokeline.scheduling.room_waits import PoolRoom, RoomDecision, RoomNeed, decide, longest_wait
 
@@ -56,8 +56,8 @@
 def share_of_target_way() -> Iterator[None]:
     """Decide by a share of the target, and return after a fixed time."""
     with (
-        patch.object(room_weighing, "decide", share_of_target),
-        patch.object(room_weighing, "is_hopeless", lambda _still, _expected: False),
+        patch.object(queue_admission, "decide", share_of_target),
+        patch.object(queue_admission, "is_hopeless", lambda _still, _expected: False),
         patch.object(dispatcher, "return_after", fixed_return),
         patch.object(admission, "return_after_outage", lambda _caller: FIXED_RETURN_SECONDS),
     ):
@@ -68,8 +68,8 @@
 def slack_way() -> Iterator[None]:
     """Decide by the slack alone."""
     with (
-        patch.object(room_weighing, "decide", slack_alone),
-        patch.object(room_weighing, "is_hopeless", lambda _still, _expected: False),
+        patch.object(queue_admission, "decide", slack_alone),
+        patch.object(queue_admission, "is_hopeless", lambda _still, _expected: False),
     ):
         yield
 
@@ -77,7 +77,7 @@
 @contextmanager
 def slack_and_wait_way() -> Iterator[None]:
     """Decide by the slack and the expected wait."""
-    with patch.object(room_weighing, "decide", decide):
+    with patch.object(queue_admission, "decide", decide):
         yield
 
 
--- a/src/yokeline/forwarding/room_view.py
+++ b/src/yokeline/forwarding/capacity_view.py
@@ -8,12 +8,12 @@
 from yokeline.forwarding.placement import Placement
 from yokeline.scheduling.room_waits import PoolRoom
 
-REFRESH_SECONDS = 0.05
+MAX_VIEW_AGE_SECONDS = 0.05
 """Age up to which a view is used again. A view costs a look at each engine and each report, and
 reports come each 0.08 s at most."""
 
 
-class RoomView(msgspec.Struct, frozen=True, kw_only=True):
+class CapacityView(msgspec.Struct, frozen=True, kw_only=True):
     """The room of one pool at one time.
 
     Attributes:
@@ -27,15 +27,15 @@
         reports_age: Age of the oldest report that counts (seconds); 0 without one.
     """
 
-    at: float
-    places: int
-    place_seconds: float | None
-    begin_share: float
-    begin_excess: int
-    elsewhere: int
-    reports_age: float
+    taken_at: float
+    slots: int
+    slot_seconds: float | None
+    new_program_share: float
+    new_program_excess: int
+    waiting_elsewhere: int
+    report_age: float
 
-    def room(self, ahead: int, waiting: int, *, is_first: bool) -> PoolRoom:
+    def capacity_for(self, ahead: int, waiting: int, *, is_first_turn: bool) -> PoolRoom:
         """Return the room for one request.
 
         Other nodes do not tell the order of their queues. As many of theirs go before it as of
@@ -44,47 +44,47 @@
         Args:
             ahead: Requests that go before it at this node.
             waiting: Requests that wait at this node, itself included.
-            is_first: It begins a program.
+            is_first_turn: It begins a program.
         """
         rank = (ahead + 1) / (max(waiting, ahead + 1) + 1)
         return PoolRoom(
-            places=self.places,
-            ahead=ahead + rank * self.elsewhere,
-            excess=self.begin_excess if is_first else 0,
-            place_seconds=self.place_seconds,
-            share=self.begin_share if is_first else 1.0,
+            places=self.slots,
+            ahead=ahead + rank * self.waiting_elsewhere,
+            excess=self.new_program_excess if is_first_turn else 0,
+            place_seconds=self.slot_seconds,
+            share=self.new_program_share if is_first_turn else 1.0,
         )
 
 
-class RoomViews:
+class CapacityViews:
     """The latest view of each pool."""
 
     def __init__(self, engines: EngineTable, placement: Placement) -> None:
         """Look at ``engines``, and at what ``placement`` has learned."""
         self._engines = engines
         self._placement = placement
-        self._views: dict[str, RoomView] = {}
+        self._views: dict[str, CapacityView] = {}
 
-    def of(self, pool: str, now: float) -> RoomView:
+    def of(self, pool: str, now: float) -> CapacityView:
         """Return a view of a pool that is fresh enough."""
         view = self._views.get(pool)
-        if view is None or now - view.at >= REFRESH_SECONDS:
-            view = self._look(pool, now)
+        if view is None or now - view.taken_at >= MAX_VIEW_AGE_SECONDS:
+            view = self._take_view(pool, now)
             self._views[pool] = view
         return view
 
-    def _look(self, pool: str, now: float) -> RoomView:
+    def _take_view(self, pool: str, now: float) -> CapacityView:
         engines = self._engines.in_pool(pool, now)
         slots = sum(state.engine.slots for state in engines)
         held = sum(state.load for state in engines)
         least_excess = min((state.load - state.engine.slots for state in engines), default=0)
         waiting = self._engines.waiting_elsewhere(pool, now)
-        return RoomView(
-            at=now,
-            places=max(slots, held),
-            place_seconds=self._placement.place_seconds(pool),
-            begin_share=self._placement.begin_share(pool),
-            begin_excess=max(0, least_excess) * len(engines),
-            elsewhere=waiting.requests,
-            reports_age=waiting.report_age,
+        return CapacityView(
+            taken_at=now,
+            slots=max(slots, held),
+            slot_seconds=self._placement.slot_seconds(pool),
+            new_program_share=self._placement.new_program_share(pool),
+            new_program_excess=max(0, least_excess) * len(engines),
+            waiting_elsewhere=waiting.requests,
+            report_age=waiting.report_age,
         )
--- a/src/yokeline/forwarding/dispatcher.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -10,8 +10,8 @@
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.queue_admission import CapacitySnapshot, QueueAdmission, would_lose_work
 from yokeline.forwarding.responder import Responder
-from yokeline.forwarding.room_weighing import Look, RoomWeighing, would_lose_work
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.scheduling.return_times import Returning, return_after
 from yokeline.scheduling.room_waits import RoomRefusal
@@ -29,7 +29,7 @@
         self._state = state
         self._sender = sender
         self._responder = responder
-        self._weighing = RoomWeighing(state)
+        self._admission = QueueAdmission(state)
         self.on_sent: Callable[[Exchange], None] = ignore_exchange
 
     def enqueue(self, exchange: Exchange) -> None:
@@ -65,7 +65,7 @@
         )
         expected = exchange.room_wait.expected if exchange.room_wait is not None else 0.0
         retry_after = return_after(caller, expected)
-        fields = self._weighing.refusal_fields(exchange, refusal)
+        fields = self._admission.refusal_fields(exchange, refusal)
         self._responder.refuse(
             exchange, UNAVAILABLE, "no_engine", retry_after=retry_after, **fields
         )
@@ -93,7 +93,7 @@
         held_back = self._state.shares.held_back(pool, self._state.now)
         queue.set_held_back(held_back)
         full_engines = _FullEngineCache(held_back)
-        look: Look | None = None
+        snapshot: CapacitySnapshot | None = None
         ahead = 0
         for exchange in queue.in_order():
             refusal = self._unservable_cause(exchange)
@@ -103,8 +103,8 @@
                     queue.remove(exchange)
                     self._send(exchange, choice)
                     continue
-                look = look or self._weighing.look(pool)
-                refusal = self._weigh(exchange, look, ahead=ahead, waiting=len(queue))
+                snapshot = snapshot or self._admission.snapshot(pool)
+                refusal = self._check_wait(exchange, snapshot, ahead=ahead, waiting=len(queue))
             if refusal is not None:
                 queue.remove(exchange)
                 self.refuse_for_capacity(exchange, refusal)
@@ -135,18 +135,18 @@
         return choice
 
     def _send(self, exchange: Exchange, choice: EngineChoice) -> None:
-        self._weighing.note_place(exchange)
+        self._admission.record_served(exchange)
         exchange.room_wait = None
         self._sender.send(exchange, choice)
         self.on_sent(exchange)
 
-    def _weigh(
-        self, exchange: Exchange, look: Look, *, ahead: int, waiting: int
+    def _check_wait(
+        self, exchange: Exchange, snapshot: CapacitySnapshot, *, ahead: int, waiting: int
     ) -> RoomRefusal | None:
         """Decide whether a request waits on; a wait that begins ends when it can bear no more."""
-        begins = exchange.room_wait is None
-        refusal = self._weighing.weigh(exchange, look, ahead=ahead, waiting=waiting)
-        if begins and refusal is None and exchange.room_wait is not None:
+        is_new_wait = exchange.room_wait is None
+        refusal = self._admission.check_wait(exchange, snapshot, ahead=ahead, waiting=waiting)
+        if is_new_wait and refusal is None and exchange.room_wait is not None:
             self._state.schedule(exchange, exchange.room_wait.until, self._wait_expired)
         return refusal
 
@@ -156,7 +156,7 @@
         if exchange.phase is not Phase.WAITING or exchange.relayed_events or wait is None:
             return
         if self._state.now >= wait.until:
-            self._weighing.note_in_vain(exchange)
+            self._admission.record_expired(exchange)
             self.refuse_for_capacity(exchange, RoomRefusal.WAITED)
 
 
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -82,11 +82,11 @@
         """
         return exchange.attempts.are_exhausted and not self._own_engines(exchange)
 
-    def place_seconds(self, pool: str) -> float | None:
+    def slot_seconds(self, pool: str) -> float | None:
         """Return for how many seconds a request keeps a place of a pool; None if not known."""
         return self._turn_seconds.get(pool, self._call_seconds.get(pool))
 
-    def begin_share(self, pool: str) -> float:
+    def new_program_share(self, pool: str) -> float:
         """Return which share of a pool's places that come free goes to programs that begin."""
         return max(LEAST_BEGIN_SHARE, self._begin_shares.get(pool, START_BEGIN_SHARE))
 
--- a/src/yokeline/forwarding/room_weighing.py
+++ b/src/yokeline/forwarding/queue_admission.py
@@ -4,11 +4,11 @@
 
 import msgspec
 
+from yokeline.forwarding.capacity_view import CapacityView, CapacityViews
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.model import continues_program
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import LogField
-from yokeline.forwarding.room_view import RoomView, RoomViews
 from yokeline.scheduling.room_waits import (
     PoolRoom,
     RoomNeed,
@@ -21,7 +21,7 @@
 from yokeline.scheduling.wait_errors import WaitErrors
 
 
-class Look(msgspec.Struct, frozen=True, kw_only=True):
+class CapacitySnapshot(msgspec.Struct, frozen=True, kw_only=True):
     """The room that one look at a queue goes by.
 
     Attributes:
@@ -29,57 +29,57 @@
         is_new: Earlier looks went by another view, so that all waits are weighed anew.
     """
 
-    view: RoomView
+    view: CapacityView
     is_new: bool
 
 
-class RoomWeighing:
+class QueueAdmission:
     """Weighs the waits of one node's requests, and learns from those that are over."""
 
     def __init__(self, state: NodeState) -> None:
         """Weigh by what ``state`` knows."""
         self._state = state
-        self._views = RoomViews(state.engines, state.placement)
-        self._weighed_by: dict[str, RoomView] = {}
-        self._errors = WaitErrors()
+        self._views = CapacityViews(state.engines, state.placement)
+        self._last_views: dict[str, CapacityView] = {}
+        self._wait_errors = WaitErrors()
 
-    def look(self, pool: str) -> Look:
+    def snapshot(self, pool: str) -> CapacitySnapshot:
         """Return what a look at a pool's queue goes by."""
         view = self._views.of(pool, self._state.now)
-        look = Look(view=view, is_new=self._weighed_by.get(pool) is not view)
-        self._weighed_by[pool] = view
-        return look
+        snapshot = CapacitySnapshot(view=view, is_new=self._last_views.get(pool) is not view)
+        self._last_views[pool] = view
+        return snapshot
 
-    def weigh(
-        self, exchange: Exchange, look: Look, *, ahead: int, waiting: int
+    def check_wait(
+        self, exchange: Exchange, snapshot: CapacitySnapshot, *, ahead: int, waiting: int
     ) -> RoomRefusal | None:
         """Decide whether a request that found no room waits on; return why not.
 
         Args:
             exchange: The request; its wait is noted there.
-            look: At the queue.
+            snapshot: At the queue.
             ahead: Requests before it in the queue.
             waiting: Requests in the queue, itself included.
         """
-        if exchange.room_wait is not None and not look.is_new:
+        if exchange.room_wait is not None and not snapshot.is_new:
             return None
-        room = self._room_for(exchange, look.view, ahead, waiting)
+        capacity = self._capacity_for(exchange, snapshot.view, ahead, waiting)
         if exchange.room_wait is None:
-            return self._begin(exchange, room)
-        exchange.room_wait.expected = expected_wait(room)
+            return self._begin_wait(exchange, capacity)
+        exchange.room_wait.expected = expected_wait(capacity)
         if not exchange.call.program or exchange.relayed_events or exchange.possible_runs:
             return None
-        still = exchange.room_wait.until - self._state.now
-        hopeless = is_hopeless(still, exchange.room_wait.expected)
+        time_left = exchange.room_wait.until - self._state.now
+        hopeless = is_hopeless(time_left, exchange.room_wait.expected)
         return RoomRefusal.HOPELESS if hopeless else None
 
-    def note_place(self, exchange: Exchange) -> None:
+    def record_served(self, exchange: Exchange) -> None:
         """Learn from a request that got a place; one that did not wait tells nothing."""
         if exchange.room_wait is not None:
             self._state.room_waits.observe(self._state.now - exchange.waiting_since)
             self._learn(exchange, exchange.room_wait, got_place=True)
 
-    def note_in_vain(self, exchange: Exchange) -> None:
+    def record_expired(self, exchange: Exchange) -> None:
         """Learn from a request that has waited for as long as it can bear.
 
         Waits that were ended as hopeless tell nothing: the expectation would feed on itself.
@@ -99,34 +99,36 @@
             "expected_wait": round(wait.expected, 4) if wait is not None else None,
             "bears": round(wait.bears, 4) if wait is not None else None,
             "program_share": round(self._program_share(exchange), 3),
-            "places": view.places,
-            "place_seconds": _rounded(view.place_seconds),
-            "error_ratio": round(self._errors.ratio(exchange.pool), 3),
-            "begin_share": round(view.begin_share, 3),
-            "begin_excess": view.begin_excess,
+            "places": view.slots,
+            "place_seconds": _rounded(view.slot_seconds),
+            "error_ratio": round(self._wait_errors.ratio(exchange.pool), 3),
+            "begin_share": round(view.new_program_share, 3),
+            "begin_excess": view.new_program_excess,
             "waiting_here": len(queue) if queue is not None else 0,
-            "waiting_elsewhere": view.elsewhere,
-            "view_age": round(now - view.at, 4),
-            "reports_age": round(now - view.at + view.reports_age, 4),
+            "waiting_elsewhere": view.waiting_elsewhere,
+            "view_age": round(now - view.taken_at, 4),
+            "reports_age": round(now - view.taken_at + view.report_age, 4),
         }
 
-    def _begin(self, exchange: Exchange, room: PoolRoom) -> RoomRefusal | None:
-        decision = decide(self._need_of(exchange), room)
+    def _begin_wait(self, exchange: Exchange, capacity: PoolRoom) -> RoomRefusal | None:
+        decision = decide(self._need_of(exchange), capacity)
         exchange.room_wait = RoomWait(
             until=self._state.now + decision.bears,
             expected=decision.expected,
-            first_expected=decision.expected / room.error_ratio,
+            first_expected=decision.expected / capacity.error_ratio,
             bears=decision.bears,
         )
         self._state.expected_waits.observe(decision.expected)
         return decision.refusal
 
-    def _room_for(self, exchange: Exchange, view: RoomView, ahead: int, waiting: int) -> PoolRoom:
-        is_first = exchange.is_first_turn
-        room = view.room(ahead, waiting, is_first=is_first)
-        if not is_first:
-            return room
-        return msgspec.structs.replace(room, error_ratio=self._errors.ratio(exchange.pool))
+    def _capacity_for(
+        self, exchange: Exchange, view: CapacityView, ahead: int, waiting: int
+    ) -> PoolRoom:
+        is_first_turn = exchange.is_first_turn
+        capacity = view.capacity_for(ahead, waiting, is_first_turn=is_first_turn)
+        if not is_first_turn:
+            return capacity
+        return msgspec.structs.replace(capacity, error_ratio=self._wait_errors.ratio(exchange.pool))
 
     def _need_of(self, exchange: Exchange) -> RoomNeed:
         now, program_time_left = self._state.now, exchange.call.program_time_left
@@ -137,7 +139,7 @@
         )
         return RoomNeed(
             time_left=exchange.deadline - now,
-            own_seconds=self._state.placement.place_seconds(exchange.pool) or 0.0,
+            own_seconds=self._state.placement.slot_seconds(exchange.pool) or 0.0,
             target_latency=exchange.route.target_latency,
             has_program=bool(exchange.call.program),
             program_left=program_left,
@@ -153,7 +155,7 @@
         """Learn how far the expected waits of first turns can be trusted."""
         if exchange.is_first_turn and not exchange.was_held_back:
             waited = self._state.now - exchange.waiting_since
-            self._errors.note(exchange.pool, wait.first_expected, waited, got_place=got_place)
+            self._wait_errors.note(exchange.pool, wait.first_expected, waited, got_place=got_place)
 
 
 def would_lose_work(exchange: Exchange) -> bool:
