--- a/src/yokeline/forwarding/dispatcher.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -116,7 +116,7 @@
         placement = self._state.placement
         if placement.lacks_time(exchange, self._state.now):
             return RoomRefusal.NO_TIME
-        if placement.is_stranded(exchange):
+        if placement.has_no_engine_left(exchange):
             return RoomRefusal.NO_ENGINE_LEFT
         return None
 
--- a/src/yokeline/forwarding/engine_sender.py
+++ b/src/yokeline/forwarding/engine_sender.py
@@ -43,7 +43,7 @@
         state.by_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
         self._settlements.tell_of_begin(exchange, engine)
-        state.placement.note_sent(exchange, choice, state.pool_of(exchange), state.now)
+        state.placement.record_send(exchange, choice, state.pool_of(exchange), state.now)
         state.shares.note_served(exchange, state.now)
         if exchange.sends == 1:
             state.added_seconds.observe(state.now - exchange.arrived_at)
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -481,7 +481,7 @@
 
     def _note_call(self, exchange: Exchange) -> None:
         if exchange.route.kind is not RouteKind.STREAMING:
-            self._state.placement.note_call(exchange, self._state.now)
+            self._state.placement.record_call(exchange, self._state.now)
 
     def _is_due(self, exchange: Exchange) -> bool:
         return self._state.now >= exchange.deadline - DUE_SLACK_SECONDS
--- a/src/yokeline/forwarding/placement.py
+++ b/src/yokeline/forwarding/placement.py
@@ -14,19 +14,19 @@
 from yokeline.scheduling.program_times import ProgramTimes
 
 MAX_AFFINITIES = 4096
-HOPELESS_SHARE = 0.6
+MIN_TIME_LEFT_SHARE = 0.6
 """A turn is not begun with less than this share of an average turn's time left."""
-TURN_WEIGHT = 0.05
+SERVICE_TIME_WEIGHT = 0.05
 """Weight of a new turn in the moving average of a pool's turns."""
-BEGIN_WEIGHT = 0.02
+NEW_PROGRAM_SHARE_WEIGHT = 0.02
 """Weight of a send in the share of a pool's places that go to programs that begin."""
-START_BEGIN_SHARE = 0.25
+INITIAL_NEW_PROGRAM_SHARE = 0.25
 """That share before anything was sent: programs of four turns."""
-LEAST_BEGIN_SHARE = 0.1
+MIN_NEW_PROGRAM_SHARE = 0.1
 """While few programs begin, the share says how few ask rather than how few get a place."""
-LEAST_GAPS = 3
+MIN_EVENT_GAPS = 3
 """Gaps between events from which the pace of an engine is read."""
-LEAST_SECONDS = 0.005
+MIN_TIME_LEFT_SECONDS = 0.005
 """Nothing is sent with less time left, as after a pause of the whole process."""
 
 
@@ -41,13 +41,13 @@
     def __init__(self, zone: str, engines: EngineTable) -> None:
         """Choose among ``engines`` for a node in ``zone``."""
         self.prefix_cache = PrefixCacheIndex()
-        self.programs = ProgramTimes()
+        self.program_times = ProgramTimes()
         self._zone = zone
         self._engines = engines
         self._affinities: OrderedDict[tuple[str, str], str] = OrderedDict()
         self._turn_seconds: dict[str, float] = {}
         self._call_seconds: dict[str, float] = {}
-        self._begin_shares: dict[str, float] = {}
+        self._new_program_shares: dict[str, float] = {}
         self._models: dict[str, EngineModel] = {}
 
     def choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
@@ -56,9 +56,9 @@
         One that has used up the attempts of its route goes back to the latest that is listed.
         """
         if exchange.attempts.are_exhausted:
-            own = self._own_engines(exchange)[:1]
+            attempted = self._attempted_engines(exchange)[:1]
             return choose_engine(
-                own, self.prefix_cache, self._inputs(exchange, pool, tried=()), now
+                attempted, self.prefix_cache, self._choice_inputs(exchange, pool, excluded=()), now
             )
         choice = self._choose(exchange, pool, now)
         if choice is None and exchange.excluded_engine_ids:
@@ -68,19 +68,19 @@
 
     def lacks_time(self, exchange: Exchange, now: float) -> bool:
         """Return whether too little time is left to serve a request before it is due."""
-        left = exchange.deadline - now
-        if left <= LEAST_SECONDS:
+        time_left = exchange.deadline - now
+        if time_left <= MIN_TIME_LEFT_SECONDS:
             return True
         if exchange.route.kind is not RouteKind.STREAMING or exchange.relayed_events:
             return False
-        return left < HOPELESS_SHARE * self._turn_seconds.get(exchange.pool, 0.0)
+        return time_left < MIN_TIME_LEFT_SHARE * self._turn_seconds.get(exchange.pool, 0.0)
 
-    def is_stranded(self, exchange: Exchange) -> bool:
+    def has_no_engine_left(self, exchange: Exchange) -> bool:
         """Return whether no engine may take it: its attempts are used up, and those engines left.
 
         An engine whose entry went may serve on, so it still counts.
         """
-        return exchange.attempts.are_exhausted and not self._own_engines(exchange)
+        return exchange.attempts.are_exhausted and not self._attempted_engines(exchange)
 
     def slot_seconds(self, pool: str) -> float | None:
         """Return for how many seconds a request keeps a place of a pool; None if not known."""
@@ -88,17 +88,19 @@
 
     def new_program_share(self, pool: str) -> float:
         """Return which share of a pool's places that come free goes to programs that begin."""
-        return max(LEAST_BEGIN_SHARE, self._begin_shares.get(pool, START_BEGIN_SHARE))
+        return max(
+            MIN_NEW_PROGRAM_SHARE, self._new_program_shares.get(pool, INITIAL_NEW_PROGRAM_SHARE)
+        )
 
-    def note_sent(self, exchange: Exchange, choice: EngineChoice, pool: Pool, now: float) -> None:
+    def record_send(self, exchange: Exchange, choice: EngineChoice, pool: Pool, now: float) -> None:
         """Note what the chosen engine will have read, which subject it saw, and who begins."""
         engine_id = choice.state.engine.engine_id
         call = exchange.call
-        self._note_begin(exchange, now)
+        self._record_program_start(exchange, now)
         if pool.model is not None:
             self.prefix_cache.record_prompt(engine_id, call.prompt_parts, pool.model.memory_tokens)
         if call.affinity_key:
-            self._note_affinity((exchange.pool, call.affinity_key), engine_id)
+            self._record_affinity((exchange.pool, call.affinity_key), engine_id)
 
     def forget_engine(self, engine_id: str) -> None:
         """Forget an engine that is gone."""
@@ -106,15 +108,15 @@
         for model in self._models.values():
             model.forget(engine_id)
 
-    def note_turn(self, exchange: Exchange, now: float) -> ObservedPace:
+    def record_turn(self, exchange: Exchange, now: float) -> ObservedPace:
         """Learn from a turn that its engine served whole, at the first try."""
-        self.programs.answered(exchange.names.program, now)
+        self.program_times.answered(exchange.names.program, now)
         if exchange.sends > 1 or exchange.engine is None:
             return NO_PACE
         if self._engines.get(exchange.engine.engine.engine_id) is None:
             # Gone meanwhile; what is learnt of it would be kept for ever.
             return NO_PACE
-        self._note_turn_seconds(exchange, now)
+        self._record_turn_seconds(exchange, now)
         if exchange.first_event_at is None or not exchange.relayed_events:
             return NO_PACE
         gaps = exchange.relayed_events - 1
@@ -124,12 +126,12 @@
             unread=exchange.uncached_tokens,
             beside=(exchange.load_when_sent + max(0, exchange.engine.load - 1)) / 2,
             first_event_seconds=exchange.first_event_at - exchange.sent_at,
-            event_seconds=event_seconds if gaps >= LEAST_GAPS else None,
+            event_seconds=event_seconds if gaps >= MIN_EVENT_GAPS else None,
             events=exchange.relayed_events,
         )
         return self._model(exchange.pool).observe(turn, now, exchange.engine.reported_profile)
 
-    def _own_engines(self, exchange: Exchange) -> list[EngineState]:
+    def _attempted_engines(self, exchange: Exchange) -> list[EngineState]:
         """Return the engines that were left with a request and take work, the latest first."""
         known = (self._engines.get(name) for name in reversed(exchange.attempts.engine_ids))
         return [state for state in known if state is not None and not state.engine.draining]
@@ -139,50 +141,54 @@
         model.take_usual(self._engines.usual_pace(pool))
         return model
 
-    def note_call(self, exchange: Exchange, now: float) -> None:
+    def record_call(self, exchange: Exchange, now: float) -> None:
         """Learn from a call that its engine answered."""
-        self.programs.answered(exchange.names.program, now)
+        self.program_times.answered(exchange.names.program, now)
         seconds = now - exchange.sent_at
         average = self._call_seconds.setdefault(exchange.pool, seconds)
-        self._call_seconds[exchange.pool] = average + TURN_WEIGHT * (seconds - average)
+        self._call_seconds[exchange.pool] = average + SERVICE_TIME_WEIGHT * (seconds - average)
 
-    def _note_begin(self, exchange: Exchange, now: float) -> None:
+    def _record_program_start(self, exchange: Exchange, now: float) -> None:
         """Note whether a place went to a program that begins, and follow that program."""
-        begins = exchange.is_first_turn
-        share = self._begin_shares.get(exchange.pool, START_BEGIN_SHARE)
-        self._begin_shares[exchange.pool] = share + BEGIN_WEIGHT * (float(begins) - share)
-        given = exchange.call.program_time_left
-        if begins and given is not None:
-            self.programs.begin(exchange.names.program, exchange.route.name, given, now)
-
-    def _note_turn_seconds(self, exchange: Exchange, now: float) -> None:
+        is_first_turn = exchange.is_first_turn
+        share = self._new_program_shares.get(exchange.pool, INITIAL_NEW_PROGRAM_SHARE)
+        self._new_program_shares[exchange.pool] = share + NEW_PROGRAM_SHARE_WEIGHT * (
+            float(is_first_turn) - share
+        )
+        time_given = exchange.call.program_time_left
+        if is_first_turn and time_given is not None:
+            self.program_times.begin(exchange.names.program, exchange.route.name, time_given, now)
+
+    def _record_turn_seconds(self, exchange: Exchange, now: float) -> None:
         seconds = now - exchange.sent_at
         average = self._turn_seconds.setdefault(exchange.pool, seconds)
-        self._turn_seconds[exchange.pool] = average + TURN_WEIGHT * (seconds - average)
+        self._turn_seconds[exchange.pool] = average + SERVICE_TIME_WEIGHT * (seconds - average)
 
     def _choose(self, exchange: Exchange, pool: Pool, now: float) -> EngineChoice | None:
         engines = self._engines.in_pool(exchange.pool, now)
-        inputs = self._inputs(exchange, pool, exchange.excluded_engine_ids)
+        inputs = self._choice_inputs(exchange, pool, exchange.excluded_engine_ids)
         return choose_engine(engines, self.prefix_cache, inputs, now)
 
-    def _inputs(self, exchange: Exchange, pool: Pool, tried: Iterable[str]) -> ChoiceInputs:
+    def _choice_inputs(
+        self, exchange: Exchange, pool: Pool, excluded: Iterable[str]
+    ) -> ChoiceInputs:
         call = exchange.call
-        affine = ""
+        affinity_engine_id = ""
         if call.affinity_key:
-            affine = self._affinities.get((exchange.pool, call.affinity_key), "")
+            affinity_engine_id = self._affinities.get((exchange.pool, call.affinity_key), "")
         return ChoiceInputs(
             call=call,
             traits=pool.model,
             zone=self._zone,
-            excluded=frozenset(tried),
-            affinity_engine_id=affine,
+            excluded=frozenset(excluded),
+            affinity_engine_id=affinity_engine_id,
             cached_context=exchange.cached_context,
             is_new_program=exchange.is_first_turn,
             model=self._model(exchange.pool) if pool.model is not None else None,
             is_retryable=exchange.route.kind is RouteKind.STREAMING or exchange.route.is_retryable,
         )
 
-    def _note_affinity(self, subject: tuple[str, str], engine_id: str) -> None:
+    def _record_affinity(self, subject: tuple[str, str], engine_id: str) -> None:
         self._affinities[subject] = engine_id
         self._affinities.move_to_end(subject)
         if len(self._affinities) > MAX_AFFINITIES:
--- a/src/yokeline/forwarding/queue_admission.py
+++ b/src/yokeline/forwarding/queue_admission.py
@@ -149,7 +149,7 @@
         )
 
     def _program_share(self, exchange: Exchange) -> float:
-        return self._state.placement.programs.share(exchange.route.name)
+        return self._state.placement.program_times.share(exchange.route.name)
 
     def _learn(self, exchange: Exchange, wait: RoomWait, *, got_place: bool) -> None:
         """Learn how far the expected waits of first turns can be trusted."""
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/streams.py
@@ -62,7 +62,7 @@
     def ended(self, exchange: Exchange) -> None:
         """Pass the end on; a turn that is kept is committed before."""
         engine = exchange.engine
-        pace = self._state.placement.note_turn(exchange, self._state.now)
+        pace = self._state.placement.record_turn(exchange, self._state.now)
         self._sender.release(exchange, pace=pace)
         if engine is not None:
             engine.record_success(self._state.now)
