--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -110,9 +110,9 @@
         state = next(iter(self.book.all()))
         state.running_elsewhere = int(SLOTS * MODEL_OVERCOMMIT) - 1
         seconds = self.look()
-        sent = list(self.state.by_request.values())
+        sent = list(self.state.by_engine_request.values())
         assert len(sent) == 1, "one place serves one turn"
-        self.state.by_request.clear()
+        self.state.by_engine_request.clear()
         state.running = 0
         state.running_elsewhere = SLOTS * 2
         self.state.outcomes.drain_effects()
--- a/src/yokeline/forwarding/dispatcher.py
+++ b/src/yokeline/forwarding/dispatcher.py
@@ -90,7 +90,7 @@
         queue = self._state.waiting.get(pool)
         if queue is None or not len(queue):
             return
-        held_back = self._state.shares.held_back(pool, self._state.now)
+        held_back = self._state.fair_shares.held_back(pool, self._state.now)
         queue.set_held_back(held_back)
         full_engines = _FullEngineCache(held_back)
         snapshot: CapacitySnapshot | None = None
--- a/src/yokeline/forwarding/engine_sender.py
+++ b/src/yokeline/forwarding/engine_sender.py
@@ -40,11 +40,11 @@
         exchange.predicted_seconds = choice.predicted_seconds
         exchange.uncached_tokens = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
         exchange.engine_request_id = RequestId(f"call/{next(self._request_numbers)}")
-        state.by_request[exchange.engine_request_id] = exchange
+        state.by_engine_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
         self._settlements.tell_of_begin(exchange, engine)
         state.placement.record_send(exchange, choice, state.pool_of(exchange), state.now)
-        state.shares.note_served(exchange, state.now)
+        state.fair_shares.record_served(exchange, state.now)
         if exchange.sends == 1:
             state.added_seconds.observe(state.now - exchange.arrived_at)
         self._log_choice(exchange, choice)
@@ -64,7 +64,7 @@
     ) -> None:
         """Note that a request is no longer at its engine, and how the engine served it."""
         if exchange.engine_request_id is not None:
-            self._state.by_request.pop(exchange.engine_request_id, None)
+            self._state.by_engine_request.pop(exchange.engine_request_id, None)
             exchange.engine_request_id = None
         if exchange.engine is not None:
             connection_kept = not (failed or cancelled)
--- a/src/yokeline/forwarding/place_shares.py
+++ b/src/yokeline/forwarding/fair_shares.py
@@ -15,10 +15,10 @@
 from yokeline.ledger.messages import PoolShares
 from yokeline.scheduling.passing_over import PassingOver
 
-_NOBODY: frozenset[str] = frozenset()
+_NO_TENANTS: frozenset[str] = frozenset()
 
 
-class PlaceShares:
+class FairShares:
     """The leader's latest word, and what the node owes those that it passes over.
 
     Attributes:
@@ -28,44 +28,44 @@
     def __init__(self) -> None:
         """Hold nobody back."""
         self.levels: dict[str, float] = {}
-        self._told: dict[str, frozenset[str]] = {}
-        self._lapses_at = -math.inf
-        self._passing = PassingOver()
+        self._beyond_share: dict[str, frozenset[str]] = {}
+        self._expires_at = -math.inf
+        self._passing_over = PassingOver()
 
-    def take_told(self, shares: tuple[PoolShares, ...], now: float) -> None:
+    def apply_leader_report(self, shares: tuple[PoolShares, ...], now: float) -> None:
         """Note what the leader told."""
-        self._lapses_at = now + LEADER_REPORT_TTL_SECONDS
+        self._expires_at = now + LEADER_REPORT_TTL_SECONDS
         self.levels = {item.pool: item.level for item in shares}
-        self._told = {item.pool: frozenset(item.beyond) for item in shares if item.beyond}
+        self._beyond_share = {item.pool: frozenset(item.beyond) for item in shares if item.beyond}
 
-    def next_lapse(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return when what was told counts no more; None if nobody is held back by it."""
-        return self._lapses_at if self._told else None
+        return self._expires_at if self._beyond_share else None
 
-    def lapse(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Forget what was told too long ago."""
-        if now >= self._lapses_at:
-            self._told = {}
+        if now >= self._expires_at:
+            self._beyond_share = {}
             self.levels = {}
 
     def held_back(self, pool: str, now: float) -> frozenset[str]:
         """Return the tenants whose new programs take no place of a pool now."""
-        told = self._told.get(pool, _NOBODY)
-        if not told or now >= self._lapses_at:
-            return _NOBODY
-        owed = [tenant for tenant in told if self._passing.is_owed(tenant)]
-        return told.difference(owed) if owed else told
+        beyond_share = self._beyond_share.get(pool, _NO_TENANTS)
+        if not beyond_share or now >= self._expires_at:
+            return _NO_TENANTS
+        owed = [tenant for tenant in beyond_share if self._passing_over.is_owed(tenant)]
+        return beyond_share.difference(owed) if owed else beyond_share
 
     def is_held_back(self, exchange: Exchange, now: float) -> bool:
         """Return whether a request gets no place now, so that other tenants do."""
         return exchange.is_unstarted_first_turn_of(self.held_back(exchange.pool, now))
 
-    def note_served(self, exchange: Exchange, now: float) -> None:
+    def record_served(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that got a place."""
         if exchange.is_first_turn and exchange.sends == 1:
-            self._passing.note(exchange.tenant_name, now, is_served=True)
+            self._passing_over.note(exchange.tenant_name, now, is_served=True)
 
-    def note_unserved(self, exchange: Exchange, now: float) -> None:
+    def record_unserved(self, exchange: Exchange, now: float) -> None:
         """Count a first turn that ceased to wait without a place."""
         if exchange.is_first_turn and not exchange.sends:
-            self._passing.note(exchange.tenant_name, now, is_served=False)
+            self._passing_over.note(exchange.tenant_name, now, is_served=False)
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -112,7 +112,7 @@
         self._outcomes = OutcomeRecorder(dialect)
         self._state = NodeState(zone, engines, self._outcomes)
         ledger.turns.tenants = TenantLoadReader(self._state)
-        ledger.shares_told = self._state.shares.take_told
+        ledger.shares_told = self._state.fair_shares.apply_leader_report
         self._held = HeldRequests()
         self._split = PoolSplit()
         turns = TurnCache()
@@ -224,7 +224,7 @@
         self.forget_engine(engine_id)
         lost = [
             exchange
-            for exchange in self._state.by_request.values()
+            for exchange in self._state.by_engine_request.values()
             if exchange.engine is not None
             and exchange.engine.engine.engine_id == engine_id
             and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
@@ -249,7 +249,7 @@
 
     def share_levels(self) -> dict[str, float]:
         """Return the places for a weight of one, by pool that has too few; as last told."""
-        return self._state.shares.levels
+        return self._state.fair_shares.levels
 
     def waiting(self) -> dict[str, int]:
         """Return how many requests wait, by pool."""
@@ -266,7 +266,7 @@
         dues = (
             self._state.timers.next_due(),
             self._held.next_deadline(),
-            self._state.shares.next_lapse(),
+            self._state.fair_shares.next_expiry(),
         )
         return min((due for due in dues if due is not None), default=None)
 
@@ -275,7 +275,7 @@
     def tick(self, now: float) -> list[Effect]:
         """Do what is due, and send what may be sent."""
         self._state.now = now
-        self._state.shares.lapse(now)
+        self._state.fair_shares.expire(now)
         self._state.timers.run_due(now)
         if len(self._held):
             self._take_held()
@@ -303,7 +303,7 @@
     ) -> list[Effect]:
         """Take an answer, or part of one, of an engine."""
         self._state.now = now
-        exchange = self._state.by_request.get(event.request)
+        exchange = self._state.by_engine_request.get(event.request)
         if exchange is not None:
             if isinstance(event, HttpResponse):
                 self._take_response(exchange, event)
--- a/src/yokeline/forwarding/node_state.py
+++ b/src/yokeline/forwarding/node_state.py
@@ -6,16 +6,16 @@
 
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange
+from yokeline.forwarding.fair_shares import FairShares
 from yokeline.forwarding.model import Pool, RoutingTable
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
-from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.placement import Placement
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ExchangeId, RequestId
 from yokeline.timers import TimerQueue
 
-ERROR_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.7, 1.0, 2.0)
+PREDICTION_ERROR_BUCKETS = (0.05, 0.1, 0.15, 0.2, 0.25, 0.3, 0.4, 0.5, 0.7, 1.0, 2.0)
 """Upper bounds of the shares by which predicted times of turns were wrong."""
 
 
@@ -45,13 +45,13 @@
         self.outcomes = outcomes
         self.placement = Placement(zone, engines)
         self.exchanges: dict[ExchangeId, Exchange] = {}
-        self.by_request: dict[RequestId, Exchange] = {}
+        self.by_engine_request: dict[RequestId, Exchange] = {}
         self.waiting: dict[str, WaitQueue] = {}
-        self.shares = PlaceShares()
+        self.fair_shares = FairShares()
         self.timers = TimerQueue()
         self.added_seconds = Histogram()
         self.first_event_seconds = Histogram()
-        self.prediction_error = Histogram(ERROR_BUCKETS)
+        self.prediction_error = Histogram(PREDICTION_ERROR_BUCKETS)
         self.expected_waits = Histogram()
         self.room_waits = Histogram()
 
--- a/src/yokeline/forwarding/responder.py
+++ b/src/yokeline/forwarding/responder.py
@@ -92,9 +92,9 @@
             exchange.exchange_id, exchange.call.request_id, status, reason, retry_after=retry_after
         )
         self._outcomes.count_refusal(status, reason)
-        if self._state.shares.is_held_back(exchange, self._state.now):
+        if self._state.fair_shares.is_held_back(exchange, self._state.now):
             self._outcomes.count_held_back(exchange.tenant)
-            fields["share_level"] = self._state.shares.levels.get(exchange.pool)
+            fields["share_level"] = self._state.fair_shares.levels.get(exchange.pool)
         self.finish(exchange, "refused", level="info", status=status, reason=reason, **fields)
 
     def finish(
@@ -102,7 +102,7 @@
     ) -> None:
         """Forget a request, with its timers and its place in a queue."""
         if exchange.phase is Phase.WAITING:
-            self._state.shares.note_unserved(exchange, self._state.now)
+            self._state.fair_shares.record_unserved(exchange, self._state.now)
         exchange.phase = Phase.ENDED
         self._state.exchanges.pop(exchange.exchange_id, None)
         queue = self._state.waiting.get(exchange.pool)
--- a/src/yokeline/forwarding/tenant_loads.py
+++ b/src/yokeline/forwarding/tenant_loads.py
@@ -49,7 +49,7 @@
     def _running(self) -> dict[str, Counter[str]]:
         """Return the turns at engines, by pool and tenant."""
         running: dict[str, Counter[str]] = {}
-        for exchange in self._state.by_request.values():
+        for exchange in self._state.by_engine_request.values():
             running.setdefault(exchange.pool, Counter())[exchange.tenant_name] += 1
         return running
 
--- a/tests/unit/forwarding/test_place_shares.py
+++ b/tests/unit/forwarding/test_place_shares.py
@@ -11,8 +11,8 @@
 from tests.unit.forwarding.support import TABLE, Played, route
 from yokeline.bearer_tokens import token_digest
 from yokeline.forwarding.engines import LEADER_REPORT_TTL_SECONDS
+from yokeline.forwarding.fair_shares import FairShares
 from yokeline.forwarding.model import RouteKind
-from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import NodeName
@@ -119,12 +119,12 @@
     def test_the_node_has_nothing_to_do_at_the_moment_after_the_lapse(self) -> None:
         """Else a node on a clock that stands still until all is done would never go on."""
         for number in range(200):
-            shares = PlaceShares()
-            shares.take_told(HOT_IS_BEYOND, 100.0 + 0.0371 * number)
-            due = shares.next_lapse()
+            shares = FairShares()
+            shares.apply_leader_report(HOT_IS_BEYOND, 100.0 + 0.0371 * number)
+            due = shares.next_expiry()
             assert due is not None
-            shares.lapse(due)
-            self.assertIsNone(shares.next_lapse())
+            shares.expire(due)
+            self.assertIsNone(shares.next_expiry())
 
     def test_without_word_of_the_leader_nobody_is_held_back(self) -> None:
         self.turn("hot")
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -20,8 +20,8 @@
 from yokeline.effects import HttpArrived
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.exchange import Exchange
+from yokeline.forwarding.fair_shares import FairShares
 from yokeline.forwarding.model import Call, PoolWeight, Route, RouteKind
-from yokeline.forwarding.place_shares import PlaceShares
 from yokeline.forwarding.tenants import StateNames, Tenant
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import ExchangeId, ReplicaId
@@ -144,7 +144,7 @@
         self.process = ReplicaId(name)
         self.way = way
         self.queue = WaitQueue()
-        self.shares = PlaceShares()
+        self.shares = FairShares()
         self.running: Counter[str] = Counter()
         self.told_running = 0
         self.sent_since = 0
@@ -180,7 +180,7 @@
         self._virtual_now = max(self._virtual_now, self._start_of(exchange))
         self._virtual[exchange.tenant_name] = self._start_of(exchange) + 1 / weight
         exchange.sends = 1
-        self.shares.note_served(exchange, now)
+        self.shares.record_served(exchange, now)
 
     def _start_of(self, exchange: Exchange) -> float:
         return max(self._virtual_now, self._virtual.get(exchange.tenant_name, 0.0))
@@ -266,7 +266,7 @@
 
     def _take_told(self, node: _Node, running: int, told: tuple[PoolShares, ...]) -> None:
         node.told_running, node.sent_since = running, 0
-        node.shares.take_told(told, self.now)
+        node.shares.apply_leader_report(told, self.now)
 
     def _exchange(self, program: _Program, *, has_begun: bool) -> Exchange:
         name = f"turn-{next(self._numbers)}"
@@ -300,7 +300,7 @@
         if exchange.sends or not node.is_alive:
             return
         node.queue.remove(exchange)
-        node.shares.note_unserved(exchange, self.now)
+        node.shares.record_unserved(exchange, self.now)
         self._dispatch(node)
 
     def _dispatch(self, node: _Node) -> None:
