--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -59,7 +59,7 @@
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
-from yokeline.forwarding.streams import Streams
+from yokeline.forwarding.stream_relay import StreamRelay
 from yokeline.forwarding.tenant_loads import TenantLoadReader
 from yokeline.forwarding.turn_operations import needs_ledger
 from yokeline.histogram import Histogram
@@ -121,7 +121,7 @@
         self._sender = EngineSender(self._state, settlements, dialect)
         self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
         self._retries = RetryHandler(self._state, self._sender, self._dispatcher, self._responder)
-        self._streams = Streams(
+        self._stream_relay = StreamRelay(
             self._state, self._sender, settlements, self._responder, self._retries, turns, dialect
         )
         self._limits = TenantLimits(
@@ -308,9 +308,9 @@
             if isinstance(event, HttpResponse):
                 self._take_response(exchange, event)
             elif isinstance(event, HttpStreamItem):
-                self._streams.take_item(exchange, event)
+                self._stream_relay.relay_event(exchange, event)
             elif isinstance(event, HttpStreamEnded):
-                self._streams.ended(exchange)
+                self._stream_relay.finish(exchange)
             else:
                 self._retries.handle_failure(exchange, event)
         return self._finish()
--- a/src/yokeline/forwarding/streams.py
+++ b/src/yokeline/forwarding/stream_relay.py
@@ -15,12 +15,12 @@
 from yokeline.forwarding.turn_operations import kept_turn_of
 from yokeline.ledger.operations import OperationResult
 
-EVENT_SECONDS = 0.9
+MAX_EVENT_GAP_SECONDS = 0.9
 """Silence after which a stream that may be resumed is taken from its engine."""
-LEAST_WATCH_SECONDS = 0.05
+MIN_SILENCE_CHECK_SECONDS = 0.05
 
 
-class Streams:
+class StreamRelay:
     """Passes streams on."""
 
     def __init__(
@@ -30,7 +30,7 @@
         settlements: Settlements,
         responder: Responder,
         retries: RetryHandler,
-        turns: TurnCache,
+        turn_cache: TurnCache,
         dialect: Dialect,
     ) -> None:
         """Keep whole turns in ``turns`` as well as in the ledger."""
@@ -39,13 +39,13 @@
         self._settlements = settlements
         self._responder = responder
         self._retries = retries
-        self._turns = turns
+        self._turn_cache = turn_cache
         self._dialect = dialect
 
-    def take_item(self, exchange: Exchange, item: HttpStreamItem) -> None:
+    def relay_event(self, exchange: Exchange, item: HttpStreamItem) -> None:
         """Pass an event on, unless the caller has it already."""
         if exchange.phase is Phase.SENT:
-            self._start(exchange)
+            self._start_response(exchange)
         if exchange.phase is not Phase.STREAMING:
             return
         now = self._state.now
@@ -59,7 +59,7 @@
         exchange.relayed_events += 1
         self._state.outcomes.effects.append(HttpStreamData(exchange.exchange_id, item.data))
 
-    def ended(self, exchange: Exchange) -> None:
+    def finish(self, exchange: Exchange) -> None:
         """Pass the end on; a turn that is kept is committed before."""
         engine = exchange.engine
         pace = self._state.placement.record_turn(exchange, self._state.now)
@@ -67,17 +67,17 @@
         if engine is not None:
             engine.record_success(self._state.now)
         if exchange.phase is Phase.SENT:
-            self._start(exchange)
+            self._start_response(exchange)
         exchange.is_complete = True
-        self._note_prediction(exchange)
+        self._record_prediction_error(exchange)
         if not exchange.route.retain:
             self._settlements.settle(exchange, self._settlements.tokens_of(exchange))
             self._responder.finish_stream(exchange)
             return
         exchange.phase = Phase.KEEPING
-        self._settlements.keep(exchange, self._kept)
+        self._settlements.keep(exchange, self._handle_kept)
 
-    def _start(self, exchange: Exchange) -> None:
+    def _start_response(self, exchange: Exchange) -> None:
         assert exchange.response_head is not None
         exchange.phase = Phase.STREAMING
         if exchange.first_event_at is not None:
@@ -85,7 +85,7 @@
         exchange.first_event_at = self._state.now
         self._state.first_event_seconds.observe(self._state.now - exchange.arrived_at)
         if exchange.route.is_retryable:
-            self._watch_silence(exchange)
+            self._schedule_silence_check(exchange)
         self._state.outcomes.effects.append(
             HttpStreamStart(
                 exchange=exchange.exchange_id,
@@ -95,29 +95,32 @@
             )
         )
 
-    def _watch_silence(self, exchange: Exchange) -> None:
-        due = max(exchange.last_event_at + EVENT_SECONDS, self._state.now + LEAST_WATCH_SECONDS)
+    def _schedule_silence_check(self, exchange: Exchange) -> None:
+        due = max(
+            exchange.last_event_at + MAX_EVENT_GAP_SECONDS,
+            self._state.now + MIN_SILENCE_CHECK_SECONDS,
+        )
         self._state.schedule(exchange, due, self._check_silence)
 
     def _check_silence(self, exchange: Exchange) -> None:
         at_engine = exchange.phase is Phase.STREAMING and exchange.engine_request_id is not None
-        may_leave = at_engine and not exchange.attempts.same_engine_retries
-        if may_leave and self._state.now - exchange.last_event_at >= EVENT_SECONDS:
+        may_fail_over = at_engine and not exchange.attempts.same_engine_retries
+        if may_fail_over and self._state.now - exchange.last_event_at >= MAX_EVENT_GAP_SECONDS:
             self._retries.cancel_and_retry(exchange, "silent engine")
         if exchange.phase in (Phase.STREAMING, Phase.WAITING, Phase.SENT):
-            self._watch_silence(exchange)
+            self._schedule_silence_check(exchange)
 
-    def _kept(self, exchange: Exchange, result: OperationResult | None) -> None:
+    def _handle_kept(self, exchange: Exchange, result: OperationResult | None) -> None:
         if exchange.phase is not Phase.KEEPING:
             return
         if result is None:
             self._responder.fail(exchange, "turn_not_kept")
             return
-        self._turns.put(kept_turn_of(exchange))
-        self._turns.note_latest(exchange.names.session, exchange.names.turn)
+        self._turn_cache.put(kept_turn_of(exchange))
+        self._turn_cache.note_latest(exchange.names.session, exchange.names.turn)
         self._responder.finish_stream(exchange)
 
-    def _note_prediction(self, exchange: Exchange) -> None:
+    def _record_prediction_error(self, exchange: Exchange) -> None:
         """Count how far the time at the engine was from what the choice expected."""
         measured = self._state.now - exchange.sent_at
         if exchange.predicted_seconds and measured > 0 and exchange.sends == 1:
