--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -38,7 +38,6 @@
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HeldRequests
-from yokeline.forwarding.history import TurnCache
 from yokeline.forwarding.http_parts import host_of
 from yokeline.forwarding.http_statuses import (
     BAD_REQUEST,
@@ -61,6 +60,7 @@
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.stream_relay import StreamRelay
 from yokeline.forwarding.tenant_loads import TenantLoadReader
+from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import needs_ledger
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ExchangeId
@@ -115,14 +115,20 @@
         ledger.shares_told = self._state.fair_shares.apply_leader_report
         self._held = HeldRequests()
         self._split = PoolSplit()
-        turns = TurnCache()
+        turn_cache = TurnCache()
         settlements = Settlements(self._state, ledger)
         self._responder = Responder(self._state, settlements, dialect)
         self._sender = EngineSender(self._state, settlements, dialect)
         self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
         self._retries = RetryHandler(self._state, self._sender, self._dispatcher, self._responder)
         self._stream_relay = StreamRelay(
-            self._state, self._sender, settlements, self._responder, self._retries, turns, dialect
+            self._state,
+            self._sender,
+            settlements,
+            self._responder,
+            self._retries,
+            turn_cache,
+            dialect,
         )
         self._limits = TenantLimits(
             self._state, ledger, self._responder, self._enqueue_and_dispatch
@@ -133,7 +139,7 @@
             ledger,
             histories,
             self._responder,
-            turns,
+            turn_cache,
             self._limits,
             self._enqueue_and_dispatch,
         )
--- a/src/yokeline/forwarding/reservations.py
+++ b/src/yokeline/forwarding/reservations.py
@@ -10,7 +10,6 @@
 
 from yokeline.effects import Effect
 from yokeline.forwarding.exchange import Exchange, HistorySource, Phase
-from yokeline.forwarding.history import TurnCache
 from yokeline.forwarding.http_statuses import NOT_FOUND, PAYMENT_REQUIRED, UNAVAILABLE
 from yokeline.forwarding.limits import (
     LEDGER_RETRY_AFTER_SECONDS,
@@ -19,6 +18,7 @@
 )
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.responder import Responder
+from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import reservation_of
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.history_fetches import HistoryFetches
@@ -44,24 +44,24 @@
         ledger: LedgerClient,
         histories: HistoryFetches,
         responder: Responder,
-        turns: TurnCache,
+        turn_cache: TurnCache,
         limits: TenantLimits,
-        granted: Callable[[Exchange], None],
+        on_granted: Callable[[Exchange], None],
     ) -> None:
         """Call ``granted`` with each turn that may go on."""
         self._state = state
         self._ledger = ledger
         self._histories = histories
         self._responder = responder
-        self._turns = turns
+        self._turn_cache = turn_cache
         self._limits = limits
-        self._granted = granted
+        self._on_granted = on_granted
 
     def reserve(self, exchange: Exchange) -> None:
         """Ask for a turn's budget and for what it continues."""
         exchange.phase = Phase.RESERVING
-        missing_from = self._turns.missing_from(exchange.names.previous_turn)
-        if missing_from and self._fetch(exchange, missing_from):
+        missing_from = self._turn_cache.missing_from(exchange.names.previous_turn)
+        if missing_from and self._fetch_history(exchange, missing_from):
             exchange.history_source = HistorySource.FETCHING
             missing_from = ""
         elif missing_from:
@@ -72,7 +72,7 @@
     def _ask(self, exchange: Exchange, operation: Operation) -> None:
         def reserved(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
-            self._take_result(exchange, result)
+            self._handle_result(exchange, result)
             return self._state.outcomes.drain_effects()
 
         now = self._state.now
@@ -80,41 +80,41 @@
         effects = self._ledger.ask(operation, reserved, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
-    def _fetch(self, exchange: Exchange, missing_from: str) -> bool:
+    def _fetch_history(self, exchange: Exchange, missing_from: str) -> bool:
         """Ask a replica for the texts; return whether there is one to ask."""
 
         def fetched(turns: tuple[KeptTurn, ...], now: float) -> list[Effect]:
             self._state.now = now
-            self._take_texts(exchange, turns)
+            self._handle_history(exchange, turns)
             return self._state.outcomes.drain_effects()
 
-        known = self._turns.latest_of(exchange.names.session)
+        known = self._turn_cache.latest_complete(exchange.names.session)
         leader = self._ledger.leader
         effects = self._histories.fetch(missing_from, known, leader, fetched, self._state.now)
         self._state.outcomes.effects.extend(effects or [])
         return effects is not None
 
-    def _take_texts(self, exchange: Exchange, turns: tuple[KeptTurn, ...]) -> None:
+    def _handle_history(self, exchange: Exchange, turns: tuple[KeptTurn, ...]) -> None:
         """Note what a replica sent; the reservation may have been granted before."""
         for turn in turns:
-            self._turns.put(turn)
+            self._turn_cache.put(turn)
         if exchange.phase is not Phase.RESERVING:
             return
-        missing_from = self._turns.missing_from(exchange.names.previous_turn)
+        missing_from = self._turn_cache.missing_from(exchange.names.previous_turn)
         exchange.history_source = HistorySource.LEADER if missing_from else HistorySource.REPLICA
         if not exchange.granted_at:
             return
         if missing_from:
-            self._ask_for_texts(exchange, missing_from)
+            self._ask_leader_for_history(exchange, missing_from)
         else:
-            self._go_on(exchange)
+            self._proceed(exchange)
 
-    def _ask_for_texts(self, exchange: Exchange, missing_from: str) -> None:
+    def _ask_leader_for_history(self, exchange: Exchange, missing_from: str) -> None:
         """Ask the leader for the granted reservation once more, with the texts."""
         exchange.asked_leader_for_history = True
         self._ask(exchange, reservation_of(exchange, missing_from))
 
-    def _take_result(self, exchange: Exchange, result: OperationResult | None) -> None:
+    def _handle_result(self, exchange: Exchange, result: OperationResult | None) -> None:
         """Go on with a reservation, or refuse.
 
         Without an answer the reservation may stand; it is released, so that a turn that did
@@ -156,15 +156,15 @@
 
     def _add_history(self, exchange: Exchange, granted: Granted) -> None:
         for turn in granted.turns:
-            self._turns.put(turn)
-        missing_from = self._turns.missing_from(exchange.names.previous_turn)
+            self._turn_cache.put(turn)
+        missing_from = self._turn_cache.missing_from(exchange.names.previous_turn)
         if not missing_from:
-            self._go_on(exchange)
+            self._proceed(exchange)
         elif (
             exchange.history_source is HistorySource.LEADER
             and not exchange.asked_leader_for_history
         ):
-            self._ask_for_texts(exchange, missing_from)
+            self._ask_leader_for_history(exchange, missing_from)
         elif exchange.history_source is not HistorySource.FETCHING:
             self._responder.refuse(
                 exchange,
@@ -173,11 +173,11 @@
                 retry_after=HISTORY_RETRY_AFTER_SECONDS,
             )
 
-    def _go_on(self, exchange: Exchange) -> None:
+    def _proceed(self, exchange: Exchange) -> None:
         previous = exchange.names.previous_turn
-        history = self._turns.history(previous)
+        history = self._turn_cache.history(previous)
         assert history is not None  # the callers saw that no turn of the chain is missing
         if previous:
-            self._turns.note_latest(exchange.names.session, previous)
+            self._turn_cache.set_latest(exchange.names.session, previous)
         exchange.body = history + exchange.incoming.body
-        self._granted(exchange)
+        self._on_granted(exchange)
--- a/src/yokeline/forwarding/stream_relay.py
+++ b/src/yokeline/forwarding/stream_relay.py
@@ -6,12 +6,12 @@
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.exchange import Exchange, Phase
-from yokeline.forwarding.history import TurnCache, event_data
 from yokeline.forwarding.http_parts import is_later
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
+from yokeline.forwarding.turn_cache import TurnCache, event_data
 from yokeline.forwarding.turn_operations import kept_turn_of
 from yokeline.ledger.operations import OperationResult
 
@@ -117,7 +117,7 @@
             self._responder.fail(exchange, "turn_not_kept")
             return
         self._turn_cache.put(kept_turn_of(exchange))
-        self._turn_cache.note_latest(exchange.names.session, exchange.names.turn)
+        self._turn_cache.set_latest(exchange.names.session, exchange.names.turn)
         self._responder.finish_stream(exchange)
 
     def _record_prediction_error(self, exchange: Exchange) -> None:
--- a/src/yokeline/forwarding/history.py
+++ b/src/yokeline/forwarding/turn_cache.py
@@ -24,14 +24,14 @@
         self._bytes = 0
         self._latest: OrderedDict[str, str] = OrderedDict()
 
-    def note_latest(self, session: str, turn_id: str) -> None:
+    def set_latest(self, session: str, turn_id: str) -> None:
         """Remember that a line of turns is cached up to a turn."""
         self._latest[session] = turn_id
         self._latest.move_to_end(session)
         if len(self._latest) > MAX_SESSIONS:
             self._latest.popitem(last=False)
 
-    def latest_of(self, session: str) -> str:
+    def latest_complete(self, session: str) -> str:
         """Return the latest turn of a line whose whole chain is cached; empty if none is known."""
         latest = self._latest.get(session, "")
         return "" if latest and self.missing_from(latest) else latest
