--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -44,7 +44,7 @@
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.settlements import Settlements
-from yokeline.forwarding.tenants import StateNames
+from yokeline.forwarding.tenants import ScopedNames
 from yokeline.identifiers import ExchangeId
 from yokeline.ledger.client import LedgerClient
 from yokeline.platform.headers import HeaderDialect
@@ -174,7 +174,7 @@
         attempts=Attempts(max_engines=1),
         deadline=now + PATIENT_SECONDS,
         arrived_at=now,
-        names=StateNames(
+        names=ScopedNames(
             operation=call.request_id,
             turn=call.request_id,
             program=call.program,
--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -10,7 +10,7 @@
 
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.model import Call, Route, RoutingTable, continues_program
-from yokeline.forwarding.tenants import StateNames, Tenant, scoped
+from yokeline.forwarding.tenants import ScopedNames, Tenant, scoped
 from yokeline.scheduling.return_times import Returning, return_after_outage
 
 UNKNOWN_KEY = "unknown_key"
@@ -28,7 +28,7 @@
         shows_credential: Its key is no key of ours, and goes to the engine.
     """
 
-    names: StateNames
+    names: ScopedNames
     tenant: Tenant | None
     forwards_credential: bool
 
@@ -93,8 +93,8 @@
     return Admitted(names=names, tenant=tenant, forwards_credential=False)
 
 
-def _names(call: Call, tenant: str | None, *, operation: str) -> StateNames:
-    return StateNames(
+def _names(call: Call, tenant: str | None, *, operation: str) -> ScopedNames:
+    return ScopedNames(
         operation=operation,
         turn=scoped(tenant, call.request_id),
         program=scoped(tenant, call.program),
--- a/src/yokeline/forwarding/engine_sender.py
+++ b/src/yokeline/forwarding/engine_sender.py
@@ -42,7 +42,7 @@
         exchange.engine_request_id = RequestId(f"call/{next(self._request_numbers)}")
         state.by_engine_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
-        self._settlements.tell_of_begin(exchange, engine)
+        self._settlements.report_send(exchange, engine)
         state.placement.record_send(exchange, choice, state.pool_of(exchange), state.now)
         state.fair_shares.record_served(exchange, state.now)
         if exchange.sends == 1:
@@ -71,7 +71,7 @@
             self._state.engines.record_released(
                 exchange.engine, self._state.now, connection_kept=connection_kept
             )
-            self._settlements.tell_of_end(exchange, exchange.engine, failed=failed, pace=pace)
+            self._settlements.report_release(exchange, exchange.engine, failed=failed, pace=pace)
 
     def cancel(self, exchange: Exchange, *, failed: bool = False) -> None:
         """Take a request back from its engine."""
--- a/src/yokeline/forwarding/exchange.py
+++ b/src/yokeline/forwarding/exchange.py
@@ -11,7 +11,7 @@
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.engines import EngineState
 from yokeline.forwarding.model import Call, Route, RouteKind
-from yokeline.forwarding.tenants import StateNames, Tenant
+from yokeline.forwarding.tenants import ScopedNames, Tenant
 from yokeline.identifiers import ExchangeId, RequestId
 from yokeline.ledger.operations import CachedContext, Operation, RateLimit
 from yokeline.scheduling.room_waits import RoomWait
@@ -93,7 +93,7 @@
     attempts: Attempts
     deadline: float
     arrived_at: float
-    names: StateNames
+    names: ScopedNames
     tenant: Tenant | None = None
     forwards_credential: bool = True
     limit: RateLimit | None = None
--- a/src/yokeline/forwarding/responder.py
+++ b/src/yokeline/forwarding/responder.py
@@ -108,7 +108,7 @@
         queue = self._state.waiting.get(exchange.pool)
         if queue is not None:
             queue.remove(exchange)
-        self._settlements.forget_reservation(exchange)
+        self._settlements.release_reservation(exchange)
         for timer in exchange.timers:
             timer.cancel()
         exchange.timers.clear()
--- a/src/yokeline/forwarding/settlements.py
+++ b/src/yokeline/forwarding/settlements.py
@@ -15,10 +15,10 @@
 from yokeline.ledger.operations import KeptTurn, OperationResult, Reserve
 from yokeline.scheduling.engine_model import ObservedPace
 
-SETTLE_SECONDS = 5.0
+SETTLE_TIMEOUT_SECONDS = 5.0
 """How long a settlement is repeated; what is never settled counts at its most."""
 
-TurnKept = Callable[[Exchange, OperationResult | None], None]
+KeepCallback = Callable[[Exchange, OperationResult | None], None]
 """Told whether a turn is kept; None if that is not known."""
 
 
@@ -44,24 +44,24 @@
                 )
             return self._state.outcomes.drain_effects()
 
-        give_up_at = self._state.now + SETTLE_SECONDS
+        give_up_at = self._state.now + SETTLE_TIMEOUT_SECONDS
         operation = settlement_of(exchange, tokens, None)
-        self._ask(self._ledger.ask(operation, settled, self._state.now, give_up_at))
+        self._emit(self._ledger.ask(operation, settled, self._state.now, give_up_at))
 
-    def keep(self, exchange: Exchange, kept: TurnKept) -> None:
+    def settle_and_keep(self, exchange: Exchange, on_kept: KeepCallback) -> None:
         """Settle a whole turn and have it kept; ``kept`` is called once."""
         turn: KeptTurn = kept_turn_of(exchange)
         exchange.has_reservation = False
 
         def settled(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
-            kept(exchange, result)
+            on_kept(exchange, result)
             return self._state.outcomes.drain_effects()
 
         operation = settlement_of(exchange, self.tokens_of(exchange), turn)
-        self._ask(self._ledger.ask(operation, settled, self._state.now, exchange.deadline))
+        self._emit(self._ledger.ask(operation, settled, self._state.now, exchange.deadline))
 
-    def forget_reservation(self, exchange: Exchange) -> None:
+    def release_reservation(self, exchange: Exchange) -> None:
         """Stop asking for a reservation; it may stand, so it is released."""
         if exchange.ledger_operation is None:
             return
@@ -76,12 +76,12 @@
         per_event = 1 if traits is None else traits.tokens_per_event
         return exchange.relayed_events * per_event
 
-    def tell_of_begin(self, exchange: Exchange, engine: EngineState) -> None:
+    def report_send(self, exchange: Exchange, engine: EngineState) -> None:
         """Tell the ledger's leader, which knows the turns of all nodes, where a turn runs."""
         if needs_ledger(exchange):
             self._ledger.turns.begin(exchange.names.operation, engine.engine.engine_id)
 
-    def tell_of_end(
+    def report_release(
         self, exchange: Exchange, engine: EngineState, *, failed: bool, pace: ObservedPace
     ) -> None:
         """Tell it that a request left its engine, and how it was served.
@@ -101,5 +101,5 @@
         elif exchange.route.kind is not RouteKind.STREAMING:
             self._ledger.turns.end_call(TurnServed(engine_id, failed, 0.0, is_call=True))
 
-    def _ask(self, effects: list[Effect]) -> None:
+    def _emit(self, effects: list[Effect]) -> None:
         self._state.outcomes.effects.extend(effects)
--- a/src/yokeline/forwarding/stream_relay.py
+++ b/src/yokeline/forwarding/stream_relay.py
@@ -75,7 +75,7 @@
             self._responder.finish_stream(exchange)
             return
         exchange.phase = Phase.KEEPING
-        self._settlements.keep(exchange, self._handle_kept)
+        self._settlements.settle_and_keep(exchange, self._handle_kept)
 
     def _start_response(self, exchange: Exchange) -> None:
         assert exchange.response_head is not None
--- a/src/yokeline/forwarding/tenant_loads.py
+++ b/src/yokeline/forwarding/tenant_loads.py
@@ -7,7 +7,7 @@
 from yokeline.forwarding.node_state import NodeState
 from yokeline.ledger.messages import PoolLoad, TenantLoad
 
-MAX_ROWS = 64
+MAX_TENANTS_PER_POOL = 64
 """Tenants of one pool in a report; the ones with the most are told. A node has some tens of turns
 under way, of few tenants each."""
 
@@ -57,7 +57,7 @@
         wanted = running + waiting
         tenants = tuple(
             TenantLoad(name, self._weight(name), running[name], waiting[name])
-            for name, _ in wanted.most_common(MAX_ROWS)
+            for name, _ in wanted.most_common(MAX_TENANTS_PER_POOL)
         )
         return PoolLoad(pool, self._state.engines.slots_in_pool(pool), tenants)
 
--- a/src/yokeline/forwarding/tenants.py
+++ b/src/yokeline/forwarding/tenants.py
@@ -77,7 +77,7 @@
     return {tenant.name: tenant.rate for tenant in tenants if tenant.is_limited}
 
 
-class StateNames(msgspec.Struct, frozen=True, kw_only=True):
+class ScopedNames(msgspec.Struct, frozen=True, kw_only=True):
     """The names under which the state of a request is kept, at nodes and in the ledger.
 
     They hold the tenant, so that equal ids of two tenants never meet: neither as turns to
--- a/src/yokeline/forwarding/turn_operations.py
+++ b/src/yokeline/forwarding/turn_operations.py
@@ -43,7 +43,7 @@
         session=exchange.names.session,
         tokens=tokens,
         turn=turn,
-        context=_context_of(exchange, tokens),
+        context=_cached_context_of(exchange, tokens),
     )
 
 
@@ -57,7 +57,7 @@
     )
 
 
-def _context_of(exchange: Exchange, tokens: int) -> CachedContext | None:
+def _cached_context_of(exchange: Exchange, tokens: int) -> CachedContext | None:
     """Return where a turn was generated, if it was generated whole at one engine."""
     if not exchange.is_complete or exchange.engine is None:
         return None
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -22,7 +22,7 @@
 from yokeline.forwarding.exchange import Exchange
 from yokeline.forwarding.fair_shares import FairShares
 from yokeline.forwarding.model import Call, PoolWeight, Route, RouteKind
-from yokeline.forwarding.tenants import StateNames, Tenant
+from yokeline.forwarding.tenants import ScopedNames, Tenant
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import ExchangeId, ReplicaId
 from yokeline.ledger.messages import PoolLoad, PoolShares, TenantLoad
@@ -401,4 +401,4 @@
 
 
 _NOTHING = HttpArrived(exchange=ExchangeId(""), method="POST", path="/", headers={}, body=b"")
-_NAMES = StateNames(operation="", turn="", program="", session="", previous_turn="")
+_NAMES = ScopedNames(operation="", turn="", program="", session="", previous_turn="")
