--- a/benchmarks/program_admission.py
+++ b/benchmarks/program_admission.py
@@ -28,7 +28,7 @@
 import msgspec
 import ormsgpack
 
-from yokeline.forwarding.limits import LONGEST_WAIT_SECONDS, MAX_WAITS, LimitTolerance
+from yokeline.forwarding.tenant_limits import MAX_WAIT_SECONDS, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.tenants import Tenant
 from yokeline.ledger import claims, quotas
 from yokeline.ledger.operations import (
@@ -100,7 +100,7 @@
         """Return the tenant's limit at a time."""
         is_lowered = now >= self.lowered_at
         rate = self.usual * self.headroom * (self.lowered_to if is_lowered else 1.0)
-        depth = TOLERANCE.depth(Tenant(name=self.tenant, rate=rate, burst=rate))
+        depth = TOLERANCE.bucket_size(Tenant(name=self.tenant, rate=rate, burst=rate))
         return RateLimit(self.tenant, rate, depth, 2 if is_lowered else 1)
 
 
@@ -287,7 +287,7 @@
     ) -> None:
         """Wait at the node as its limits say, or come back as a caller does."""
         may_wait = spent.is_empty and waits < MAX_WAITS
-        if may_wait and spent.retry_after <= LONGEST_WAIT_SECONDS:
+        if may_wait and spent.retry_after <= MAX_WAIT_SECONDS:
             self._ledger.at(
                 self._ledger.now + spent.retry_after, lambda: self._send(program, tries, waits + 1)
             )
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -49,7 +49,6 @@
     UNAUTHORIZED,
     UNAVAILABLE,
 )
-from yokeline.forwarding.limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.model import Call, Route, RouteKind, RoutingTable
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
@@ -59,6 +58,7 @@
 from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
 from yokeline.forwarding.stream_relay import StreamRelay
+from yokeline.forwarding.tenant_limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.tenant_loads import TenantLoadReader
 from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import needs_ledger
@@ -130,17 +130,17 @@
             turn_cache,
             dialect,
         )
-        self._limits = TenantLimits(
+        self._tenant_limits = TenantLimits(
             self._state, ledger, self._responder, self._enqueue_and_dispatch
         )
-        self._retries.on_rerun = self._limits.count_again
+        self._retries.on_rerun = self._tenant_limits.debit_rerun
         self._reservations = Reservations(
             self._state,
             ledger,
             histories,
             self._responder,
             turn_cache,
-            self._limits,
+            self._tenant_limits,
             self._enqueue_and_dispatch,
         )
 
@@ -393,12 +393,12 @@
 
     def _begin(self, exchange: Exchange) -> None:
         """Let a request take its first step."""
-        if not self._limits.is_let_by(exchange, self._begin):
+        if not self._tenant_limits.may_ask(exchange, self._begin):
             return
         if needs_ledger(exchange):
             self._reservations.reserve(exchange)
         elif exchange.limit is not None:
-            self._limits.draw(exchange)
+            self._tenant_limits.draw(exchange)
         else:
             self._enqueue_and_dispatch(exchange)
 
--- a/src/yokeline/forwarding/reservations.py
+++ b/src/yokeline/forwarding/reservations.py
@@ -11,13 +11,13 @@
 from yokeline.effects import Effect
 from yokeline.forwarding.exchange import Exchange, HistorySource, Phase
 from yokeline.forwarding.http_statuses import NOT_FOUND, PAYMENT_REQUIRED, UNAVAILABLE
-from yokeline.forwarding.limits import (
+from yokeline.forwarding.node_state import NodeState
+from yokeline.forwarding.responder import Responder
+from yokeline.forwarding.tenant_limits import (
     LEDGER_RETRY_AFTER_SECONDS,
-    LEDGER_SECONDS,
+    LEDGER_TIMEOUT_SECONDS,
     TenantLimits,
 )
-from yokeline.forwarding.node_state import NodeState
-from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import reservation_of
 from yokeline.ledger.client import LedgerClient
@@ -76,7 +76,7 @@
             return self._state.outcomes.drain_effects()
 
         now = self._state.now
-        give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
+        give_up_at = min(exchange.deadline, now + LEDGER_TIMEOUT_SECONDS)
         effects = self._ledger.ask(operation, reserved, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
@@ -134,7 +134,9 @@
         elif isinstance(result, QuotaSpent) and not result.is_empty:
             self._limits.refuse_program(exchange, result)
         elif isinstance(result, QuotaSpent):
-            self._limits.take_spent(exchange, result, lambda item: self._ask_again(item, operation))
+            self._limits.handle_quota_spent(
+                exchange, result, lambda item: self._ask_again(item, operation)
+            )
         elif isinstance(result, NoSuchTurn):
             self._responder.refuse(
                 exchange, NOT_FOUND, "no_such_turn", turn=exchange.call.previous_turn
--- a/src/yokeline/forwarding/limits.py
+++ b/src/yokeline/forwarding/tenant_limits.py
@@ -21,24 +21,24 @@
 from yokeline.ledger.operations import Draw, Drawn, OperationResult, QuotaSpent, RateLimit
 from yokeline.scheduling.return_times import return_after_limit
 
-LEDGER_SECONDS = 2.0
+LEDGER_TIMEOUT_SECONDS = 2.0
 """Longest wait for the ledger's answer; then the request is refused, not run. A change of leader
 takes under a second (elections of 0.3 s, and a search for the new one)."""
 LEDGER_RETRY_AFTER_SECONDS = 0.2
 """Time after which a caller is to come back when the ledger does not answer."""
-USED_TOLERANCE = 0.8
+USED_TOLERANCE_SHARE = 0.8
 """Share of the tolerance that is used. The rest is for requests that run once more at another
 engine while the bucket is empty already: they are counted, but not refused."""
-OWED_SECONDS = 5.0
+DEBIT_TIMEOUT_SECONDS = 5.0
 """How long the ledger is asked to count a request that runs once more; as for a settlement."""
 QUOTA_SPENT = "quota_spent"
 MAX_WAITS = 2
 """Times that a request waits for its tenant's limit before it is refused."""
-LONGEST_WAIT_SECONDS = 0.25
+MAX_WAIT_SECONDS = 0.25
 """Longest such wait: a caller that is refused comes back about as soon, but only once or twice, and
 a program is lost with a call that fails. Without any wait, programs that had begun would be refused
 a moment before the limit let them in."""
-MAX_WAITING = 2
+MAX_WAITING_PER_TENANT = 2
 """Requests of one tenant that wait so at one node: one far beyond its limit is refused at once."""
 MAX_TENANTS = 4096
 """Tenants of which it is remembered that they have used their limit; the oldest gives way."""
@@ -57,7 +57,7 @@
     overage: float = 0.0
     slack: float = 0.0
 
-    def depth(self, tenant: Tenant) -> float:
+    def bucket_size(self, tenant: Tenant) -> float:
         """Return how many requests of a tenant may come at once after a rest.
 
         In any window no more run than the rate gives and this depth. With the burst alone, 491
@@ -66,7 +66,7 @@
         their calls in clumps, and a small tenant has few programs.
         """
         within_limit = tenant.rate * self.window + tenant.burst
-        return tenant.burst + USED_TOLERANCE * (self.overage * within_limit + self.slack)
+        return tenant.burst + USED_TOLERANCE_SHARE * (self.overage * within_limit + self.slack)
 
 
 NO_TOLERANCE = LimitTolerance()
@@ -76,7 +76,7 @@
     """Return the limit of a tenant in a version of the configuration; None if it has none."""
     if tenant is None or not tenant.is_limited:
         return None
-    return RateLimit(tenant.name, tenant.rate, tolerance.depth(tenant), version)
+    return RateLimit(tenant.name, tenant.rate, tolerance.bucket_size(tenant), version)
 
 
 class TenantLimits:
@@ -87,27 +87,27 @@
         state: NodeState,
         ledger: LedgerClient,
         responder: Responder,
-        drawn: Callable[[Exchange], None],
+        on_drawn: Callable[[Exchange], None],
     ) -> None:
         """Call ``drawn`` with each request that may go on."""
         self._state = state
         self._ledger = ledger
         self._responder = responder
-        self._drawn = drawn
-        self._spent_until: OrderedDict[str, float] = OrderedDict()
+        self._on_drawn = on_drawn
+        self._exhausted_until: OrderedDict[str, float] = OrderedDict()
         self._waiting: Counter[str] = Counter()
 
-    def is_let_by(self, exchange: Exchange, again: Callable[[Exchange], None]) -> bool:
+    def may_ask(self, exchange: Exchange, retry: Callable[[Exchange], None]) -> bool:
         """Return whether a request may ask the ledger; else it waits a moment, or is refused.
 
         A tenant that sends many times its limit costs the ledger one question for each request
         that the limit lets in, and the others no more than this look.
         """
         limit = exchange.limit
-        until = self._spent_until.get(limit.tenant, 0.0) if limit is not None else 0.0
+        until = self._exhausted_until.get(limit.tenant, 0.0) if limit is not None else 0.0
         if until <= self._state.now:
             return True
-        self._wait_or_refuse(exchange, until - self._state.now, again)
+        self._wait_or_refuse(exchange, until - self._state.now, retry)
         return False
 
     def draw(self, exchange: Exchange) -> None:
@@ -122,35 +122,35 @@
 
         def answered(result: OperationResult | None, now: float) -> list[Effect]:
             self._state.now = now
-            self._take_result(exchange, result)
+            self._handle_result(exchange, result)
             return self._state.outcomes.drain_effects()
 
         now = self._state.now
-        give_up_at = min(exchange.deadline, now + LEDGER_SECONDS)
+        give_up_at = min(exchange.deadline, now + LEDGER_TIMEOUT_SECONDS)
         effects = self._ledger.ask(exchange.ledger_operation, answered, now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
-    def count_again(self, exchange: Exchange) -> None:
+    def debit_rerun(self, exchange: Exchange) -> None:
         """Count a request that goes to an engine though it may have run at another one."""
         if exchange.limit is None:
             return
         name = f"{exchange.names.operation}#{exchange.sends}"
         operation = Draw(request_id=name, limit=exchange.limit, is_owed=True)
-        give_up_at = self._state.now + OWED_SECONDS
-        effects = self._ledger.ask(operation, _counted, self._state.now, give_up_at)
+        give_up_at = self._state.now + DEBIT_TIMEOUT_SECONDS
+        effects = self._ledger.ask(operation, _ignore_result, self._state.now, give_up_at)
         self._state.outcomes.effects.extend(effects)
 
-    def take_spent(
-        self, exchange: Exchange, spent: QuotaSpent, again: Callable[[Exchange], None]
+    def handle_quota_spent(
+        self, exchange: Exchange, spent: QuotaSpent, retry: Callable[[Exchange], None]
     ) -> None:
         """Let a request that the ledger found beyond the limit ask ``again``, or refuse it."""
         if spent.is_empty and exchange.limit is not None:
             tenant = exchange.limit.tenant
-            self._spent_until[tenant] = self._state.now + spent.retry_after
-            self._spent_until.move_to_end(tenant)
-            if len(self._spent_until) > MAX_TENANTS:
-                self._spent_until.popitem(last=False)
-        self._wait_or_refuse(exchange, spent.retry_after, again)
+            self._exhausted_until[tenant] = self._state.now + spent.retry_after
+            self._exhausted_until.move_to_end(tenant)
+            if len(self._exhausted_until) > MAX_TENANTS:
+                self._exhausted_until.popitem(last=False)
+        self._wait_or_refuse(exchange, spent.retry_after, retry)
 
     def refuse_program(self, exchange: Exchange, spent: QuotaSpent) -> None:
         """Refuse the first turn of a program that its tenant's limit would not carry to its end.
@@ -160,12 +160,14 @@
         self._refuse(exchange, return_after_limit(exchange.call.request_id, spent.retry_after))
 
     def _wait_or_refuse(
-        self, exchange: Exchange, seconds: float, again: Callable[[Exchange], None]
+        self, exchange: Exchange, seconds: float, retry: Callable[[Exchange], None]
     ) -> None:
         assert exchange.limit is not None
         tenant, now = exchange.limit.tenant, self._state.now
-        may_wait = exchange.limit_waits < MAX_WAITS and self._waiting[tenant] < MAX_WAITING
-        if not may_wait or seconds > LONGEST_WAIT_SECONDS or now + seconds >= exchange.deadline:
+        may_wait = (
+            exchange.limit_waits < MAX_WAITS and self._waiting[tenant] < MAX_WAITING_PER_TENANT
+        )
+        if not may_wait or seconds > MAX_WAIT_SECONDS or now + seconds >= exchange.deadline:
             self._refuse(exchange, seconds)
             return
         exchange.limit_waits += 1
@@ -177,20 +179,20 @@
             if not self._waiting[tenant]:
                 del self._waiting[tenant]
             if exchange.phase is Phase.RESERVING:
-                again(exchange)
+                retry(exchange)
 
         # Not among the request's own timers, which end with it: its place is to be given back.
         self._state.timers.schedule(now + seconds, waited)
 
-    def _take_result(self, exchange: Exchange, result: OperationResult | None) -> None:
+    def _handle_result(self, exchange: Exchange, result: OperationResult | None) -> None:
         if exchange.phase is not Phase.RESERVING:
             return
         exchange.ledger_operation = None
         if isinstance(result, Drawn):
             exchange.granted_at = self._state.now
-            self._drawn(exchange)
+            self._on_drawn(exchange)
         elif isinstance(result, QuotaSpent):
-            self.take_spent(exchange, result, self.draw)
+            self.handle_quota_spent(exchange, result, self.draw)
         else:
             self._responder.refuse(
                 exchange,
@@ -215,6 +217,6 @@
         )
 
 
-def _counted(_result: OperationResult | None, _now: float) -> list[Effect]:
+def _ignore_result(_result: OperationResult | None, _now: float) -> list[Effect]:
     """Wait for nothing: the request runs in any case."""
     return []
--- a/src/yokeline/roles.py
+++ b/src/yokeline/roles.py
@@ -128,8 +128,8 @@
     from yokeline.forwarding.engines import EngineTable
     from yokeline.forwarding.forwarder import Forwarder
     from yokeline.forwarding.freshness import ConfigurationFreshness
-    from yokeline.forwarding.limits import LimitTolerance
     from yokeline.forwarding.metrics import edge_figures
+    from yokeline.forwarding.tenant_limits import LimitTolerance
     from yokeline.ledger.client import LedgerClient
     from yokeline.ledger.history_fetches import HistoryFetches
 
--- a/tests/unit/forwarding/test_forwarder.py
+++ b/tests/unit/forwarding/test_forwarder.py
@@ -7,7 +7,7 @@
 from tests.unit.forwarding.support import TABLE, Played
 from yokeline.effects import HttpStreamStart
 from yokeline.forwarding.held_requests import HOLD_SECONDS, MAX_HELD, MAX_HELD_BYTES
-from yokeline.forwarding.limits import LEDGER_SECONDS
+from yokeline.forwarding.tenant_limits import LEDGER_TIMEOUT_SECONDS
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
 from yokeline.ledger.operations import (
@@ -260,7 +260,7 @@
     def test_without_the_ledger_the_turn_does_not_run_and_its_reservation_is_released(self) -> None:
         played = Played()
         name = played.turn()
-        played.wait(LEDGER_SECONDS + 0.1)
+        played.wait(LEDGER_TIMEOUT_SECONDS + 0.1)
         self.assertEqual((played.replies[-1].status, played.sent), (503, []))
         self.assertEqual(played.operations()[-1], Settle(request_id=name, program="p", tokens=0))
 
@@ -498,7 +498,7 @@
         played.ledger_answers(NoSuchTurn(turn_id="t9"))
         self.assertEqual(played.replies[-1].status, 404)
         played.turn("/kept/x", previous_turn="t8")
-        played.wait(LEDGER_SECONDS + 0.1)
+        played.wait(LEDGER_TIMEOUT_SECONDS + 0.1)
         self.assertEqual(played.replies[-1].status, 503)
 
 
--- a/tests/unit/forwarding/test_tenants.py
+++ b/tests/unit/forwarding/test_tenants.py
@@ -8,8 +8,8 @@
 from yokeline.bearer_tokens import token_digest
 from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HOLD_SECONDS
-from yokeline.forwarding.limits import MAX_WAITING, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.model import RouteKind, RoutingTable
+from yokeline.forwarding.tenant_limits import MAX_WAITING_PER_TENANT, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory, scoped
 from yokeline.ledger.messages import LedgerReply
 from yokeline.ledger.operations import Draw, Drawn, Granted, QuotaSpent, Reserve, Settle
@@ -207,7 +207,7 @@
         tolerance = LimitTolerance(window=5.0, overage=0.1, slack=20.0)
         for rate, burst in ((6.0, 6.0), (30.0, 30.0), (163.0, 163.0), (1.0, 0.0)):
             tenant = Tenant(name="t", rate=rate, burst=burst)
-            depth = tolerance.depth(tenant)
+            depth = tolerance.bucket_size(tenant)
             bound = (rate * 5.0 + burst) * 1.1 + 20.0
             self.assertGreater(depth, burst + 10.0)
             self.assertLess(rate * 5.0 + depth, bound)
@@ -289,7 +289,7 @@
         self.assertEqual(len(self.played.operations()), asked + 2)
 
     def test_a_caller_that_leaves_gives_its_place_to_wait_back(self) -> None:
-        for _ in range(MAX_WAITING):
+        for _ in range(MAX_WAITING_PER_TENANT):
             self.played.request("/look/x", authorization="Bearer m1")
         for number, _ in list(self.played.asked):
             reply = LedgerReply(
--- a/tools/limit_replay.py
+++ b/tools/limit_replay.py
@@ -24,7 +24,7 @@
 
 from tools.day_report import read_lines
 from tools.limit_report import QUOTA_SPENT
-from yokeline.forwarding.limits import LimitTolerance
+from yokeline.forwarding.tenant_limits import LimitTolerance
 from yokeline.forwarding.tenants import Tenant
 
 HEADROOM = 1.6
@@ -200,7 +200,7 @@
     limits = {}
     for name, count in counts.items():
         rate = max(LEAST_RATE, HEADROOM * count / span)
-        limits[name] = Limit(rate, TOLERANCE.depth(Tenant(name=name, rate=rate, burst=rate)))
+        limits[name] = Limit(rate, TOLERANCE.bucket_size(Tenant(name=name, rate=rate, burst=rate)))
     return limits
 
 
--- a/tools/limit_report.py
+++ b/tools/limit_report.py
@@ -76,10 +76,10 @@
 
 def _burst_of(rate: float, depth: float, window: float, overage: float, slack: float) -> float:
     """Return the burst of a limit from the depth of its bucket (forwarding.limits)."""
-    from yokeline.forwarding.limits import USED_TOLERANCE
+    from yokeline.forwarding.tenant_limits import USED_TOLERANCE_SHARE
 
-    tolerated = USED_TOLERANCE * (overage * rate * window + slack)
-    return max(0.0, (depth - tolerated) / (1 + USED_TOLERANCE * overage))
+    tolerated = USED_TOLERANCE_SHARE * (overage * rate * window + slack)
+    return max(0.0, (depth - tolerated) / (1 + USED_TOLERANCE_SHARE * overage))
 
 
 def worst_count(runs: list[Run], window: float) -> int:
