--- a/src/yokeline/forwarding/engine_figures.py
+++ b/src/yokeline/forwarding/engine_gauges.py
@@ -12,25 +12,25 @@
 """Engines with gauges of their own; with two gauges each, a page of them stays readable."""
 
 
-class _Shown(msgspec.Struct, frozen=True, kw_only=True):
+class _EnginePace(msgspec.Struct, frozen=True, kw_only=True):
     engine_id: str
-    lasting: float
-    spell: float
+    pace_ratio: float
+    spell_ratio: float
 
     @property
     def distance(self) -> float:
         """How far it is from a usual engine; as many times slower as faster counts the same."""
-        present = self.lasting * self.spell
+        present = self.pace_ratio * self.spell_ratio
         return max(present, 1 / present)
 
 
 def pace_gauges(engines: EngineTable, now: float) -> dict[str, float]:
     """Return the lasting pace and the spell of engines, as multiples of what is usual."""
     known = [
-        _Shown(
+        _EnginePace(
             engine_id=state.engine.engine_id,
-            lasting=state.reported_profile.pace_seconds / engines.usual_pace(state.engine.pool),
-            spell=state.reported_profile.spell_at(now),
+            pace_ratio=state.reported_profile.pace_seconds / engines.usual_pace(state.engine.pool),
+            spell_ratio=state.reported_profile.spell_at(now),
         )
         for state in engines.all()
         if state.reported_profile is not None and engines.usual_pace(state.engine.pool) > 0
@@ -38,6 +38,6 @@
     gauges: dict[str, float] = {}
     for item in heapq.nlargest(MAX_ENGINES_SHOWN, known, key=lambda item: item.distance):
         label = f'{{engine="{item.engine_id}"}}'
-        gauges[f"yokeline_forwarding_engine_pace_ratio{label}"] = item.lasting
-        gauges[f"yokeline_forwarding_engine_spell_ratio{label}"] = item.spell
+        gauges[f"yokeline_forwarding_engine_pace_ratio{label}"] = item.pace_ratio
+        gauges[f"yokeline_forwarding_engine_spell_ratio{label}"] = item.spell_ratio
     return gauges
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -32,13 +32,13 @@
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.dispatcher import Dispatcher
-from yokeline.forwarding.engine_figures import pace_gauges
+from yokeline.forwarding.engine_gauges import pace_gauges
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
 from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HeldRequests
-from yokeline.forwarding.http_parts import host_of
+from yokeline.forwarding.http_helpers import host_of
 from yokeline.forwarding.http_statuses import (
     BAD_REQUEST,
     GATEWAY_TIMEOUT,
@@ -52,7 +52,6 @@
 from yokeline.forwarding.model import Call, Route, RouteKind, RoutingTable
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
-from yokeline.forwarding.pool_split import PoolSplit
 from yokeline.forwarding.reservations import Reservations
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retries import RetryHandler
@@ -60,6 +59,7 @@
 from yokeline.forwarding.stream_relay import StreamRelay
 from yokeline.forwarding.tenant_limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.tenant_loads import TenantLoadReader
+from yokeline.forwarding.traffic_split import TrafficSplit
 from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import needs_ledger
 from yokeline.histogram import Histogram
@@ -114,7 +114,7 @@
         ledger.turns.tenants = TenantLoadReader(self._state)
         ledger.shares_told = self._state.fair_shares.apply_leader_report
         self._held = HeldRequests()
-        self._split = PoolSplit()
+        self._traffic_split = TrafficSplit()
         turn_cache = TurnCache()
         settlements = Settlements(self._state, ledger)
         self._responder = Responder(self._state, settlements, dialect)
@@ -331,9 +331,9 @@
         """Serve what waited for a configuration, or refuse what waited too long for it."""
         is_known = self.table is not None and self.currency(self._state.now) is not Currency.SOON
         if is_known or self.refusing:
-            held = self._held.take_all()
+            held = self._held.pop_all()
         else:
-            held = self._held.take_expired(self._state.now)
+            held = self._held.pop_expired(self._state.now)
         for request in held:
             self._take_request(request.event, request.arrived_at)
 
@@ -432,7 +432,7 @@
             tenant=admitted.tenant,
             forwards_credential=admitted.forwards_credential,
             limit=limit_of(admitted.tenant, self._outcomes.configuration_version, self._tolerance),
-            pool=self._split.pool_of(route, call),
+            pool=self._traffic_split.choose_pool(route, call),
             body=event.body,
             last_event_id=call.last_event_id,
         )
--- a/src/yokeline/forwarding/held_requests.py
+++ b/src/yokeline/forwarding/held_requests.py
@@ -13,9 +13,9 @@
 from yokeline.effects import HttpArrived
 from yokeline.identifiers import ExchangeId
 
-HOLD_SECONDS = 1.5
+MAX_HOLD_SECONDS = 1.5
 """Longest time for which a request is held: callers of streams wait 2 s for a first event."""
-MAX_HELD = 512
+MAX_HELD_REQUESTS = 512
 MAX_HELD_BYTES = 4 * 1024 * 1024
 
 
@@ -26,9 +26,9 @@
     arrived_at: float
 
     @property
-    def give_up_at(self) -> float:
+    def expires_at(self) -> float:
         """When it is refused if it could not be read."""
-        return self.arrived_at + HOLD_SECONDS
+        return self.arrived_at + MAX_HOLD_SECONDS
 
 
 class HeldRequests:
@@ -45,7 +45,7 @@
 
     def add(self, event: HttpArrived, now: float) -> bool:
         """Hold a request; return False if there is no room for it."""
-        if len(self._held) >= MAX_HELD or self._bytes + len(event.body) > MAX_HELD_BYTES:
+        if len(self._held) >= MAX_HELD_REQUESTS or self._bytes + len(event.body) > MAX_HELD_BYTES:
             return False
         self._held[event.exchange] = HeldRequest(event, now)
         self._bytes += len(event.body)
@@ -60,18 +60,18 @@
     def next_deadline(self) -> float | None:
         """Return when the first of them is to be refused."""
         first = next(iter(self._held.values()), None)
-        return first.give_up_at if first is not None else None
+        return first.expires_at if first is not None else None
 
-    def take_expired(self, now: float) -> list[HeldRequest]:
+    def pop_expired(self, now: float) -> list[HeldRequest]:
         """Take out those that were held for too long."""
-        expired = [item for item in self._held.values() if now >= item.give_up_at]
+        expired = [item for item in self._held.values() if now >= item.expires_at]
         for item in expired:
             self.remove(item.event.exchange)
         return expired
 
-    def take_all(self) -> list[HeldRequest]:
+    def pop_all(self) -> list[HeldRequest]:
         """Take out all, the first that came first."""
-        everything = list(self._held.values())
+        held = list(self._held.values())
         self._held.clear()
         self._bytes = 0
-        return everything
+        return held
--- a/src/yokeline/forwarding/http_parts.py
+++ b/src/yokeline/forwarding/http_helpers.py
@@ -34,7 +34,7 @@
     return name if colon and port.isdigit() else host
 
 
-def is_later(event_id: str, than: str) -> bool:
+def is_after(event_id: str, than: str) -> bool:
     """Return whether an event comes after another; ids without a number always do."""
     if not event_id or not than:
         return True
--- a/src/yokeline/forwarding/outcome_recorder.py
+++ b/src/yokeline/forwarding/outcome_recorder.py
@@ -7,7 +7,7 @@
 from yokeline.effects import Effect, HttpArrived, HttpReply, LogRecord
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.exchange import Exchange
-from yokeline.forwarding.http_parts import refusal_body
+from yokeline.forwarding.http_helpers import refusal_body
 from yokeline.forwarding.http_statuses import BAD_REQUEST
 from yokeline.forwarding.tenants import Tenant
 from yokeline.identifiers import ExchangeId
--- a/src/yokeline/forwarding/stream_relay.py
+++ b/src/yokeline/forwarding/stream_relay.py
@@ -6,7 +6,7 @@
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.exchange import Exchange, Phase
-from yokeline.forwarding.http_parts import is_later
+from yokeline.forwarding.http_helpers import is_after
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retries import RetryHandler
@@ -50,10 +50,10 @@
             return
         now = self._state.now
         exchange.last_event_at = now
-        if exchange.route.retain and is_later(item.event_id, exchange.kept_event_id):
+        if exchange.route.retain and is_after(item.event_id, exchange.kept_event_id):
             exchange.kept_text.append(event_data(item.data))
             exchange.kept_event_id = item.event_id
-        if not is_later(item.event_id, exchange.last_event_id):
+        if not is_after(item.event_id, exchange.last_event_id):
             return
         exchange.last_event_id = item.event_id or exchange.last_event_id
         exchange.relayed_events += 1
--- a/src/yokeline/forwarding/pool_split.py
+++ b/src/yokeline/forwarding/traffic_split.py
@@ -11,14 +11,14 @@
 _HASH_SPAN = 2**32
 
 
-class PoolSplit:
+class TrafficSplit:
     """Divides requests by weight; the counts are this node's own."""
 
     def __init__(self) -> None:
         """Begin with nothing divided."""
         self._counts: dict[str, Counter[str]] = {}
 
-    def pool_of(self, route: Route, call: Call) -> str:
+    def choose_pool(self, route: Route, call: Call) -> str:
         """Return the pool for a request; all turns of a program get the same one."""
         if len(route.pools) == 1:
             return route.pools[0].pool
--- a/tests/unit/forwarding/test_engine_figures.py
+++ b/tests/unit/forwarding/test_engine_figures.py
@@ -3,7 +3,7 @@
 import unittest
 
 from yokeline.effects import Address
-from yokeline.forwarding.engine_figures import MAX_ENGINES_SHOWN, pace_gauges
+from yokeline.forwarding.engine_gauges import MAX_ENGINES_SHOWN, pace_gauges
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.model import Engine
 from yokeline.ledger.messages import PACE_UNIT_SECONDS, EngineTurns
--- a/tests/unit/forwarding/test_forwarder.py
+++ b/tests/unit/forwarding/test_forwarder.py
@@ -6,7 +6,7 @@
 
 from tests.unit.forwarding.support import TABLE, Played
 from yokeline.effects import HttpStreamStart
-from yokeline.forwarding.held_requests import HOLD_SECONDS, MAX_HELD, MAX_HELD_BYTES
+from yokeline.forwarding.held_requests import MAX_HELD_BYTES, MAX_HELD_REQUESTS, MAX_HOLD_SECONDS
 from yokeline.forwarding.tenant_limits import LEDGER_TIMEOUT_SECONDS
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
@@ -171,7 +171,7 @@
         played = Played()
         played.forwarder.table = None
         played.request("/nowhere/x")
-        played.wait(HOLD_SECONDS - 0.05)
+        played.wait(MAX_HOLD_SECONDS - 0.05)
         self.assertEqual(played.replies, [])
         played.wait(0.1)
         self.assertEqual([reply.status for reply in played.replies], [503])
@@ -200,7 +200,7 @@
     def test_what_is_held_is_bounded_in_number_and_bytes(self) -> None:
         played = Played()
         played.forwarder.table = None
-        for _ in range(MAX_HELD + 1):
+        for _ in range(MAX_HELD_REQUESTS + 1):
             played.request("/fix/x")
         self.assertEqual([reply.status for reply in played.replies], [503])
         played = Played()
--- a/tests/unit/forwarding/test_room.py
+++ b/tests/unit/forwarding/test_room.py
@@ -11,7 +11,7 @@
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import HttpStreamEnded, HttpStreamItem
 from yokeline.forwarding.freshness import Currency
-from yokeline.forwarding.held_requests import MAX_HELD
+from yokeline.forwarding.held_requests import MAX_HELD_REQUESTS
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
@@ -266,7 +266,7 @@
         self.played.forwarder.table = None
         for number in range(560):
             self.turn(f"p{number}")
-        self.assertEqual(len(self.told()), 560 - MAX_HELD)
+        self.assertEqual(len(self.told()), 560 - MAX_HELD_REQUESTS)
         self.assertGreater(max(self.told()) - min(self.told()), 0.3)
 
 
--- a/tests/unit/forwarding/test_tenants.py
+++ b/tests/unit/forwarding/test_tenants.py
@@ -7,7 +7,7 @@
 from tests.unit.forwarding.support import TABLE, Played, route
 from yokeline.bearer_tokens import token_digest
 from yokeline.forwarding.freshness import Currency
-from yokeline.forwarding.held_requests import HOLD_SECONDS
+from yokeline.forwarding.held_requests import MAX_HOLD_SECONDS
 from yokeline.forwarding.model import RouteKind, RoutingTable
 from yokeline.forwarding.tenant_limits import MAX_WAITING_PER_TENANT, MAX_WAITS, LimitTolerance
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory, scoped
@@ -184,7 +184,7 @@
     def test_one_that_does_not_come_is_not_waited_for_long(self) -> None:
         self.currency = Currency.SOON
         self.played.request("/look/x", authorization="Bearer h1")
-        self.played.wait(HOLD_SECONDS + 0.1)
+        self.played.wait(MAX_HOLD_SECONDS + 0.1)
         self.assertEqual(self.played.replies[-1].status, 503)
 
 
