--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -46,7 +46,7 @@
 
 
 def admit(
-    table: RoutingTable, route: Route, call: Call, *, is_current: bool, operation: str
+    table: RoutingTable, route: Route, call: Call, *, has_valid_lease: bool, operation: str
 ) -> Admitted | Denied:
     """Decide by the configuration in force.
 
@@ -54,7 +54,7 @@
         table: The configuration.
         route: Of the request.
         call: The request.
-        is_current: The configuration was proved to be the newest a moment ago.
+        has_valid_lease: The configuration was proved to be the newest a moment ago.
         operation: An id of the node's own, which no other request has.
     """
     directory = table.tenants
@@ -63,8 +63,8 @@
         return Admitted(names=names, tenant=None, forwards_credential=True)
     tenant = directory.find(call.credential)
     if route.public:
-        return _admitted(call, tenant if is_current else None, operation)
-    if not is_current:
+        return _admitted(call, tenant if has_valid_lease else None, operation)
+    if not has_valid_lease:
         caller = Returning(
             request_id=call.request_id,
             has_begun=continues_program(route, call),
--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -24,10 +24,10 @@
     StopListening,
     StopRequested,
 )
+from yokeline.forwarding.configuration_lease import ConfigurationLease, LeaseState
 from yokeline.forwarding.engine_entries import EngineEntries
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
-from yokeline.forwarding.freshness import ConfigurationFreshness, Currency
 from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
 from yokeline.forwarding.registry_exchange import RegistryExchange
 from yokeline.identifiers import ReplicaId
@@ -87,7 +87,7 @@
         engines: EngineTable,
         ledger: LedgerClient,
         histories: HistoryFetches,
-        freshness: ConfigurationFreshness,
+        lease: ConfigurationLease,
         grace_seconds: float,
         engine_drain_seconds: float,
         phases: StartPhases,
@@ -98,9 +98,9 @@
         self.phases = phases
         self.ledger = ledger
         self.histories = histories
-        self.freshness = freshness
-        forwarder.currency = freshness.currency
-        forwarder.proof_age = freshness.age
+        self.lease = lease
+        forwarder.lease_state = lease.state
+        forwarder.proof_age = lease.age
         self._record = record
         self._registry = registry
         self._formats = formats
@@ -124,7 +124,7 @@
         table = self.forwarder.table
         if table is None or not self._registry.complete or self._stop_asked_at is not None:
             return False
-        return table.tenants is None or self.freshness.currency(self._now) is not Currency.STALE
+        return table.tenants is None or self.lease.state(self._now) is not LeaseState.EXPIRED
 
     def registry_age(self) -> float:
         """Return how long ago what is known was last confirmed (seconds)."""
@@ -132,7 +132,7 @@
 
     def proof_age(self) -> float:
         """Return how old the proof of the configuration is (seconds); infinite without one."""
-        return self.freshness.age(self._now)
+        return self.lease.age(self._now)
 
     # ------------------------------------------------------------ service
 
@@ -168,14 +168,14 @@
         return effects
 
     def _prove_configuration(self, now: float) -> list[Effect]:
-        due = self.freshness.next_deadline()
+        due = self.lease.next_deadline()
         if due is None or now < due:
             return []
         watches = self._exchange.asks_service
-        return self.freshness.tick(
+        return self.lease.tick(
             now,
-            reads=watches and self._sharing.is_first_watcher(now),
-            watches=watches,
+            is_reader=watches and self._sharing.is_first_watcher(now),
+            is_watcher=watches,
             peers=self._sharing.peers_that_watch(now),
         )
 
@@ -199,7 +199,7 @@
             self.forwarder.next_deadline(),
             self._sharing.next_deadline(),
             self._engines.next_expiry(),
-            self.freshness.next_deadline(),
+            self.lease.next_deadline(),
         ]
         return min(due for due in dues if due is not None)
 
@@ -208,8 +208,8 @@
             return self.forwarder.arrived(event, now)
         if isinstance(event, HttpGone):
             return self.forwarder.caller_gone(event.exchange, now)
-        if isinstance(event, HttpResponse | HttpFailed) and self.freshness.owns(event):
-            return self._take_item(self.freshness.take(event), now)
+        if isinstance(event, HttpResponse | HttpFailed) and self.lease.owns(event):
+            return self._take_item(self.lease.handle_read(event), now)
         if isinstance(event, HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed):
             return self.forwarder.engine_event(event, now)
         if isinstance(event, PeerMessage):
@@ -235,9 +235,9 @@
         if isinstance(message, RegistryAsk):
             return self._exchange.answer(event.sender, message)
         if isinstance(message, ConfigurationAsk):
-            return self.freshness.answer(event.sender, message, now)
+            return self.lease.answer_query(event.sender, message, now)
         if isinstance(message, ConfigurationProof):
-            return self._take_item(self.freshness.take_proof(message), now)
+            return self._take_item(self.lease.handle_proof(message), now)
         if isinstance(message, RegistryNews):
             changed, effects = self._exchange.adopt(event.sender, message, now)
             return [*effects, *self._take_changes(changed, now)]
@@ -327,7 +327,7 @@
                 )
             ]
         table = read.unwrap()
-        self.freshness.note_configuration(item, has_keys=table.tenants is not None)
+        self.lease.set_configuration(item, has_keys=table.tenants is not None)
         current = self.forwarder.table
         if current is not None and table.version <= current.version:
             return []
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -30,13 +30,13 @@
     is_still_admitted,
 )
 from yokeline.forwarding.attempts import Attempts
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.dispatcher import Dispatcher
 from yokeline.forwarding.engine_gauges import pace_gauges
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
-from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HeldRequests
 from yokeline.forwarding.http_helpers import host_of
 from yokeline.forwarding.http_statuses import (
@@ -104,7 +104,7 @@
         the node, so that no two requests are one operation of the ledger.
         """
         self.refusing = False
-        self.currency: Callable[[float], Currency] = _always_current
+        self.lease_state: Callable[[float], LeaseState] = _always_valid
         self.proof_age: Callable[[float], float] = _just_proved
         self._dialect = dialect
         self._tolerance = tolerance
@@ -329,7 +329,9 @@
 
     def _take_held(self) -> None:
         """Serve what waited for a configuration, or refuse what waited too long for it."""
-        is_known = self.table is not None and self.currency(self._state.now) is not Currency.SOON
+        is_known = (
+            self.table is not None and self.lease_state(self._state.now) is not LeaseState.PENDING
+        )
         if is_known or self.refusing:
             held = self._held.pop_all()
         else:
@@ -359,17 +361,19 @@
             self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
-        currency = self.currency(self._state.now)
+        lease_state = self.lease_state(self._state.now)
         admitted = admit(
             table,
             route,
             call,
-            is_current=currency is Currency.CURRENT,
+            has_valid_lease=lease_state is LeaseState.VALID,
             operation=f"{self._process}/{event.exchange}",
         )
         if isinstance(admitted, Denied):
-            soon = admitted.reason == STALE_CONFIGURATION and currency is Currency.SOON
-            if not (soon and may_hold and self._held.add(event, arrived_at)):
+            is_pending = (
+                admitted.reason == STALE_CONFIGURATION and lease_state is LeaseState.PENDING
+            )
+            if not (is_pending and may_hold and self._held.add(event, arrived_at)):
                 self._deny(event, admitted, table)
             return
         exchange = self._open(event, call, route, admitted, arrived_at)
@@ -521,9 +525,9 @@
         self._responder.abandon(exchange)
 
 
-def _always_current(_now: float) -> Currency:
+def _always_valid(_now: float) -> LeaseState:
     """Prove nothing: no key is taken away at once."""
-    return Currency.CURRENT
+    return LeaseState.VALID
 
 
 def _just_proved(_now: float) -> float:
--- a/src/yokeline/forwarding/metrics.py
+++ b/src/yokeline/forwarding/metrics.py
@@ -20,8 +20,8 @@
     counters["yokeline_ledger_late_answers_total"] = float(node.ledger.counts.late_answers)
     counters["yokeline_ledger_sent_through_peers_total"] = float(node.ledger.counts.through_peers)
     counters["yokeline_ledger_passed_on_total"] = float(node.ledger.counts.for_peers)
-    counters["yokeline_forwarding_proof_reads_total"] = float(node.freshness.reads)
-    counters["yokeline_forwarding_proof_asks_total"] = float(node.freshness.asks)
+    counters["yokeline_forwarding_proof_reads_total"] = float(node.lease.service_reads)
+    counters["yokeline_forwarding_proof_asks_total"] = float(node.lease.peer_queries)
     table = forwarder.table
     gauges = {
         "yokeline_forwarding_under_way": float(forwarder.under_way),
--- a/src/yokeline/roles.py
+++ b/src/yokeline/roles.py
@@ -124,10 +124,10 @@
     settings: RoleSettings, adapter: Adapter, start: ProcessStart, dropped: Counter[str]
 ) -> Result[BoundServices, YokelineError]:
     # Imported here, as the storage part below: a role loads only what it needs.
+    from yokeline.forwarding.configuration_lease import ConfigurationLease
     from yokeline.forwarding.edge_node import EdgeNode
     from yokeline.forwarding.engines import EngineTable
     from yokeline.forwarding.forwarder import Forwarder
-    from yokeline.forwarding.freshness import ConfigurationFreshness
     from yokeline.forwarding.metrics import edge_figures
     from yokeline.forwarding.tenant_limits import LimitTolerance
     from yokeline.ledger.client import LedgerClient
@@ -171,7 +171,7 @@
         ),
         process=process,
     )
-    freshness = ConfigurationFreshness(
+    lease = ConfigurationLease(
         store.unwrap(),
         adapter.formats.configuration_key,
         settings.peer_address,
@@ -187,7 +187,7 @@
         engines=engines,
         ledger=ledger,
         histories=histories,
-        freshness=freshness,
+        lease=lease,
         grace_seconds=settings.grace_seconds,
         engine_drain_seconds=settings.engine_drain_ms / 1000.0,
         phases=StartPhases(start.began_at),
--- a/tests/property/test_revocation.py
+++ b/tests/property/test_revocation.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from yokeline.effects import Address, Effect, HttpRequest, HttpResponse, SendPeer
-from yokeline.forwarding.freshness import ConfigurationFreshness, Currency
+from yokeline.forwarding.configuration_lease import ConfigurationLease, LeaseState
 from yokeline.identifiers import ReplicaId, RequestId
 from yokeline.ledger.client import PeerNode
 from yokeline.ledger.messages import ConfigurationAsk, ConfigurationProof
@@ -46,7 +46,7 @@
         self.name = ReplicaId(f"n{number}")
         self.store = _Store()
         self.address = Address("10.0.0.1", number)
-        self.freshness = ConfigurationFreshness(
+        self.freshness = ConfigurationLease(
             self.store,  # type: ignore[arg-type] - it reads one item and nothing else
             KEY,
             self.address,
@@ -60,7 +60,7 @@
     def take_over(self, revision: int) -> None:
         self.known = revision
         item = StoredItem(KEY, str(revision).encode(), revision)
-        self.freshness.note_configuration(item, has_keys=True)
+        self.freshness.set_configuration(item, has_keys=True)
 
 
 class _World:
@@ -101,7 +101,7 @@
         response = HttpResponse(request=request, status=200)
         if node.freshness.owns(response):
             node.store.answers[request] = found
-            self.adopt(node, node.freshness.take(response))
+            self.adopt(node, node.freshness.handle_read(response))
 
     def send(self, node: _Node, effect: SendPeer) -> None:
         receiver = next(item for item in self.nodes if item.name == effect.to)
@@ -109,10 +109,10 @@
 
         def arrive() -> None:
             if isinstance(message, ConfigurationAsk):
-                answers = receiver.freshness.answer(node.name, message, self.now)
+                answers = receiver.freshness.answer_query(node.name, message, self.now)
                 self.carry_out(receiver, answers)
             elif isinstance(message, ConfigurationProof):
-                self.adopt(receiver, receiver.freshness.take_proof(message))
+                self.adopt(receiver, receiver.freshness.handle_proof(message))
 
         for _ in range(self.random.choice((1, 1, 2))):
             self.later(lambda: self.awake(receiver, arrive))
@@ -145,7 +145,7 @@
             if self.now >= node.asleep_until:
                 others = [PeerNode(item.name, item.address) for item in self.nodes if item != node]
                 effects = node.freshness.tick(
-                    self.now, reads=number == 0, watches=number < 2, peers=others
+                    self.now, is_reader=number == 0, is_watcher=number < 2, peers=others
                 )
                 self.carry_out(node, effects)
 
@@ -153,7 +153,7 @@
         """Return the nodes that rely on a configuration whose successor is older than the bound."""
         found = []
         for node in self.nodes:
-            is_current = node.freshness.currency(self.now) is Currency.CURRENT
+            is_current = node.freshness.state(self.now) is LeaseState.VALID
             successor = self.changed_at.get(node.known + 1)
             if is_current and successor is not None and self.now - successor > BOUND:
                 found.append(f"{node.name} at {self.now:.2f} relies on {node.known}")
@@ -176,8 +176,8 @@
         for _ in range(int(SECONDS / STEP)):
             world.step()
             if world.now > 1.0:
-                states = {node.freshness.currency(world.now) for node in world.nodes}
-                self.assertEqual(states, {Currency.CURRENT})
+                states = {node.freshness.state(world.now) for node in world.nodes}
+                self.assertEqual(states, {LeaseState.VALID})
 
     def play(self, seed: int) -> list[str]:
         world = _World(seed)
--- a/tests/unit/forwarding/room_replay.py
+++ b/tests/unit/forwarding/room_replay.py
@@ -15,7 +15,7 @@
 from tests.unit.forwarding.virtual_clock import VirtualClock
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import HttpReply, HttpRequest, HttpResponse, HttpStreamEnded, HttpStreamItem
-from yokeline.forwarding.freshness import Currency
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.ledger.messages import LedgerReply
 from yokeline.ledger.operations import Granted, OperationResult, Reserve, Settled
@@ -114,7 +114,7 @@
         self.played = Played(engines_per_pool=ENGINES, slots=SLOTS)
         tenants = TenantDirectory((KeyHolder(Credential(token_digest(KEY)), Tenant(name="t")),))
         self.played.forwarder.table = msgspec.structs.replace(TABLE, tenants=tenants)
-        self.played.forwarder.currency = self._currency
+        self.played.forwarder.lease_state = self._currency
         self.result = Replayed()
         self._load = load
         self._random = random.Random(seed)
@@ -155,9 +155,9 @@
             self.played.take(self.played.ledger.take_reply(reply, self.played.now))
             self.played.take(self.played.forwarder.tick(self.played.now))
 
-    def _currency(self, now: float) -> Currency:
+    def _currency(self, now: float) -> LeaseState:
         is_away = 0 <= now - self._begin < self._load.outage_seconds
-        return Currency.STALE if is_away else Currency.CURRENT
+        return LeaseState.EXPIRED if is_away else LeaseState.VALID
 
     # ------------------------------------------------------------ callers
 
--- a/tests/unit/forwarding/test_edge_node.py
+++ b/tests/unit/forwarding/test_edge_node.py
@@ -23,8 +23,8 @@
     StopRequested,
     Tick,
 )
+from yokeline.forwarding.configuration_lease import ConfigurationLease
 from yokeline.forwarding.edge_node import EdgeNode
-from yokeline.forwarding.freshness import ConfigurationFreshness
 from yokeline.identifiers import ExchangeId, NodeName, ReplicaId
 from yokeline.ledger.messages import LoadReport, RegistryAsk, RegistryItem, RegistryNews
 from yokeline.ledger.operations import Granted
@@ -62,7 +62,7 @@
             engines=self.played.engines,
             ledger=self.played.ledger,
             histories=self.played.histories,
-            freshness=ConfigurationFreshness(
+            lease=ConfigurationLease(
                 self.store,
                 PlatformDocuments.configuration_key,
                 record.address,
--- a/tests/unit/forwarding/test_room.py
+++ b/tests/unit/forwarding/test_room.py
@@ -10,7 +10,7 @@
 from tests.unit.forwarding.support import TABLE, Played
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import HttpStreamEnded, HttpStreamItem
-from yokeline.forwarding.freshness import Currency
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.held_requests import MAX_HELD_REQUESTS
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.identifiers import NodeName
@@ -208,8 +208,8 @@
         self.played.forwarder.table = msgspec.structs.replace(
             TABLE, tenants=TenantDirectory((holder,))
         )
-        self.currency = Currency.CURRENT
-        self.played.forwarder.currency = lambda _now: self.currency
+        self.currency = LeaseState.VALID
+        self.played.forwarder.lease_state = lambda _now: self.currency
         self.see_turn()
 
     def see_turn(self) -> None:
@@ -234,12 +234,12 @@
 
     def test_what_was_held_is_served_as_places_come_free(self) -> None:
         """Ten first turns for eight places: none is refused, since places come free in time."""
-        self.currency = Currency.SOON
+        self.currency = LeaseState.PENDING
         for number in range(10):
             self.turn(f"p{number}")
         self.played.wait(0.1)
         self.assertEqual(len(self.played.sent), 1)
-        self.currency = Currency.CURRENT
+        self.currency = LeaseState.VALID
         self.played.wait(0.01)
         self.assertEqual(len(self.played.sent), 1 + ENGINES * SLOTS)
         self.played.wait(0.2)
@@ -249,7 +249,7 @@
         self.assertEqual(self.played.replies, [])
 
     def test_the_herd_returns_spread_and_begun_programs_first(self) -> None:
-        self.currency = Currency.STALE
+        self.currency = LeaseState.EXPIRED
         for number in range(60):
             self.turn(f"p{number}")
         first = self.told()
--- a/tests/unit/forwarding/test_tenants.py
+++ b/tests/unit/forwarding/test_tenants.py
@@ -6,7 +6,7 @@
 
 from tests.unit.forwarding.support import TABLE, Played, route
 from yokeline.bearer_tokens import token_digest
-from yokeline.forwarding.freshness import Currency
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.held_requests import MAX_HOLD_SECONDS
 from yokeline.forwarding.model import RouteKind, RoutingTable
 from yokeline.forwarding.tenant_limits import MAX_WAITING_PER_TENANT, MAX_WAITS, LimitTolerance
@@ -158,8 +158,8 @@
 class StaleConfiguration(Tenants):
     def setUp(self) -> None:
         super().setUp()
-        self.currency = Currency.STALE
-        self.played.forwarder.currency = lambda now: self.currency
+        self.currency = LeaseState.EXPIRED
+        self.played.forwarder.lease_state = lambda now: self.currency
 
     def test_a_node_that_cannot_prove_its_keys_neither_runs_nor_denies(self) -> None:
         for key in ("h1", "unknown"):
@@ -173,16 +173,16 @@
         self.assertEqual(len(self.played.sent), 1)
 
     def test_a_proof_that_comes_soon_is_waited_for(self) -> None:
-        self.currency = Currency.SOON
+        self.currency = LeaseState.PENDING
         self.played.request("/look/x", authorization="Bearer h1")
         self.played.wait(0.1)
         self.assertEqual((self.played.sent, self.played.replies), ([], []))
-        self.currency = Currency.CURRENT
+        self.currency = LeaseState.VALID
         self.played.wait(0.02)
         self.assertEqual(len(self.played.sent), 1)
 
     def test_one_that_does_not_come_is_not_waited_for_long(self) -> None:
-        self.currency = Currency.SOON
+        self.currency = LeaseState.PENDING
         self.played.request("/look/x", authorization="Bearer h1")
         self.played.wait(MAX_HOLD_SECONDS + 0.1)
         self.assertEqual(self.played.replies[-1].status, 503)
