--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -28,7 +28,7 @@
 from yokeline.forwarding.engine_entries import EngineEntries
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
-from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
+from yokeline.forwarding.load_reporting import LoadReporter, NodeStatus
 from yokeline.forwarding.registry_exchange import RegistryExchange
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.client import LedgerClient
@@ -107,11 +107,11 @@
         self._engines = engines
         self._grace_seconds = grace_seconds
         self._entries = EngineEntries(formats, engines, forwarder, engine_drain_seconds, now)
-        self._sharing = LoadSharing(record, process, engines, now)
-        self._exchange = RegistryExchange(record, registry, self._sharing, now)
+        self._load_reporter = LoadReporter(record, process, engines, now)
+        self._exchange = RegistryExchange(record, registry, self._load_reporter, now)
         ledger.engines_told = engines.apply_leader_report
         ledger.turns.earlier_name = engines.incarnations.legacy_name
-        ledger.helpful_peers = lambda: self._sharing.peers_that_reach_ledger(self._now)
+        ledger.helpful_peers = lambda: self._load_reporter.peers_reaching_ledger(self._now)
         self._refused_records: set[str] = set()
         self._stop_asked_at: float | None = None
         self._busy_at = now
@@ -153,8 +153,8 @@
         effects.extend(self.forwarder.tick(now))
         self.ledger.wants_engines = self.forwarder.awaits_model_engine()
         effects.extend(
-            self._sharing.tick(
-                ReportedState(
+            self._load_reporter.tick(
+                NodeStatus(
                     waiting=self.forwarder.waiting(),
                     revision=self._registry.last_change(),
                     reaches_ledger=self.ledger.reaches_ledger,
@@ -174,9 +174,9 @@
         watches = self._exchange.asks_service
         return self.lease.tick(
             now,
-            is_reader=watches and self._sharing.is_first_watcher(now),
+            is_reader=watches and self._load_reporter.is_first_watcher(now),
             is_watcher=watches,
-            peers=self._sharing.peers_that_watch(now),
+            peers=self._load_reporter.peers_watching(now),
         )
 
     def _note_phases(self, now: float) -> list[LogRecord]:
@@ -197,7 +197,7 @@
             self.ledger.next_deadline(),
             self.histories.next_deadline(),
             self.forwarder.next_deadline(),
-            self._sharing.next_deadline(),
+            self._load_reporter.next_deadline(),
             self._engines.next_expiry(),
             self.lease.next_deadline(),
         ]
@@ -264,10 +264,10 @@
     def _take_load(self, message: msgspec.Struct, now: float) -> list[Effect]:
         """Take reports of other nodes in, with how much of the registry these have read."""
         if isinstance(message, LoadReport):
-            self._sharing.take_report(message, now)
+            self._load_reporter.handle_report(message, now)
             return self._exchange.hear(message, now)
         if isinstance(message, LoadDigest) and message.reports:
-            self._sharing.take_digest(message, now)
+            self._load_reporter.handle_digest(message, now)
             latest = max(message.reports, key=lambda report: report.revision)
             return self._exchange.hear(latest, now)
         return []
@@ -360,7 +360,7 @@
             [NearReplica(item.replica, item.address, item.zone == own_zone) for item in storage]
         )
         edges = [record for record in records if record.role is NodeRole.EDGE]
-        self._sharing.set_nodes(edges, self._now)
+        self._load_reporter.set_nodes(edges, self._now)
         self._exchange.nodes_changed(self._now)
 
     # ------------------------------------------------------------ stops
--- a/src/yokeline/forwarding/load_sharing.py
+++ b/src/yokeline/forwarding/load_reporting.py
@@ -23,40 +23,40 @@
 
 MAX_DIRECT_NODES = 16
 """Most nodes that tell each other directly."""
-REPORT_SECONDS = 0.1
+REPORT_INTERVAL_SECONDS = 0.1
 """Least pause between two reports of load that changed, while an engine is busy: what the others
 do not know yet sends them all to the engine that was the least loaded a moment ago. Turns need no
 shorter one, since the ledger's leader tells of them."""
-RELAYED_REPORT_SECONDS = 0.08
+RELAYED_REPORT_INTERVAL_SECONDS = 0.08
 """The same where a relay passes the reports on."""
-CALM_REPORT_SECONDS = 0.3
+IDLE_REPORT_INTERVAL_SECONDS = 0.3
 """Pause between reports while no engine is busy: then any has room, whatever the others do.
 Also the pause between reports of a load that did not change."""
-DIGEST_SECONDS = 0.08
+DIGEST_INTERVAL_SECONDS = 0.08
 """Time for which a relay collects reports before it passes them on."""
 MAX_REPORTS_PER_DIGEST = 24
 """Reports in one datagram; more go into the next one."""
-RELAY_SILENCE_SECONDS = 0.8
+RELAY_TIMEOUT_SECONDS = 0.8
 """Silence of a relay after which the next node of the zone is taken for it."""
-NODES_AT_FULL_PACE = 64
+MAX_NODES_AT_BASE_INTERVAL = 64
 """Nodes up to which relayed reports keep the pauses above; with more, pauses grow with their
 number, so that what a node receives does not."""
-MAX_SLOWDOWN = 4.0
-LEAST_WATCHERS = 3
+MAX_INTERVAL_FACTOR = 4.0
+MIN_WATCHERS = 3
 """Nodes that watch the key-value service at least, spread over the zones; each call is paid for,
 and the others read from them."""
-TAKEOVER_SECONDS = 1.0
+WATCHER_DOUBLING_SECONDS = 1.0
 """Time without a node that the service answers after which twice as many watch: with 35 in 100
 machines refused and one watcher in each of five zones, one outage in 190 has no served watcher at
 first, and one in 36,000 after this time. Without it all nodes at once call a service that is
 away."""
-MAX_TAKEOVER_DOUBLINGS = 16.0
+MAX_WATCHER_DOUBLINGS = 16.0
 """Then all nodes of the largest zone watch."""
-UNKNOWN_RELAYS = 2
+MAX_RELAY_CANDIDATES = 2
 """Nodes of another zone that get a digest while its relay is not known."""
 
 
-class ReportedState(msgspec.Struct, frozen=True, kw_only=True):
+class NodeStatus(msgspec.Struct, frozen=True, kw_only=True):
     """What a node reports of itself beside its load.
 
     Attributes:
@@ -72,7 +72,7 @@
     watches: bool = False
 
 
-class LoadSharing:
+class LoadReporter:
     """Reports of one node, and those that it passes on; a pure state machine."""
 
     def __init__(
@@ -84,18 +84,18 @@
         self._engines = engines
         self._sequence = 0
         self._next_report = now
-        self._next_look = now
+        self._next_load_check = now
         self._reported_changes = 0
         self._reported_revision = 0
         self._peers: list[NodeRecord] = []
-        self._zone_ring: list[NodeRecord] = [record]
-        self._zones: dict[str, list[NodeRecord]] = {}
+        self._zone_nodes: list[NodeRecord] = [record]
+        self._other_zones: dict[str, list[NodeRecord]] = {}
         self._heard_at: dict[NodeName, float] = {}
-        self._candidate_since = now
+        self._zone_changed_at = now
         self._collected: dict[NodeName, LoadReport] = {}
-        self._from_zones: dict[NodeName, LoadReport] = {}
+        self._collected_from_zones: dict[NodeName, LoadReport] = {}
         self._next_digest: float | None = None
-        self._slowdown = 1.0
+        self._interval_factor = 1.0
 
     # ------------------------------------------------------------ nodes
 
@@ -106,19 +106,21 @@
         zones: dict[str, list[NodeRecord]] = defaultdict(list)
         for record in sorted(edges, key=lambda record: record.name):
             zones[record.zone].append(record)
-        ring = zones.pop(self._record.zone, [])
-        if all(record.name != own for record in ring):
-            ring = sorted([*ring, self._record], key=lambda record: record.name)
-        if ring != self._zone_ring:
-            self._candidate_since = now
-        self._zone_ring = ring
-        self._zones = dict(zones)
-        self._slowdown = min(MAX_SLOWDOWN, max(1.0, len(edges) / NODES_AT_FULL_PACE))
-        self._engines.node_report_ttl = NODE_REPORT_TTL_SECONDS * self._slowdown
-        places = sorted(
+        zone_nodes = zones.pop(self._record.zone, [])
+        if all(record.name != own for record in zone_nodes):
+            zone_nodes = sorted([*zone_nodes, self._record], key=lambda record: record.name)
+        if zone_nodes != self._zone_nodes:
+            self._zone_changed_at = now
+        self._zone_nodes = zone_nodes
+        self._other_zones = dict(zones)
+        self._interval_factor = min(
+            MAX_INTERVAL_FACTOR, max(1.0, len(edges) / MAX_NODES_AT_BASE_INTERVAL)
+        )
+        self._engines.node_report_ttl = NODE_REPORT_TTL_SECONDS * self._interval_factor
+        zone_members = sorted(
             (ZoneMember(item.name, item.zone) for item in edges), key=lambda at: at.name
         )
-        self._engines.set_nodes(self._record.zone, places)
+        self._engines.set_nodes(self._record.zone, zone_members)
 
     @property
     def uses_relays(self) -> bool:
@@ -127,22 +129,22 @@
 
     def relay(self, now: float) -> NodeRecord:
         """Return the relay of the zone: the first node that was heard of lately, or this one."""
-        for record in self._zone_ring:
-            if record.name == self._record.name or self._was_heard(record.name, now):
+        for record in self._zone_nodes:
+            if record.name == self._record.name or self._is_relay_candidate(record.name, now):
                 return record
         return self._record
 
-    def _was_heard(self, name: NodeName, now: float) -> bool:
-        is_new_ring = now - self._candidate_since <= RELAY_SILENCE_SECONDS * self._slowdown
-        return is_new_ring or self._heard_within_silence(name, now)
+    def _is_relay_candidate(self, name: NodeName, now: float) -> bool:
+        zone_is_new = now - self._zone_changed_at <= RELAY_TIMEOUT_SECONDS * self._interval_factor
+        return zone_is_new or self._was_heard_lately(name, now)
 
     @property
-    def slowdown(self) -> float:
+    def interval_factor(self) -> float:
         """By how much the pauses between reports grow with the number of nodes."""
-        return self._slowdown
+        return self._interval_factor
 
     def is_watcher(
-        self, now: float, *, presumes_alive: bool = False, unheard_seconds: float = 0.0
+        self, now: float, *, assume_alive: bool = False, seconds_without_watcher: float = 0.0
     ) -> bool:
         """Return whether this node is to watch the key-value service for others.
 
@@ -151,17 +153,17 @@
         While no node says that the service answers it, more and more try, ``unheard_seconds``
         being how long that lasts: some may be refused, and if it is away, not all call at once.
         """
-        per_zone = math.ceil(LEAST_WATCHERS / (len(self._zones) + 1))
+        per_zone = math.ceil(MIN_WATCHERS / (len(self._other_zones) + 1))
         fresh = {report.node for report in self._engines.fresh_reports(now)}
         before = [
             record.name
-            for record in self._zone_ring
-            if record.name < self._record.name and (presumes_alive or record.name in fresh)
+            for record in self._zone_nodes
+            if record.name < self._record.name and (assume_alive or record.name in fresh)
         ]
-        doublings = min(MAX_TAKEOVER_DOUBLINGS, unheard_seconds / TAKEOVER_SECONDS)
+        doublings = min(MAX_WATCHER_DOUBLINGS, seconds_without_watcher / WATCHER_DOUBLING_SECONDS)
         return len(before) < per_zone * 2.0**doublings
 
-    def hears_watcher(self, now: float) -> bool:
+    def has_other_watcher(self, now: float) -> bool:
         """Return whether another node says that it watches the key-value service."""
         return any(report.watches for report in self._engines.fresh_reports(now))
 
@@ -171,25 +173,25 @@
         reports = self._engines.fresh_reports(now)
         return not any(report.watches and report.node < own for report in reports)
 
-    def peers_that_reach_ledger(self, now: float) -> list[PeerNode]:
+    def peers_reaching_ledger(self, now: float) -> list[PeerNode]:
         """Return the nodes that say so, those of this zone first."""
         reports = self._engines.fresh_reports(now)
-        return self._nearest_first([report for report in reports if report.reaches_ledger])
+        return self._sort_by_zone([report for report in reports if report.reaches_ledger])
 
-    def peers_that_watch(self, now: float) -> list[PeerNode]:
+    def peers_watching(self, now: float) -> list[PeerNode]:
         """Return the nodes that say that the key-value service answers them, likewise."""
         reports = self._engines.fresh_reports(now)
-        return self._nearest_first([report for report in reports if report.watches])
+        return self._sort_by_zone([report for report in reports if report.watches])
 
-    def _nearest_first(self, reports: list[LoadReport]) -> list[PeerNode]:
-        own_zone = {record.name for record in self._zone_ring}
-        helpful = [report for report in reports if report.address is not None]
-        helpful.sort(key=lambda report: (report.node not in own_zone, report.node))
-        return [PeerNode(item.process, item.address) for item in helpful if item.address]
+    def _sort_by_zone(self, reports: list[LoadReport]) -> list[PeerNode]:
+        own_zone = {record.name for record in self._zone_nodes}
+        reachable = [report for report in reports if report.address is not None]
+        reachable.sort(key=lambda report: (report.node not in own_zone, report.node))
+        return [PeerNode(item.process, item.address) for item in reachable if item.address]
 
     # ------------------------------------------------------------ reports in
 
-    def take_report(self, report: LoadReport, now: float) -> None:
+    def handle_report(self, report: LoadReport, now: float) -> None:
         """Take a report that its node sent here."""
         self._heard_at[report.node] = now
         self._engines.apply_node_report(report, now)
@@ -197,7 +199,7 @@
             self._collected[report.node] = report
             self._schedule_digest(now)
 
-    def take_digest(self, digest: LoadDigest, now: float) -> None:
+    def handle_digest(self, digest: LoadDigest, now: float) -> None:
         """Take reports that a relay passes on."""
         self._heard_at[digest.sender] = now
         for report in digest.reports:
@@ -205,12 +207,12 @@
                 self._engines.apply_node_report(report, now)
         comes_from_elsewhere = digest.zone != self._record.zone
         if comes_from_elsewhere and self.relay(now).name == self._record.name:
-            self._from_zones.update((report.node, report) for report in digest.reports)
+            self._collected_from_zones.update((report.node, report) for report in digest.reports)
             self._schedule_digest(now)
 
     def _schedule_digest(self, now: float) -> None:
         if self._next_digest is None:
-            self._next_digest = now + DIGEST_SECONDS * self._slowdown
+            self._next_digest = now + DIGEST_INTERVAL_SECONDS * self._interval_factor
 
     # ------------------------------------------------------------ reports out
 
@@ -220,17 +222,19 @@
             return self._next_report
         return min(self._next_report, self._next_digest)
 
-    def tick(self, state: ReportedState, now: float) -> list[Effect]:
+    def tick(self, state: NodeStatus, now: float) -> list[Effect]:
         """Report this node's load and state, and pass on what was collected, if it is time."""
         effects = self._report(state, now)
         if self._next_digest is not None and now >= self._next_digest:
-            effects.extend(self._pass_on(now))
+            effects.extend(self._send_collected(now))
         return effects
 
-    def _report(self, state: ReportedState, now: float) -> list[Effect]:
-        if now >= self._next_look and self._reported_changes != self._engines.local_changes:
-            pause = RELAYED_REPORT_SECONDS if self.uses_relays else REPORT_SECONDS
-            self._next_look = now + pause * self._slowdown
+    def _report(self, state: NodeStatus, now: float) -> list[Effect]:
+        if now >= self._next_load_check and self._reported_changes != self._engines.local_changes:
+            interval = (
+                RELAYED_REPORT_INTERVAL_SECONDS if self.uses_relays else REPORT_INTERVAL_SECONDS
+            )
+            self._next_load_check = now + interval * self._interval_factor
             if self._engines.any_busy(now):
                 self._next_report = now
         if state.watches and state.revision != self._reported_revision:
@@ -240,7 +244,7 @@
         self._reported_revision = state.revision
         self._engines.drop_stale_reports(now)
         self._reported_changes = self._engines.local_changes
-        self._next_report = now + CALM_REPORT_SECONDS * self._slowdown
+        self._next_report = now + IDLE_REPORT_INTERVAL_SECONDS * self._interval_factor
         loads = self._engines.local_loads(now)
         self._sequence += 1
         report = LoadReport(
@@ -266,28 +270,30 @@
         self._schedule_digest(now)
         return []
 
-    def _pass_on(self, now: float) -> list[Effect]:
+    def _send_collected(self, now: float) -> list[Effect]:
         """Send what was collected: all of it within the zone, the zone's own to other zones."""
         self._next_digest = None
         own_zone = list(self._collected.values())
-        others = [item for name, item in self._from_zones.items() if name not in self._collected]
+        others = [
+            item for name, item in self._collected_from_zones.items() if name not in self._collected
+        ]
         self._collected = {}
-        self._from_zones = {}
-        members = [record for record in self._zone_ring if record.name != self._record.name]
+        self._collected_from_zones = {}
+        members = [record for record in self._zone_nodes if record.name != self._record.name]
         effects = self._send_digests(own_zone + others, members)
-        for zone in sorted(self._zones):
+        for zone in sorted(self._other_zones):
             effects.extend(self._send_digests(own_zone, self._relays_of(zone, now)))
         return effects
 
     def _relays_of(self, zone: str, now: float) -> list[NodeRecord]:
         """Return the relay of another zone, or the nodes that may be it."""
-        ring = self._zones[zone]
-        heard = [item for item in ring if self._heard_within_silence(item.name, now)]
-        return heard[:1] or ring[:UNKNOWN_RELAYS]
+        zone_nodes = self._other_zones[zone]
+        heard = [item for item in zone_nodes if self._was_heard_lately(item.name, now)]
+        return heard[:1] or zone_nodes[:MAX_RELAY_CANDIDATES]
 
-    def _heard_within_silence(self, name: NodeName, now: float) -> bool:
+    def _was_heard_lately(self, name: NodeName, now: float) -> bool:
         last = self._heard_at.get(name)
-        return last is not None and now - last <= RELAY_SILENCE_SECONDS * self._slowdown
+        return last is not None and now - last <= RELAY_TIMEOUT_SECONDS * self._interval_factor
 
     def _send_digests(self, reports: list[LoadReport], to: list[NodeRecord]) -> list[Effect]:
         effects: list[Effect] = []
--- a/src/yokeline/forwarding/registry_exchange.py
+++ b/src/yokeline/forwarding/registry_exchange.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from yokeline.effects import Effect, LogRecord, SendPeer
-from yokeline.forwarding.load_sharing import LoadSharing
+from yokeline.forwarding.load_reporting import LoadReporter
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.messages import LoadReport, RegistryAsk, RegistryItem, RegistryNews
 from yokeline.registry.client import RegistryClient
@@ -32,12 +32,12 @@
     """Questions and answers about the registry between nodes."""
 
     def __init__(
-        self, record: NodeRecord, registry: RegistryClient, sharing: LoadSharing, now: float
+        self, record: NodeRecord, registry: RegistryClient, load_reporter: LoadReporter, now: float
     ) -> None:
         """Ask and answer for the node of ``record``."""
         self._record = record
         self._registry = registry
-        self._sharing = sharing
+        self._load_reporter = load_reporter
         self._next_pacing = now
         self._next_question = now
         self._listed_at: float | None = None
@@ -73,12 +73,12 @@
         self._next_pacing = now + PACING_SECONDS
         if has_listed:
             self._listed_at = now
-        first_seconds = FIRST_NEWS_SECONDS * self._sharing.slowdown
+        first_seconds = FIRST_NEWS_SECONDS * self._load_reporter.interval_factor
         is_new = self._listed_at is not None and now - self._listed_at < first_seconds
-        if is_new or self._sharing.hears_watcher(now):
+        if is_new or self._load_reporter.has_other_watcher(now):
             self._watcher_heard_at = now
-        self._follows = not self._sharing.is_watcher(
-            now, presumes_alive=is_new, unheard_seconds=now - self._watcher_heard_at
+        self._follows = not self._load_reporter.is_watcher(
+            now, assume_alive=is_new, seconds_without_watcher=now - self._watcher_heard_at
         )
         self._registry.follow(self._follows)
 
--- a/tests/unit/forwarding/test_edge_node.py
+++ b/tests/unit/forwarding/test_edge_node.py
@@ -172,7 +172,7 @@
             replica=ReplicaId("edge-2~1"),
             address=Address("10.0.0.2", 1),
         )
-        self.node._sharing.set_nodes([other], self.now)
+        self.node._load_reporter.set_nodes([other], self.now)
 
     def test_a_load_that_changes_at_a_busy_engine_is_told_within_a_tenth_of_a_second(self) -> None:
         """Else every node sends to the engine that was the least loaded a moment ago."""
@@ -259,7 +259,7 @@
             )
             for name in names
         ]
-        self.node._sharing.set_nodes(others, self.now)
+        self.node._load_reporter.set_nodes(others, self.now)
         news = RegistryNews(revision=50, items=(RegistryItem("k", b"v", 50),))
         self.hand(PeerMessage(sender=ReplicaId("edge-0~7"), message=news))
         self.end_calls()
--- a/tests/unit/forwarding/test_load_sharing.py
+++ b/tests/unit/forwarding/test_load_sharing.py
@@ -5,7 +5,7 @@
 
 from yokeline.effects import Address, SendDatagram
 from yokeline.forwarding.engines import EngineTable
-from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
+from yokeline.forwarding.load_reporting import LoadReporter, NodeStatus
 from yokeline.forwarding.model import Engine
 from yokeline.identifiers import NodeName, ReplicaId
 from yokeline.ledger.messages import LoadDigest, LoadReport
@@ -35,11 +35,11 @@
             for number in range(per_zone)
         ]
         self.books = {record.name: EngineTable() for record in records}
-        self.nodes: dict[str, LoadSharing] = {}
+        self.nodes: dict[str, LoadReporter] = {}
         self.by_address = {record.address: record.name for record in records}
         for record in records:
             self.books[record.name].put(ENGINE)
-            node = LoadSharing(record, record.replica, self.books[record.name], self.now)
+            node = LoadReporter(record, record.replica, self.books[record.name], self.now)
             node.set_nodes(records, self.now)
             self.nodes[record.name] = node
 
@@ -50,7 +50,7 @@
             for name, node in self.nodes.items():
                 if name in self.down:
                     continue
-                state = ReportedState(
+                state = NodeStatus(
                     waiting={}, revision=0, reaches_ledger=name not in self.cut_from_ledger
                 )
                 effects = [
@@ -67,9 +67,9 @@
             return
         node = self.nodes[name]
         if isinstance(effect.message, LoadReport):
-            node.take_report(effect.message, self.now)
+            node.handle_report(effect.message, self.now)
         elif isinstance(effect.message, LoadDigest):
-            node.take_digest(effect.message, self.now)
+            node.handle_digest(effect.message, self.now)
 
     def send_one_request_each(self) -> None:
         for name, book in self.books.items():
@@ -131,7 +131,7 @@
 class WhoWatches(unittest.TestCase):
     def watchers(self, fleet: Fleet, *, presumes_alive: bool) -> int:
         return sum(
-            node.is_watcher(fleet.now, presumes_alive=presumes_alive)
+            node.is_watcher(fleet.now, assume_alive=presumes_alive)
             for name, node in fleet.nodes.items()
             if name not in fleet.down
         )
@@ -149,7 +149,8 @@
         fleet.run(2.0)
         tried = [
             sum(
-                node.is_watcher(fleet.now, unheard_seconds=seconds) for node in fleet.nodes.values()
+                node.is_watcher(fleet.now, seconds_without_watcher=seconds)
+                for node in fleet.nodes.values()
             )
             for seconds in (0.0, 1.0, 2.0, 10.0, 1e6)
         ]
@@ -168,7 +169,7 @@
             fleet = Fleet(per_zone)
             fleet.cut_from_ledger = {"edge-a-000", "edge-b-001"}
             fleet.run(1.0)
-            peers = fleet.nodes["edge-b-000"].peers_that_reach_ledger(fleet.now)
+            peers = fleet.nodes["edge-b-000"].peers_reaching_ledger(fleet.now)
             names = [str(peer.process) for peer in peers]
             self.assertEqual(len(names), 3 * per_zone - 3)
             self.assertNotIn("edge-a-000~1", names)
@@ -180,5 +181,5 @@
         fleet.run(1.0)
         fleet.down = {"edge-a-000"}
         fleet.run(2.0)
-        peers = fleet.nodes["edge-b-000"].peers_that_reach_ledger(fleet.now)
+        peers = fleet.nodes["edge-b-000"].peers_reaching_ledger(fleet.now)
         self.assertNotIn("edge-a-000~1", [str(peer.process) for peer in peers])
