--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -29,7 +29,7 @@
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
 from yokeline.forwarding.load_reporting import LoadReporter, NodeStatus
-from yokeline.forwarding.registry_exchange import RegistryExchange
+from yokeline.forwarding.registry_sync import RegistrySync
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.history_fetches import HistoryFetches, NearReplica
@@ -108,7 +108,7 @@
         self._grace_seconds = grace_seconds
         self._entries = EngineEntries(formats, engines, forwarder, engine_drain_seconds, now)
         self._load_reporter = LoadReporter(record, process, engines, now)
-        self._exchange = RegistryExchange(record, registry, self._load_reporter, now)
+        self._registry_sync = RegistrySync(record, registry, self._load_reporter, now)
         ledger.engines_told = engines.apply_leader_report
         ledger.turns.earlier_name = engines.incarnations.legacy_name
         ledger.helpful_peers = lambda: self._load_reporter.peers_reaching_ledger(self._now)
@@ -128,7 +128,7 @@
 
     def registry_age(self) -> float:
         """Return how long ago what is known was last confirmed (seconds)."""
-        return self._exchange.age(self._now)
+        return self._registry_sync.age(self._now)
 
     def proof_age(self) -> float:
         """Return how old the proof of the configuration is (seconds); infinite without one."""
@@ -144,7 +144,7 @@
         effects.extend(self._take_changes(changed, now))
         if not ours:
             effects.extend(self._take(event, now))
-        self._exchange.pace(now)
+        self._registry_sync.update_role(now)
         effects.extend(self._registry.tick(now))
         effects.extend(self._prove_configuration(now))
         effects.extend(self._entries.forget_lapsed(now))
@@ -158,7 +158,7 @@
                     waiting=self.forwarder.waiting(),
                     revision=self._registry.last_change(),
                     reaches_ledger=self.ledger.reaches_ledger,
-                    watches=self._exchange.watches(now),
+                    watches=self._registry_sync.watches(now),
                 ),
                 now,
             )
@@ -171,7 +171,7 @@
         due = self.lease.next_deadline()
         if due is None or now < due:
             return []
-        watches = self._exchange.asks_service
+        watches = self._registry_sync.reads_service
         return self.lease.tick(
             now,
             is_reader=watches and self._load_reporter.is_first_watcher(now),
@@ -233,13 +233,13 @@
         if isinstance(message, PassedOnRequest):
             return self._ask_for_peer(event.sender, message, now)
         if isinstance(message, RegistryAsk):
-            return self._exchange.answer(event.sender, message)
+            return self._registry_sync.answer_query(event.sender, message)
         if isinstance(message, ConfigurationAsk):
             return self.lease.answer_query(event.sender, message, now)
         if isinstance(message, ConfigurationProof):
             return self._take_item(self.lease.handle_proof(message), now)
         if isinstance(message, RegistryNews):
-            changed, effects = self._exchange.adopt(event.sender, message, now)
+            changed, effects = self._registry_sync.apply_news(event.sender, message, now)
             return [*effects, *self._take_changes(changed, now)]
         return []
 
@@ -265,11 +265,11 @@
         """Take reports of other nodes in, with how much of the registry these have read."""
         if isinstance(message, LoadReport):
             self._load_reporter.handle_report(message, now)
-            return self._exchange.hear(message, now)
+            return self._registry_sync.handle_report(message, now)
         if isinstance(message, LoadDigest) and message.reports:
             self._load_reporter.handle_digest(message, now)
             latest = max(message.reports, key=lambda report: report.revision)
-            return self._exchange.hear(latest, now)
+            return self._registry_sync.handle_report(latest, now)
         return []
 
     # ------------------------------------------------------------ what the registry says
@@ -361,7 +361,7 @@
         )
         edges = [record for record in records if record.role is NodeRole.EDGE]
         self._load_reporter.set_nodes(edges, self._now)
-        self._exchange.nodes_changed(self._now)
+        self._registry_sync.nodes_changed(self._now)
 
     # ------------------------------------------------------------ stops
 
--- a/src/yokeline/forwarding/registry_exchange.py
+++ b/src/yokeline/forwarding/registry_sync.py
@@ -15,20 +15,20 @@
 from yokeline.registry.protocol import StoredItem
 from yokeline.registry.watch import WATCH_SECONDS, Changes, Whole
 
-PACING_SECONDS = 0.25
+ROLE_CHECK_SECONDS = 0.25
 """Pause between two looks at who watches."""
-ANSWERED_SECONDS = 2 * WATCH_SECONDS
+WATCHER_TTL_SECONDS = 2 * WATCH_SECONDS
 """A node whose last answer of the key-value service is older does not count as watching it."""
-FIRST_NEWS_SECONDS = 1.0
+STARTUP_WAIT_SECONDS = 1.0
 """Time after the first list in which a node waits to hear of one that watches, and takes the
 registered nodes before it for alive; then it goes by whom it heard. In a large fleet it grows as
 the pauses between reports do. Nodes that start at once and all watch are woken by each one that
 registers: 417 calls in the first 3 s of 79 nodes, of 460 until second 8 of the traffic."""
-ASK_SECONDS = 0.1
+MIN_QUERY_INTERVAL_SECONDS = 0.1
 """Least time between two questions for changes to other nodes."""
 
 
-class RegistryExchange:
+class RegistrySync:
     """Questions and answers about the registry between nodes."""
 
     def __init__(
@@ -38,8 +38,8 @@
         self._record = record
         self._registry = registry
         self._load_reporter = load_reporter
-        self._next_pacing = now
-        self._next_question = now
+        self._next_role_check = now
+        self._next_query = now
         self._listed_at: float | None = None
         self._watcher_heard_at = now
         self._confirmed_at = float("-inf")
@@ -53,36 +53,36 @@
         return max(0.0, now - max(self._registry.heard_at(), self._confirmed_at))
 
     @property
-    def asks_service(self) -> bool:
+    def reads_service(self) -> bool:
         """Whether this node asks the key-value service itself, and does not follow others."""
         return not self._follows
 
     def watches(self, now: float) -> bool:
         """Return whether other nodes may rely on this one for changes."""
-        return not self._follows and now - self._registry.heard_at() <= ANSWERED_SECONDS
+        return not self._follows and now - self._registry.heard_at() <= WATCHER_TTL_SECONDS
 
     def nodes_changed(self, now: float) -> None:
         """Look again at who watches, since a node has registered or gone."""
-        self._next_pacing = min(self._next_pacing, now)
+        self._next_role_check = min(self._next_role_check, now)
 
-    def pace(self, now: float) -> None:
+    def update_role(self, now: float) -> None:
         """Watch, or follow others as long as one that watches is heard."""
-        has_listed = self._listed_at is None and self._registry.complete
-        if now < self._next_pacing and not has_listed:
+        is_first_list = self._listed_at is None and self._registry.complete
+        if now < self._next_role_check and not is_first_list:
             return
-        self._next_pacing = now + PACING_SECONDS
-        if has_listed:
+        self._next_role_check = now + ROLE_CHECK_SECONDS
+        if is_first_list:
             self._listed_at = now
-        first_seconds = FIRST_NEWS_SECONDS * self._load_reporter.interval_factor
-        is_new = self._listed_at is not None and now - self._listed_at < first_seconds
-        if is_new or self._load_reporter.has_other_watcher(now):
+        startup_seconds = STARTUP_WAIT_SECONDS * self._load_reporter.interval_factor
+        is_starting = self._listed_at is not None and now - self._listed_at < startup_seconds
+        if is_starting or self._load_reporter.has_other_watcher(now):
             self._watcher_heard_at = now
         self._follows = not self._load_reporter.is_watcher(
-            now, assume_alive=is_new, seconds_without_watcher=now - self._watcher_heard_at
+            now, assume_alive=is_starting, seconds_without_watcher=now - self._watcher_heard_at
         )
         self._registry.follow(self._follows)
 
-    def hear(self, report: LoadReport, now: float) -> list[Effect]:
+    def handle_report(self, report: LoadReport, now: float) -> list[Effect]:
         """Ask a node that has read a later change: at once if this node follows others.
 
         A node that watches itself waits for its own call first, and one that was not answered
@@ -93,28 +93,28 @@
                 self._confirmed_at = now
             return []
         is_behind, effects = self._registry.hear_of(report.revision, now)
-        asks = is_behind or (self._follows and now >= self._next_question)
-        if asks and report.address is not None:
-            self._next_question = now + ASK_SECONDS
+        should_ask = is_behind or (self._follows and now >= self._next_query)
+        if should_ask and report.address is not None:
+            self._next_query = now + MIN_QUERY_INTERVAL_SECONDS
             question = RegistryAsk(asker=self._record.address, after=self._registry.last_change())
             to, address = report.process, report.address
             effects.append(SendPeer(to=to, address=address, message=question))
         return effects
 
-    def answer(self, asker: ReplicaId, question: RegistryAsk) -> list[Effect]:
+    def answer_query(self, asker: ReplicaId, question: RegistryAsk) -> list[Effect]:
         """Tell another node the changes after its own, or everything if they are not kept."""
         changes = self._registry.changes_after(question.after)
         if changes is not None:
-            items = _as_told(changes.items)
+            items = _to_registry_items(changes.items)
             news = RegistryNews(revision=changes.revision, items=items, since=changes.since)
             return [SendPeer(to=asker, address=question.asker, message=news)]
-        whole = self._registry.whole()
-        if whole is None:
+        snapshot = self._registry.whole()
+        if snapshot is None:
             return []
-        news = RegistryNews(revision=whole.revision, items=_as_told(whole.items))
+        news = RegistryNews(revision=snapshot.revision, items=_to_registry_items(snapshot.items))
         return [SendPeer(to=asker, address=question.asker, message=news)]
 
-    def adopt(
+    def apply_news(
         self, sender: ReplicaId, news: RegistryNews, now: float
     ) -> tuple[list[StoredItem], list[Effect]]:
         """Take over what another node has read; return what changed, and effects."""
@@ -135,5 +135,5 @@
         return changed, [LogRecord(event="registry_adopted", fields=fields)]
 
 
-def _as_told(items: tuple[StoredItem, ...]) -> tuple[RegistryItem, ...]:
+def _to_registry_items(items: tuple[StoredItem, ...]) -> tuple[RegistryItem, ...]:
     return tuple(RegistryItem(item.key, item.value, item.revision) for item in items)
