--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -60,16 +60,16 @@
 from yokeline.registry.protocol import StoredItem
 from yokeline.start_phases import StartPhases
 
-CLOSING_AFTER_SECONDS = 2.2
+CLOSE_CONNECTIONS_AFTER_SECONDS = 2.2
 """Time after a stop was asked for, until the entry sends no new connections here."""
-QUIET_SECONDS = 0.6
+DRAINED_SECONDS = 0.6
 """A stop is complete when nothing was under way for this long."""
-REFUSING_QUIET_SECONDS = 0.15
+REFUSING_DRAINED_SECONDS = 0.15
 """The same once nothing new is taken."""
-REFUSING_SHARE = 0.5
+REFUSING_GRACE_SHARE = 0.5
 """Share of the time for a stop after which nothing new is taken: an entry that has too few
 nodes goes on sending connections to this one, and what runs must still end."""
-LIMIT_MARGIN_SECONDS = 0.5
+EXIT_MARGIN_SECONDS = 0.5
 """What is left of the time for a stop when the process ends in any case."""
 
 
@@ -112,8 +112,8 @@
         ledger.engines_told = engines.apply_leader_report
         ledger.turns.earlier_name = engines.incarnations.legacy_name
         ledger.helpful_peers = lambda: self._load_reporter.peers_reaching_ledger(self._now)
-        self._refused_records: set[str] = set()
-        self._stop_asked_at: float | None = None
+        self._invalid_node_keys: set[str] = set()
+        self._stop_requested_at: float | None = None
         self._busy_at = now
         self._now = now
         registry.ensure(node_key(record.name), encode_node(record))
@@ -122,7 +122,7 @@
     def ready(self) -> bool:
         """Whether this node wants new connections: it could serve what comes."""
         table = self.forwarder.table
-        if table is None or not self._registry.complete or self._stop_asked_at is not None:
+        if table is None or not self._registry.complete or self._stop_requested_at is not None:
             return False
         return table.tenants is None or self.lease.state(self._now) is not LeaseState.EXPIRED
 
@@ -139,14 +139,14 @@
     def handle(self, event: Event, now: float) -> list[Effect]:
         """Take an event in and return effects."""
         self._now = now
-        ours, changed, effects = self._registry.take(event, now)
+        is_registry_event, changed, effects = self._registry.take(event, now)
         effects = list(effects)
-        effects.extend(self._take_changes(changed, now))
-        if not ours:
-            effects.extend(self._take(event, now))
+        effects.extend(self._apply_changes(changed, now))
+        if not is_registry_event:
+            effects.extend(self._handle_event(event, now))
         self._registry_sync.update_role(now)
         effects.extend(self._registry.tick(now))
-        effects.extend(self._prove_configuration(now))
+        effects.extend(self._renew_lease(now))
         effects.extend(self._discovery.remove_expired(now))
         effects.extend(self.ledger.tick(now))
         effects.extend(self.histories.tick(now))
@@ -164,10 +164,10 @@
             )
         )
         effects.extend(self._continue_stop(now))
-        effects.extend(self._note_phases(now))
+        effects.extend(self._log_start_phases(now))
         return effects
 
-    def _prove_configuration(self, now: float) -> list[Effect]:
+    def _renew_lease(self, now: float) -> list[Effect]:
         due = self.lease.next_deadline()
         if due is None or now < due:
             return []
@@ -179,7 +179,7 @@
             peers=self._load_reporter.peers_watching(now),
         )
 
-    def _note_phases(self, now: float) -> list[LogRecord]:
+    def _log_start_phases(self, now: float) -> list[LogRecord]:
         """Note how long the start took to each of its steps."""
         lines: list[LogRecord] = []
         if self.forwarder.table is not None:
@@ -203,26 +203,26 @@
         ]
         return min(due for due in dues if due is not None)
 
-    def _take(self, event: Event, now: float) -> list[Effect]:
+    def _handle_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, HttpArrived):
             return self.forwarder.arrived(event, now)
         if isinstance(event, HttpGone):
             return self.forwarder.caller_gone(event.exchange, now)
         if isinstance(event, HttpResponse | HttpFailed) and self.lease.owns(event):
-            return self._take_item(self.lease.handle_read(event), now)
+            return self._apply_proven_item(self.lease.handle_read(event), now)
         if isinstance(event, HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed):
             return self.forwarder.engine_event(event, now)
         if isinstance(event, PeerMessage):
-            return self._take_message(event, now)
+            return self._handle_message(event, now)
         if isinstance(event, DatagramArrived):
-            return self._take_load(event.message, now)
+            return self._handle_load_message(event.message, now)
         if isinstance(event, StopRequested):
             return self._begin_stop(now)
         if isinstance(event, ReloadRequested):
             return [LogRecord(event="reloaded", fields={"node": self._record.name})]
         return []
 
-    def _take_message(self, event: PeerMessage, now: float) -> list[Effect]:
+    def _handle_message(self, event: PeerMessage, now: float) -> list[Effect]:
         message = event.message
         if isinstance(message, LedgerReply):
             return self.ledger.take_reply(message, now)
@@ -231,19 +231,19 @@
         if isinstance(message, HistoryReply):
             return self.histories.take_reply(message, now)
         if isinstance(message, PassedOnRequest):
-            return self._ask_for_peer(event.sender, message, now)
+            return self._relay_ledger_request(event.sender, message, now)
         if isinstance(message, RegistryAsk):
             return self._registry_sync.answer_query(event.sender, message)
         if isinstance(message, ConfigurationAsk):
             return self.lease.answer_query(event.sender, message, now)
         if isinstance(message, ConfigurationProof):
-            return self._take_item(self.lease.handle_proof(message), now)
+            return self._apply_proven_item(self.lease.handle_proof(message), now)
         if isinstance(message, RegistryNews):
             changed, effects = self._registry_sync.apply_news(event.sender, message, now)
-            return [*effects, *self._take_changes(changed, now)]
+            return [*effects, *self._apply_changes(changed, now)]
         return []
 
-    def _ask_for_peer(
+    def _relay_ledger_request(
         self, sender: ReplicaId, request: PassedOnRequest, now: float
     ) -> list[Effect]:
         """Ask the ledger for a node that does not reach it."""
@@ -261,7 +261,7 @@
 
         return self.ledger.pass_on(sender, request, answered, now)
 
-    def _take_load(self, message: msgspec.Struct, now: float) -> list[Effect]:
+    def _handle_load_message(self, message: msgspec.Struct, now: float) -> list[Effect]:
         """Take reports of other nodes in, with how much of the registry these have read."""
         if isinstance(message, LoadReport):
             self._load_reporter.handle_report(message, now)
@@ -274,34 +274,34 @@
 
     # ------------------------------------------------------------ what the registry says
 
-    def _take_changes(self, changed: list[StoredItem], now: float) -> list[Effect]:
+    def _apply_changes(self, changed: list[StoredItem], now: float) -> list[Effect]:
         """Take changes in; engines' entries that went together are told from single ones."""
         listed = len(self._registry.items(self._formats.engine_prefix))
         self._discovery.begin_batch(changed, listed, now)
         effects: list[Effect] = []
         for item in changed:
-            effects.extend(self._take_change(item, now))
+            effects.extend(self._apply_change(item, now))
         return effects
 
-    def _take_change(self, item: StoredItem, now: float) -> list[Effect]:
+    def _apply_change(self, item: StoredItem, now: float) -> list[Effect]:
         if item.key == self._formats.configuration_key:
-            return self._take_configuration(item, now)
+            return self._apply_configuration(item, now)
         if self._discovery.owns(item):
             return self._discovery.apply_change(item, now)
         if item.key.startswith(NODE_PREFIX):
-            self._take_nodes()
-            return self._note_record(item)
+            self._apply_nodes()
+            return self._validate_node_record(item)
         return []
 
-    def _note_record(self, item: StoredItem) -> list[Effect]:
+    def _validate_node_record(self, item: StoredItem) -> list[Effect]:
         """Write once that a record names no node; others write below the prefix as well."""
         read = read_node(item) if item.value is not None else None
         if not isinstance(read, Failure):
-            self._refused_records.discard(item.key)
+            self._invalid_node_keys.discard(item.key)
             return []
-        if item.key in self._refused_records:
+        if item.key in self._invalid_node_keys:
             return []
-        self._refused_records.add(item.key)
+        self._invalid_node_keys.add(item.key)
         fields: dict[str, str | int | float | bool | None] = {
             "key": item.key,
             "revision": item.revision,
@@ -309,11 +309,11 @@
         }
         return [LogRecord(event="node_refused", fields=fields, level="error")]
 
-    def _take_item(self, item: StoredItem | None, now: float) -> list[Effect]:
+    def _apply_proven_item(self, item: StoredItem | None, now: float) -> list[Effect]:
         """Apply a configuration that a proof brought before a change of the registry did."""
-        return self._take_configuration(item, now) if item is not None else []
+        return self._apply_configuration(item, now) if item is not None else []
 
-    def _take_configuration(self, item: StoredItem, now: float) -> list[Effect]:
+    def _apply_configuration(self, item: StoredItem, now: float) -> list[Effect]:
         """Apply a configuration, unless it is older than the one in force."""
         if item.value is None:
             return []
@@ -351,7 +351,7 @@
             ),
         ]
 
-    def _take_nodes(self) -> None:
+    def _apply_nodes(self) -> None:
         records = read_nodes(self._registry.items(NODE_PREFIX).values())
         storage = [record for record in records if record.role is NodeRole.STORAGE]
         self.ledger.set_storage({record.replica: record.address for record in storage})
@@ -366,9 +366,9 @@
     # ------------------------------------------------------------ stops
 
     def _begin_stop(self, now: float) -> list[Effect]:
-        if self._stop_asked_at is not None:
+        if self._stop_requested_at is not None:
             return []
-        self._stop_asked_at = now
+        self._stop_requested_at = now
         self._busy_at = now
         fields: dict[str, str | int | float | bool | None] = {
             "node": self._record.name,
@@ -378,20 +378,20 @@
 
     def _continue_stop(self, now: float) -> list[Effect]:
         """End when the entry sends nothing more and nothing is under way."""
-        if self._stop_asked_at is None:
+        if self._stop_requested_at is None:
             return []
-        elapsed = now - self._stop_asked_at
-        self.forwarder.closes_connections = elapsed >= CLOSING_AFTER_SECONDS
+        elapsed = now - self._stop_requested_at
+        self.forwarder.closes_connections = elapsed >= CLOSE_CONNECTIONS_AFTER_SECONDS
         if self.forwarder.under_way or self.ledger.under_way:
             self._busy_at = now
         effects: list[Effect] = []
-        if elapsed >= self._grace_seconds * REFUSING_SHARE and not self.forwarder.refusing:
+        if elapsed >= self._grace_seconds * REFUSING_GRACE_SHARE and not self.forwarder.refusing:
             self.forwarder.refusing = True
             effects.append(StopListening())
-        wanted_quiet = REFUSING_QUIET_SECONDS if self.forwarder.refusing else QUIET_SECONDS
-        is_quiet = self.forwarder.closes_connections and now - self._busy_at >= wanted_quiet
-        is_late = elapsed >= self._grace_seconds - LIMIT_MARGIN_SECONDS
-        if not is_quiet and not is_late:
+        drained_seconds = REFUSING_DRAINED_SECONDS if self.forwarder.refusing else DRAINED_SECONDS
+        is_drained = self.forwarder.closes_connections and now - self._busy_at >= drained_seconds
+        is_late = elapsed >= self._grace_seconds - EXIT_MARGIN_SECONDS
+        if not is_drained and not is_late:
             return effects
         fields: dict[str, str | int | float | bool | None] = {
             "node": self._record.name,
