--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -205,13 +205,13 @@
 
     def _handle_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, HttpArrived):
-            return self.forwarder.arrived(event, now)
+            return self.forwarder.handle_request(event, now)
         if isinstance(event, HttpGone):
-            return self.forwarder.caller_gone(event.exchange, now)
+            return self.forwarder.handle_disconnect(event.exchange, now)
         if isinstance(event, HttpResponse | HttpFailed) and self.lease.owns(event):
             return self._apply_proven_item(self.lease.handle_read(event), now)
         if isinstance(event, HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed):
-            return self.forwarder.engine_event(event, now)
+            return self.forwarder.handle_engine_event(event, now)
         if isinstance(event, PeerMessage):
             return self._handle_message(event, now)
         if isinstance(event, DatagramArrived):
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -70,9 +70,9 @@
 from yokeline.scheduling.return_times import Returning, return_after_outage
 
 DEADLINE_RETRY_AFTER_SECONDS = 0.1
-START_NEWS_SECONDS = WATCH_SECONDS
+RESTART_DETECTION_SECONDS = WATCH_SECONDS
 """Time for which a node may send to a new start of an engine and take it for the one before."""
-DUE_SLACK_SECONDS = 0.05
+DEADLINE_TOLERANCE_SECONDS = 0.05
 """Time before a deadline in which an engine's answer that the time is over may come: it counts from
 when it got the request, and its answer takes some milliseconds."""
 
@@ -105,7 +105,7 @@
         """
         self.refusing = False
         self.lease_state: Callable[[float], LeaseState] = _always_valid
-        self.proof_age: Callable[[float], float] = _just_proved
+        self.proof_age: Callable[[float], float] = _zero_age
         self._dialect = dialect
         self._tolerance = tolerance
         self._process = process
@@ -156,9 +156,9 @@
         self._state.table = table
         self._outcomes.configuration_version = table.version if table is not None else 0
         if table is not None:
-            self._revoke(table)
+            self._revoke_keys(table)
 
-    def _revoke(self, table: RoutingTable) -> None:
+    def _revoke_keys(self, table: RoutingTable) -> None:
         """Refuse what has not run and whose key is gone; what runs is not sent once more."""
         for exchange in list(self._state.exchanges.values()):
             if is_still_admitted(table, exchange.route, exchange.call):
@@ -233,15 +233,15 @@
             for exchange in self._state.by_engine_request.values()
             if exchange.engine is not None
             and exchange.engine.engine.engine_id == engine_id
-            and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
+            and (engine_id in exchange.attempts.engine_ids or self._is_silent(exchange))
         ]
         for exchange in lost:
             self._retries.abort_and_retry(exchange, "engine restarted")
         return len(lost)
 
-    def _is_quiet(self, exchange: Exchange) -> bool:
+    def _is_silent(self, exchange: Exchange) -> bool:
         """Return whether nothing was heard of a request for as long as news may take."""
-        return self._state.now - exchange.last_event_at >= START_NEWS_SECONDS
+        return self._state.now - exchange.last_event_at >= RESTART_DETECTION_SECONDS
 
     @property
     def has_sent(self) -> bool:
@@ -284,27 +284,27 @@
         self._state.fair_shares.expire(now)
         self._state.timers.run_due(now)
         if len(self._held):
-            self._take_held()
-        return self._finish()
+            self._process_held()
+        return self._dispatch_and_drain()
 
-    def arrived(self, event: HttpArrived, now: float) -> list[Effect]:
+    def handle_request(self, event: HttpArrived, now: float) -> list[Effect]:
         """Take a caller's request."""
         self._state.now = now
         is_early = self.table is None and not self.refusing
         if not (is_early and self._held.add(event, now)):
-            self._take_request(event, now, may_hold=True)
+            self._process_request(event, now, may_hold=True)
         return self._outcomes.drain_effects()
 
-    def caller_gone(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
+    def handle_disconnect(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
         """Give up what nobody waits for any more."""
         self._state.now = now
         self._held.remove(exchange_id)
         exchange = self._state.exchanges.get(exchange_id)
         if exchange is not None:
-            self._caller_gone(exchange)
-        return self._finish()
+            self._abandon(exchange)
+        return self._dispatch_and_drain()
 
-    def engine_event(
+    def handle_engine_event(
         self, event: HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed, now: float
     ) -> list[Effect]:
         """Take an answer, or part of one, of an engine."""
@@ -312,22 +312,22 @@
         exchange = self._state.by_engine_request.get(event.request)
         if exchange is not None:
             if isinstance(event, HttpResponse):
-                self._take_response(exchange, event)
+                self._handle_response(exchange, event)
             elif isinstance(event, HttpStreamItem):
                 self._stream_relay.relay_event(exchange, event)
             elif isinstance(event, HttpStreamEnded):
                 self._stream_relay.finish(exchange)
             else:
                 self._retries.handle_failure(exchange, event)
-        return self._finish()
+        return self._dispatch_and_drain()
 
-    def _finish(self) -> list[Effect]:
+    def _dispatch_and_drain(self) -> list[Effect]:
         self._dispatcher.dispatch_all()
         return self._outcomes.drain_effects()
 
     # ------------------------------------------------------------ requests in
 
-    def _take_held(self) -> None:
+    def _process_held(self) -> None:
         """Serve what waited for a configuration, or refuse what waited too long for it."""
         is_known = (
             self.table is not None and self.lease_state(self._state.now) is not LeaseState.PENDING
@@ -337,9 +337,9 @@
         else:
             held = self._held.pop_expired(self._state.now)
         for request in held:
-            self._take_request(request.event, request.arrived_at)
+            self._process_request(request.event, request.arrived_at)
 
-    def _take_request(
+    def _process_request(
         self, event: HttpArrived, arrived_at: float, *, may_hold: bool = False
     ) -> None:
         table = self.table
@@ -413,7 +413,7 @@
             denied.reason,
             retry_after=denied.retry_after,
             version=table.version,
-            proof_age=_finite(self.proof_age(self._state.now)),
+            proof_age=_rounded_age(self.proof_age(self._state.now)),
         )
 
     def _open(
@@ -450,7 +450,7 @@
 
     # ------------------------------------------------------------ answers
 
-    def _take_response(self, exchange: Exchange, response: HttpResponse) -> None:
+    def _handle_response(self, exchange: Exchange, response: HttpResponse) -> None:
         if self._dialect.was_not_executed(response):
             self._retries.handle_rejection(exchange, response)
             return
@@ -461,13 +461,13 @@
             if exchange.response_head is None:
                 exchange.response_head = response
             return
-        self._take_answer(exchange, response)
+        self._handle_complete_response(exchange, response)
 
-    def _take_answer(self, exchange: Exchange, response: HttpResponse) -> None:
+    def _handle_complete_response(self, exchange: Exchange, response: HttpResponse) -> None:
         """Take a whole answer of an engine: pass it on, or try a failure again."""
         has_failed = response.status >= SERVER_ERROR
         # At the deadline that its caller set, an engine gives up what it could serve.
-        is_over = response.status == GATEWAY_TIMEOUT and self._is_due(exchange)
+        is_over = response.status == GATEWAY_TIMEOUT and self._is_at_deadline(exchange)
         engine = exchange.engine
         self._sender.release(exchange, failed=has_failed and not is_over)
         if engine is not None and has_failed:
@@ -477,7 +477,7 @@
         elif engine is not None:
             engine.record_success(self._state.now)
             engine.record_call_seconds(self._state.now - exchange.sent_at)
-            self._note_call(exchange)
+            self._record_call(exchange)
             self._retries.record_answered(exchange)
         if has_failed and self._retries.may_use_another_engine(exchange):
             if engine is not None:
@@ -489,12 +489,12 @@
             return
         self._responder.send_response(exchange, response)
 
-    def _note_call(self, exchange: Exchange) -> None:
+    def _record_call(self, exchange: Exchange) -> None:
         if exchange.route.kind is not RouteKind.STREAMING:
             self._state.placement.record_call(exchange, self._state.now)
 
-    def _is_due(self, exchange: Exchange) -> bool:
-        return self._state.now >= exchange.deadline - DUE_SLACK_SECONDS
+    def _is_at_deadline(self, exchange: Exchange) -> bool:
+        return self._state.now >= exchange.deadline - DEADLINE_TOLERANCE_SECONDS
 
     # ------------------------------------------------------------ ends
 
@@ -514,7 +514,7 @@
                 exchange, UNAVAILABLE, "deadline", retry_after=DEADLINE_RETRY_AFTER_SECONDS
             )
 
-    def _caller_gone(self, exchange: Exchange) -> None:
+    def _abandon(self, exchange: Exchange) -> None:
         """Stop what may be stopped; a correction that is under way runs to its end."""
         if exchange.engine_request_id is not None:
             if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
@@ -530,11 +530,11 @@
     return LeaseState.VALID
 
 
-def _just_proved(_now: float) -> float:
+def _zero_age(_now: float) -> float:
     """Return the age of a proof that is not needed."""
     return 0.0
 
 
-def _finite(seconds: float) -> float | None:
+def _rounded_age(seconds: float) -> float | None:
     """Return an age for the log; None if there is none."""
     return round(seconds, 3) if math.isfinite(seconds) else None
--- a/tests/property/test_attempts.py
+++ b/tests/property/test_attempts.py
@@ -89,7 +89,7 @@
         elif step == "have no free connection":
             reason = "too many connections are open"
             failed = HttpFailed(request=request.request, sent=False, reason=reason)
-            self.take(self.forwarder.engine_event(failed, self.now))
+            self.take(self.forwarder.handle_engine_event(failed, self.now))
         elif step == "reject":
             self.engine_rejects()
         elif step == "fail":
--- a/tests/unit/forwarding/refusal_replay.py
+++ b/tests/unit/forwarding/refusal_replay.py
@@ -95,7 +95,7 @@
 
     def _answer(self, request: HttpRequest, status: int, headers: dict[str, str]) -> None:
         response = HttpResponse(request=request.request, status=status, headers=headers, body=b"ok")
-        self.played.take(self.played.forwarder.engine_event(response, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(response, self.played.now))
 
 
 def replay(seed: int, *, poison_share: float, load: float = 1 / 3) -> Replayed:
--- a/tests/unit/forwarding/room_replay.py
+++ b/tests/unit/forwarding/room_replay.py
@@ -239,7 +239,7 @@
         else:
             headers = {"x-yokeline-not-executed": "1"}
             response = HttpResponse(request=request.request, status=503, headers=headers)
-            self.played.take(self.played.forwarder.engine_event(response, self.played.now))
+            self.played.take(self.played.forwarder.handle_engine_event(response, self.played.now))
 
     def _run(self, request: HttpRequest, engine: str) -> None:
         self._running[engine] = self._running.get(engine, 0) + 1
@@ -256,7 +256,7 @@
         )
         item = HttpStreamItem(request=number, data=b"id: 1\ndata: word\n\n", event_id="1")
         for event in (head, item, HttpStreamEnded(number)):
-            self.played.take(node.engine_event(event, now))
+            self.played.take(node.handle_engine_event(event, now))
         program, _ = self._turns[dict(request.header_items)["x-yokeline-request-id"]]
         self._turn_done(program)
 
--- a/tests/unit/forwarding/support.py
+++ b/tests/unit/forwarding/support.py
@@ -152,7 +152,7 @@
             header_items=tuple(fields.items()),
             body=body,
         )
-        self.take(self.forwarder.arrived(event, self.now))
+        self.take(self.forwarder.handle_request(event, self.now))
         return request_id
 
     def turn(self, path: str = "/turn/x", body: bytes = b"", **headers: str) -> str:
@@ -161,7 +161,7 @@
         return self.request(path, body, **{**usual, **headers})
 
     def leave(self, request_id: str) -> None:
-        self.take(self.forwarder.caller_gone(ExchangeId(request_id), self.now))
+        self.take(self.forwarder.handle_disconnect(ExchangeId(request_id), self.now))
 
     # ------------------------------------------------------------ ledger
 
@@ -192,16 +192,16 @@
         response = HttpResponse(
             request=self.sent[index].request, status=status, headers=named, body=body
         )
-        self.take(self.forwarder.engine_event(response, self.now))
+        self.take(self.forwarder.handle_engine_event(response, self.now))
 
     def engine_is_another(self) -> None:
         """Another engine listens at the address, and says so."""
         response = HttpResponse(request=self.sent[-1].request, status=421, headers={})
-        self.take(self.forwarder.engine_event(response, self.now))
+        self.take(self.forwarder.handle_engine_event(response, self.now))
 
     def engine_rejects(self) -> None:
         response = HttpResponse(request=self.sent[-1].request, status=503, headers=NOT_RUN)
-        self.take(self.forwarder.engine_event(response, self.now))
+        self.take(self.forwarder.handle_engine_event(response, self.now))
 
     def engine_begins(self) -> None:
         self.engine_answers(body=b"", x_yokeline_server_stamp="s")
@@ -210,11 +210,11 @@
         for number in numbers:
             data = f"id: {number}\ndata: word{number}\n\n".encode()
             item = HttpStreamItem(request=self.sent[-1].request, data=data, event_id=str(number))
-            self.take(self.forwarder.engine_event(item, self.now))
+            self.take(self.forwarder.handle_engine_event(item, self.now))
 
     def engine_ends(self) -> None:
         ended = HttpStreamEnded(self.sent[-1].request)
-        self.take(self.forwarder.engine_event(ended, self.now))
+        self.take(self.forwarder.handle_engine_event(ended, self.now))
 
     def engine_breaks(
         self, *, sent: bool = True, stale: bool = False, silent: bool = False, fresh: bool = False
@@ -227,7 +227,7 @@
             silent=silent,
             fresh=fresh,
         )
-        self.take(self.forwarder.engine_event(failed, self.now))
+        self.take(self.forwarder.handle_engine_event(failed, self.now))
 
     # ------------------------------------------------------------ time and effects
 
--- a/tests/unit/forwarding/test_engine_starts.py
+++ b/tests/unit/forwarding/test_engine_starts.py
@@ -11,7 +11,7 @@
 )
 from yokeline.effects import Address, CloseIdleConnections, DatagramArrived, Effect, HttpRequest
 from yokeline.forwarding.engines import EngineTable
-from yokeline.forwarding.forwarder import START_NEWS_SECONDS
+from yokeline.forwarding.forwarder import RESTART_DETECTION_SECONDS
 from yokeline.forwarding.incarnations import LEGACY_REPORTING_SECONDS
 from yokeline.forwarding.model import Engine, PromptPart, make_incarnation_id
 from yokeline.identifiers import NodeName
@@ -147,7 +147,7 @@
         other.full_until = self.now + 100
         self.call("/fix/x")
         self.assertEqual(self.played.engine_of(), INSTANCE)
-        self.wait(START_NEWS_SECONDS)
+        self.wait(RESTART_DETECTION_SECONDS)
         sent = len(self.played.sent)
         self.start_again(service="apps")
         self.assertEqual(self.replied(), [502])
@@ -194,7 +194,7 @@
                 self.setUp()
                 self.start_first(service="apps")
                 self.call(path)
-                self.wait(START_NEWS_SECONDS - 0.2)
+                self.wait(RESTART_DETECTION_SECONDS - 0.2)
                 before = len(self.played.sent)
                 self.start_again(service="apps")
                 self.played.engine_breaks()
--- a/tests/unit/forwarding/test_refusals.py
+++ b/tests/unit/forwarding/test_refusals.py
@@ -139,7 +139,7 @@
         self.played.request("/look/x", deadline_ms="20")
         self.played.now += 0.015
         response = HttpResponse(request=self.played.sent[-1].request, status=504, headers={})
-        self.played.take(self.played.forwarder.engine_event(response, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(response, self.played.now))
         faults = [state.failure_rate(self.played.now) for state in self.played.engines.all()]
         self.assertEqual(max(faults), 0.0)
 
--- a/tests/unit/forwarding/test_room.py
+++ b/tests/unit/forwarding/test_room.py
@@ -225,9 +225,9 @@
         self.played.engine_answers(body=b"", index=index, x_yokeline_server_stamp="s")
         request = self.played.sent[index].request
         item = HttpStreamItem(request=request, data=b"id: 1\ndata: word\n\n", event_id="1")
-        self.played.take(self.played.forwarder.engine_event(item, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(item, self.played.now))
         ended = HttpStreamEnded(request)
-        self.played.take(self.played.forwarder.engine_event(ended, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(ended, self.played.now))
 
     def told(self) -> list[float]:
         return [float(reply.headers["retry-after"]) for reply in self.played.replies]
