--- a/src/yokeline/forwarding/tenant_limits.py
+++ b/src/yokeline/forwarding/tenant_limits.py
@@ -1,7 +1,7 @@
-"""Requests that count against their tenant's limit: drawn from the ledger, or refused.
+"""Enforces tenants' rate limits with token buckets that the ledger holds.
 
-A turn is counted with the reservation of its budget. Every other request of a tenant with a limit
-asks the ledger for nothing else, and is not sent to an engine before the answer.
+A turn is counted with the reservation of its budget. Any other request of a limited tenant is
+counted by an operation of its own, and is not sent to an engine before the ledger's answer.
 """
 
 from __future__ import annotations
@@ -22,35 +22,34 @@
 from yokeline.scheduling.return_times import return_after_limit
 
 LEDGER_TIMEOUT_SECONDS = 2.0
-"""Longest wait for the ledger's answer; then the request is refused, not run. A change of leader
-takes under a second (elections of 0.3 s, and a search for the new one)."""
+"""Longest wait for the ledger's answer, after which the request is refused; longer than a change of
+the leader, which takes less than a second."""
 LEDGER_RETRY_AFTER_SECONDS = 0.2
-"""Time after which a caller is to come back when the ledger does not answer."""
+"""Time after which callers may retry if the ledger does not answer."""
 USED_TOLERANCE_SHARE = 0.8
-"""Share of the tolerance that is used. The rest is for requests that run once more at another
-engine while the bucket is empty already: they are counted, but not refused."""
+"""Share of the tolerance that the bucket may use. The rest covers requests that run again at
+another engine with the bucket empty: they are counted but not refused."""
 DEBIT_TIMEOUT_SECONDS = 5.0
-"""How long the ledger is asked to count a request that runs once more; as for a settlement."""
+"""Time for which the ledger is asked to count a request that runs again."""
 QUOTA_SPENT = "quota_spent"
 MAX_WAITS = 2
-"""Times that a request waits for its tenant's limit before it is refused."""
+"""Number of times that a request waits for its tenant's limit before it is refused."""
 MAX_WAIT_SECONDS = 0.25
-"""Longest such wait: a caller that is refused comes back about as soon, but only once or twice, and
-a program is lost with a call that fails. Without any wait, programs that had begun would be refused
-a moment before the limit let them in."""
+"""Longest such wait. Refused callers return about as soon, but only once or twice, and a failed
+call fails its program."""
 MAX_WAITING_PER_TENANT = 2
-"""Requests of one tenant that wait so at one node: one far beyond its limit is refused at once."""
+"""Requests of one tenant that may wait at one node; the excess is refused at once."""
 MAX_TENANTS = 4096
-"""Tenants of which it is remembered that they have used their limit; the oldest gives way."""
+"""Tenants remembered as being at their limit; the oldest is evicted."""
 
 
 class LimitTolerance(msgspec.Struct, frozen=True, kw_only=True):
-    """How far beyond its limit a tenant may go in any span of time, as the operator states it.
+    """How far a tenant may exceed its limit within any time window, as the operator configures it.
 
     Attributes:
-        window: Length of the span (seconds).
-        overage: Share of what the limit gives in it.
-        slack: Requests on top of that.
+        window: Length of the window (seconds).
+        overage: Excess as a share of what the limit allows within the window.
+        slack: Further requests in excess.
     """
 
     window: float = 0.0
@@ -58,12 +57,10 @@
     slack: float = 0.0
 
     def bucket_size(self, tenant: Tenant) -> float:
-        """Return how many requests of a tenant may come at once after a rest.
+        """Return the size of a tenant's token bucket: its burst and most of the tolerance.
 
-        In any window no more run than the rate gives and this depth. With the burst alone, 491
-        of 13,269 requests of a calm day were refused (75 tenants, most of them with 6 to 10
-        requests a second), nearly all in spans that are within the tolerance: programs send
-        their calls in clumps, and a small tenant has few programs.
+        Any window then stays within the tolerance. Programs send their calls in bursts, so a bucket
+        of the configured burst alone would refuse requests within the tolerance.
         """
         within_limit = tenant.rate * self.window + tenant.burst
         return tenant.burst + USED_TOLERANCE_SHARE * (self.overage * within_limit + self.slack)
@@ -73,7 +70,7 @@
 
 
 def limit_of(tenant: Tenant | None, version: int, tolerance: LimitTolerance) -> RateLimit | None:
-    """Return the limit of a tenant in a version of the configuration; None if it has none."""
+    """Return a tenant's limit in a version of the configuration; None without a limit."""
     if tenant is None or not tenant.is_limited:
         return None
     return RateLimit(tenant.name, tenant.rate, tolerance.bucket_size(tenant), version)
@@ -89,7 +86,7 @@
         responder: Responder,
         on_drawn: Callable[[Exchange], None],
     ) -> None:
-        """Call ``drawn`` with each request that may go on."""
+        """Call ``on_drawn`` with each request that the ledger has counted."""
         self._state = state
         self._ledger = ledger
         self._responder = responder
@@ -98,10 +95,10 @@
         self._waiting: Counter[str] = Counter()
 
     def may_ask(self, exchange: Exchange, retry: Callable[[Exchange], None]) -> bool:
-        """Return whether a request may ask the ledger; else it waits a moment, or is refused.
+        """Return whether a request may query the ledger; otherwise let it wait, or refuse it.
 
-        A tenant that sends many times its limit costs the ledger one question for each request
-        that the limit lets in, and the others no more than this look.
+        While a tenant is known to be at its limit its requests are handled without the ledger, so
+        that an excess of requests does not load it.
         """
         limit = exchange.limit
         until = self._exhausted_until.get(limit.tenant, 0.0) if limit is not None else 0.0
@@ -131,7 +128,7 @@
         self._state.outcomes.effects.extend(effects)
 
     def debit_rerun(self, exchange: Exchange) -> None:
-        """Count a request that goes to an engine though it may have run at another one."""
+        """Count another run of a request that an engine may have run already."""
         if exchange.limit is None:
             return
         name = f"{exchange.names.operation}#{exchange.sends}"
@@ -143,7 +140,7 @@
     def handle_quota_spent(
         self, exchange: Exchange, spent: QuotaSpent, retry: Callable[[Exchange], None]
     ) -> None:
-        """Let a request that the ledger found beyond the limit ask ``again``, or refuse it."""
+        """Let a request that exceeds the limit wait and ``retry``, or refuse it."""
         if spent.is_empty and exchange.limit is not None:
             tenant = exchange.limit.tenant
             self._exhausted_until[tenant] = self._state.now + spent.retry_after
@@ -153,9 +150,9 @@
         self._wait_or_refuse(exchange, spent.retry_after, retry)
 
     def refuse_program(self, exchange: Exchange, spent: QuotaSpent) -> None:
-        """Refuse the first turn of a program that its tenant's limit would not carry to its end.
+        """Refuse the first turn of a program that the tenant's limit cannot carry to its end.
 
-        It does not wait here: its time to wait is best spent on all of its turns.
+        It does not wait: the program needs its time for its turns.
         """
         self._refuse(exchange, return_after_limit(exchange.call.request_id, spent.retry_after))
 
@@ -181,7 +178,7 @@
             if exchange.phase is Phase.RESERVING:
                 retry(exchange)
 
-        # Not among the request's own timers, which end with it: its place is to be given back.
+        # Not a timer of the request, which is cancelled with it: the waiting place must be freed.
         self._state.timers.schedule(now + seconds, waited)
 
     def _handle_result(self, exchange: Exchange, result: OperationResult | None) -> None:
@@ -218,5 +215,5 @@
 
 
 def _ignore_result(_result: OperationResult | None, _now: float) -> list[Effect]:
-    """Wait for nothing: the request runs in any case."""
+    """Ignore the result: the request runs in any case."""
     return []
--- a/src/yokeline/forwarding/tenant_loads.py
+++ b/src/yokeline/forwarding/tenant_loads.py
@@ -1,4 +1,4 @@
-"""What the tenants of a node have at engines and ask for, as the ledger's leader is told."""
+"""Running and waiting requests of tenants at this node, as reported to the ledger's leader."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 from yokeline.ledger.messages import PoolLoad, TenantLoad
 
 MAX_TENANTS_PER_POOL = 64
-"""Tenants of one pool in a report; the ones with the most are told. A node has some tens of turns
-under way, of few tenants each."""
+"""Tenants per pool in a report; those with the most requests are reported."""
 
 
 class TenantLoadReader:
-    """Reads the requests under way; see :class:`yokeline.ledger.own_turns.TenantLoadSource`."""
+    """Reads the load from the requests under way.
+
+    Implements :class:`yokeline.ledger.own_turns.TenantLoadSource`.
+    """
 
     def __init__(self, state: NodeState) -> None:
-        """Tell of the requests in ``state``."""
+        """Read the requests in ``state``."""
         self._state = state
 
     @property
@@ -27,7 +29,7 @@
 
     @property
     def changes(self) -> int:
-        """Rises when a tenant's first turns begin to wait, and when none of them waits any more."""
+        """Counter that increases when a tenant's first turns start or stop to wait."""
         return sum(queue.tenant_changes for queue in self._state.waiting.values())
 
     @property
@@ -36,7 +38,7 @@
         return any(queue.first_turns for queue in self._state.waiting.values())
 
     def rows(self) -> tuple[PoolLoad, ...]:
-        """Return what the tenants have of each pool of model engines."""
+        """Return the load of the tenants, by pool of model engines."""
         running = self._running()
         waiting = {pool: queue.first_turns for pool, queue in self._state.waiting.items()}
         pools = sorted(pool for pool in {*running, *waiting} if self._is_model(pool))
--- a/src/yokeline/forwarding/tenants.py
+++ b/src/yokeline/forwarding/tenants.py
@@ -1,6 +1,6 @@
-"""Tenants, their keys as digests, and the names under which their state is kept.
+"""Tenants, the digests of their keys, and the names under which their state is stored.
 
-No key leaves the adapter: what is held, compared and passed between nodes is its digest.
+Keys do not leave the adapter: only digests are stored, compared and sent to other nodes.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 """Digest of a caller's key (:func:`yokeline.bearer_tokens.token_digest`)."""
 
 _INDEX_CHARACTERS = 16
-"""Leading characters of a digest by which it is found before it is compared whole."""
+"""Leading characters of a digest that index it; the whole digest is compared afterwards."""
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """Who shares the service with others that it does not trust.
+    """A party that shares the service with other parties that it does not trust.
 
     Attributes:
-        priority: Rank of its requests (0 first); None leaves it to the route.
-        rate: Requests a second that it is given over all nodes; 0 for no limit.
-        burst: Requests on top of that, once they were not used.
+        priority: Priority of its requests (0 first); None for the priority of the route.
+        rate: Requests per second over all nodes; 0 for no limit.
+        burst: Further requests after a time of lower use.
     """
 
     name: str
@@ -33,7 +33,7 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its requests are counted."""
+        """Whether the tenant has a rate limit."""
         return self.rate > 0
 
 
@@ -45,10 +45,10 @@
 
 
 class TenantDirectory:
-    """Which tenant holds which key, in one version of the configuration."""
+    """The tenants and their keys in one version of the configuration."""
 
     def __init__(self, holders: tuple[KeyHolder, ...]) -> None:
-        """Know the keys of ``holders``; of two holders of one key the first counts."""
+        """Index the keys of ``holders``; the first holder of a duplicate key counts."""
         self._weights = _weights({holder.tenant for holder in holders})
         self._largest_weight = max(self._weights.values(), default=1.0)
         self._by_index: dict[str, list[KeyHolder]] = {}
@@ -56,7 +56,7 @@
             self._by_index.setdefault(holder.credential[:_INDEX_CHARACTERS], []).append(holder)
 
     def find(self, credential: Credential | None) -> Tenant | None:
-        """Return who holds a key; None if nobody does."""
+        """Return the tenant that holds a key; None if there is none."""
         if credential is None:
             return None
         for holder in self._by_index.get(credential[:_INDEX_CHARACTERS], ()):
@@ -65,28 +65,29 @@
         return None
 
     def weight_of(self, name: str) -> float:
-        """Return a tenant's part of scarce places, relative to others: its rate.
+        """Return a tenant's weight in the division of scarce slots: its rate.
 
-        The largest one counts for a tenant without a limit, and for requests without a tenant.
+        Tenants without a limit and requests without a tenant have the largest weight of all
+        tenants.
         """
         return self._weights.get(name, self._largest_weight)
 
 
 def _weights(tenants: set[Tenant]) -> dict[str, float]:
-    """Return the weights of the tenants that have a limit."""
+    """Return the weights of the tenants with a rate limit."""
     return {tenant.name: tenant.rate for tenant in tenants if tenant.is_limited}
 
 
 class ScopedNames(msgspec.Struct, frozen=True, kw_only=True):
-    """The names under which the state of a request is kept, at nodes and in the ledger.
+    """The names under which a request's state is stored, at nodes and in the ledger.
 
-    They hold the tenant, so that equal ids of two tenants never meet: neither as turns to
-    continue, nor as budgets, nor as two operations that count as one.
+    The names contain the tenant, so that equal ids of two tenants do not share turns, budgets or
+    operations.
 
     Attributes:
-        operation: Of what the ledger is asked for the request. Where tenants do not trust each
-            other it is the node's own: a caller that gives all its requests one id must not have
-            them counted once, against a budget or a limit.
+        operation: Id of the request's operations in the ledger. With tenants, the node creates it:
+            a caller that reuses one request id must not have several requests counted once against
+            a budget or a limit.
     """
 
     operation: str
@@ -97,9 +98,9 @@
 
 
 def scoped(tenant: str | None, name: str) -> str:
-    """Return a caller's name within its tenant; None where the deployment has no tenants.
+    """Return a caller's name scoped to its tenant; None for deployments without tenants.
 
-    The length of the tenant's name comes first, so that no two pairs give the same text.
+    The length of the tenant's name comes first, so that different pairs have different names.
     """
     if tenant is None or not name:
         return name
--- a/src/yokeline/forwarding/traffic_split.py
+++ b/src/yokeline/forwarding/traffic_split.py
@@ -1,4 +1,4 @@
-"""Which of a route's pools serves a request, by their weights."""
+"""Splits the requests of a route over its pools by weight."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class TrafficSplit:
-    """Divides requests by weight; the counts are this node's own."""
+    """Weighted split; the counts are local to this node."""
 
     def __init__(self) -> None:
-        """Begin with nothing divided."""
+        """Start without requests."""
         self._counts: dict[str, Counter[str]] = {}
 
     def choose_pool(self, route: Route, call: Call) -> str:
-        """Return the pool for a request; all turns of a program get the same one."""
+        """Return the pool for a request; all turns of a program use the same pool."""
         if len(route.pools) == 1:
             return route.pools[0].pool
         if call.program and route.kind is RouteKind.STREAMING:
--- a/src/yokeline/forwarding/turn_cache.py
+++ b/src/yokeline/forwarding/turn_cache.py
@@ -1,4 +1,4 @@
-"""Turns that this node has seen whole, so that a chain is fetched from the ledger only once."""
+"""Cache of kept turns, so that a node fetches the history of a chain only once."""
 
 from __future__ import annotations
 
@@ -8,14 +8,13 @@
 
 MAX_CACHED_BYTES = 24 * 1024 * 1024
 MAX_SESSIONS = 4096
-"""Lines of turns of which the latest cached turn is remembered; the oldest gives way."""
+"""Sessions whose latest cached turn is remembered; the least recently used is evicted."""
 
 
 class TurnCache:
-    """Kept turns by id, bounded by size; the one unused the longest goes first.
+    """LRU cache of kept turns by id, bounded in bytes.
 
-    A turn never changes, so what is cached is right as long as the ledger says that the turn
-    exists.
+    A kept turn never changes, so a cached one is valid as long as the ledger has the turn.
     """
 
     def __init__(self) -> None:
@@ -25,19 +24,19 @@
         self._latest: OrderedDict[str, str] = OrderedDict()
 
     def set_latest(self, session: str, turn_id: str) -> None:
-        """Remember that a line of turns is cached up to a turn."""
+        """Record that a session's chain is cached up to a turn."""
         self._latest[session] = turn_id
         self._latest.move_to_end(session)
         if len(self._latest) > MAX_SESSIONS:
             self._latest.popitem(last=False)
 
     def latest_complete(self, session: str) -> str:
-        """Return the latest turn of a line whose whole chain is cached; empty if none is known."""
+        """Return a session's latest turn if its whole chain is cached; else an empty string."""
         latest = self._latest.get(session, "")
         return "" if latest and self.missing_from(latest) else latest
 
     def put(self, turn: KeptTurn) -> None:
-        """Keep a turn."""
+        """Add a turn."""
         if turn.turn_id in self._turns:
             self._turns.move_to_end(turn.turn_id)
             return
@@ -48,7 +47,7 @@
             self._bytes -= len(oldest.text)
 
     def missing_from(self, turn_id: str) -> str:
-        """Return the latest turn of a chain that is not cached; empty if all are."""
+        """Return the latest turn of a chain that is not cached; empty if the whole chain is."""
         current = turn_id
         while current:
             turn = self._turns.get(current)
@@ -59,7 +58,7 @@
         return ""
 
     def history(self, turn_id: str) -> bytes | None:
-        """Return the text of a chain, the oldest turn first; None if one is missing."""
+        """Return the texts of a chain, oldest turn first; None if a turn is not cached."""
         texts: list[bytes] = []
         current = turn_id
         while current:
@@ -72,7 +71,7 @@
 
 
 def event_data(block: bytes) -> bytes:
-    """Return the data of a server-sent event with a line feed after it."""
+    """Return the data of a server-sent event, with a line feed at the end."""
     values = []
     for line in block.replace(b"\r\n", b"\n").split(b"\n"):
         name, colon, value = line.partition(b":")
--- a/src/yokeline/forwarding/turn_operations.py
+++ b/src/yokeline/forwarding/turn_operations.py
@@ -1,4 +1,4 @@
-"""What the ledger is asked for a turn: its reservation, its settlement, and to keep it."""
+"""Builds the ledger operations of a turn: its reservation, its settlement and the turn to keep."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def reservation_of(exchange: Exchange, missing_from: str) -> Reserve:
-    """Return the reservation of a turn's most tokens; see :class:`Reserve`."""
+    """Return the operation that reserves a turn's maximum tokens; see :class:`Reserve`."""
     call, names = exchange.call, exchange.names
     return Reserve(
         request_id=names.operation,
@@ -36,7 +36,7 @@
 
 
 def settlement_of(exchange: Exchange, tokens: int, turn: KeptTurn | None) -> Settle:
-    """Return what replaces the reservation: the tokens handed to the caller."""
+    """Return the operation that replaces the reservation by the tokens sent to the caller."""
     return Settle(
         request_id=exchange.names.operation,
         program=_charged_program(exchange),
@@ -48,7 +48,7 @@
 
 
 def kept_turn_of(exchange: Exchange) -> KeptTurn:
-    """Return a turn that was generated whole, as it is kept."""
+    """Return the turn to keep from a completed request."""
     return KeptTurn(
         turn_id=exchange.names.turn,
         previous=exchange.names.previous_turn,
@@ -58,7 +58,7 @@
 
 
 def _cached_context_of(exchange: Exchange, tokens: int) -> CachedContext | None:
-    """Return where a turn was generated, if it was generated whole at one engine."""
+    """Return where a turn was generated; None unless one engine generated it completely."""
     if not exchange.is_complete or exchange.engine is None:
         return None
     engine_id = exchange.engine.engine.engine_id
--- a/src/yokeline/forwarding/wait_queue.py
+++ b/src/yokeline/forwarding/wait_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for an engine with room: bounded, the most urgent first."""
+"""Bounded priority queue of the requests that wait for an engine with capacity."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 from yokeline.scheduling.queue_order import OrderKey, Standing, order_key
 
 MAX_QUEUED = 512
-"""Requests of one pool that may wait at a node; beyond it the least urgent is refused."""
+"""Requests of one pool that may wait at a node; beyond it the least urgent one is refused."""
 
 
 _NO_TENANTS: frozenset[str] = frozenset()
 
 
 def standing_of(exchange: Exchange, held_back: frozenset[str] = _NO_TENANTS) -> Standing:
-    """Return what decides the place of a request in the queue.
+    """Return the properties that determine a request's place in the queue.
 
-    ``held_back`` are the tenants whose new programs leave places to others.
+    First turns of the tenants in ``held_back`` are queued behind all others.
     """
     program_time_left = exchange.call.program_time_left
     return Standing(
@@ -35,9 +35,8 @@
     """The queue of one pool.
 
     Attributes:
-        first_turns: First turns of programs that wait, by tenant.
-        tenant_changes: Rises when a tenant's first turns begin to wait, and when none waits any
-            more.
+        first_turns: Number of first turns in the queue, by tenant.
+        tenant_changes: Counter that increases when a tenant's first turns start or stop to wait.
     """
 
     def __init__(self) -> None:
@@ -48,11 +47,11 @@
         self.tenant_changes = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of requests in the queue."""
         return len(self._waiting)
 
     def add(self, exchange: Exchange) -> Exchange | None:
-        """Add a request; return the one that must give way, if there are too many."""
+        """Add a request; return the request that is displaced if the queue is full."""
         insort(self._waiting, exchange, key=self._order_key)
         self._count_first_turn(exchange, 1)
         if len(self._waiting) <= MAX_QUEUED:
@@ -62,16 +61,13 @@
         return displaced
 
     def remove(self, exchange: Exchange) -> None:
-        """Take a request out; one that does not wait is a no-op."""
+        """Remove a request if it is in the queue."""
         if exchange in self._waiting:
             self._waiting.remove(exchange)
             self._count_first_turn(exchange, -1)
 
     def set_held_back(self, tenants: frozenset[str]) -> None:
-        """Put new programs of ``tenants`` behind all others, and no longer those of earlier ones.
-
-        The queue is put in order anew only if the tenants are others than before.
-        """
+        """Set the tenants that are held back, and sort the queue if that affects a request."""
         if tenants == self._held_back:
             return
         changed = tenants ^ self._held_back
@@ -80,7 +76,7 @@
             self._waiting.sort(key=self._order_key)
 
     def in_order(self) -> list[Exchange]:
-        """Return the requests, the most urgent first."""
+        """Return the requests, most urgent first."""
         return list(self._waiting)
 
     def _order_key(self, exchange: Exchange) -> OrderKey:
--- a/tests/unit/forwarding/support.py
+++ b/tests/unit/forwarding/support.py
@@ -272,7 +272,7 @@
         if all(number != message.number for number, _ in self.asked):
             self.asked.append((message.number, message.operations[0]))
 
-    # ------------------------------------------------------------ what was seen
+    # ------------------------------------------------------------ results
 
     def passed_on(self) -> bytes:
         """Return the bytes of the stream that the caller got."""
