--- a/benchmarks/dispatch.py
+++ b/benchmarks/dispatch.py
@@ -44,7 +44,7 @@
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.settlements import Settlements
-from yokeline.forwarding.tenants import StateNames
+from yokeline.forwarding.tenants import ScopedNames
 from yokeline.identifiers import ExchangeId
 from yokeline.ledger.client import LedgerClient
 from yokeline.platform.headers import HeaderDialect
@@ -110,9 +110,9 @@
         state = next(iter(self.book.all()))
         state.running_elsewhere = int(SLOTS * MODEL_OVERCOMMIT) - 1
         seconds = self.look()
-        sent = list(self.state.by_request.values())
+        sent = list(self.state.by_engine_request.values())
         assert len(sent) == 1, "one place serves one turn"
-        self.state.by_request.clear()
+        self.state.by_engine_request.clear()
         state.running = 0
         state.running_elsewhere = SLOTS * 2
         self.state.outcomes.drain_effects()
@@ -174,7 +174,7 @@
         attempts=Attempts(max_engines=1),
         deadline=now + PATIENT_SECONDS,
         arrived_at=now,
-        names=StateNames(
+        names=ScopedNames(
             operation=call.request_id,
             turn=call.request_id,
             program=call.program,
--- a/src/yokeline/forwarding/admission.py
+++ b/src/yokeline/forwarding/admission.py
@@ -1,7 +1,7 @@
-"""Whether a caller's request may run at all: its key, its tenant, and how current the keys are.
+"""Decides whether a request may run: authenticates its key and finds its tenant.
 
-A key may be taken away at any time. A node that cannot prove that its configuration was in force a
-moment ago does not know whether a key still counts, and neither runs nor denies a request on it.
+A key may be revoked at any time. A node without a valid lease on its configuration cannot tell
+whether a key has been revoked, so it answers 503 instead of running or denying the request.
 """
 
 from __future__ import annotations
@@ -10,34 +10,38 @@
 
 from yokeline.forwarding.http_statuses import UNAUTHORIZED, UNAVAILABLE
 from yokeline.forwarding.model import Call, Route, RoutingTable, continues_program
-from yokeline.forwarding.tenants import StateNames, Tenant, scoped
+from yokeline.forwarding.tenants import ScopedNames, Tenant, scoped
 from yokeline.scheduling.retry_delays import RefusedCaller, retry_delay_after_outage
 
 UNKNOWN_KEY = "unknown_key"
 STALE_CONFIGURATION = "stale_configuration"
 NO_TENANT = ""
-"""Stands for the tenant of a public request, where others have one."""
+"""Tenant name of requests on public routes that carry no known key."""
 
 
 class Admitted(msgspec.Struct, frozen=True, kw_only=True):
     """The request may run.
 
     Attributes:
-        names: Under which its state is kept.
-        tenant: Whose it is; None if it needs no key and has none that is known.
-        shows_credential: Its key is no key of ours, and goes to the engine.
+        names: Names under which the request's state is stored.
+        tenant: The tenant that sent the request; None if the tenant is unknown or the deployment
+            has no tenants.
+        forwards_credential: Whether the ``Authorization`` header is passed to the engine, since the
+            deployment has no tenants and does not check it.
     """
 
-    names: StateNames
+    names: ScopedNames
     tenant: Tenant | None
     forwards_credential: bool
 
 
 class Denied(msgspec.Struct, frozen=True, kw_only=True):
-    """The request does not run.
+    """The request may not run.
 
     Attributes:
-        retry_after: Seconds after which to come back; None where that is of no use.
+        status: HTTP status of the answer.
+        reason: Machine-readable reason for the body and the log.
+        retry_after: Seconds after which the caller may retry; None if a retry would not help.
     """
 
     status: int
@@ -46,16 +50,16 @@
 
 
 def admit(
-    table: RoutingTable, route: Route, call: Call, *, is_current: bool, operation: str
+    table: RoutingTable, route: Route, call: Call, *, has_valid_lease: bool, operation: str
 ) -> Admitted | Denied:
     """Decide by the configuration in force.
 
     Args:
         table: The configuration.
-        route: Of the request.
+        route: Route of the request.
         call: The request.
-        is_current: The configuration was proved to be the newest a moment ago.
-        operation: An id of the node's own, which no other request has.
+        has_valid_lease: Whether the configuration was proved to be the newest one recently.
+        operation: Id for the ledger's operations, unique per request and node.
     """
     directory = table.tenants
     if directory is None:
@@ -63,8 +67,8 @@
         return Admitted(names=names, tenant=None, forwards_credential=True)
     tenant = directory.find(call.credential)
     if route.public:
-        return _admitted(call, tenant if is_current else None, operation)
-    if not is_current:
+        return _admitted(call, tenant if has_valid_lease else None, operation)
+    if not has_valid_lease:
         caller = RefusedCaller(
             request_id=call.request_id,
             has_begun=continues_program(route, call),
@@ -81,7 +85,7 @@
 
 
 def is_still_admitted(table: RoutingTable, route: Route, call: Call) -> bool:
-    """Return whether a request that was admitted would be by another configuration."""
+    """Return whether another version of the configuration would still admit an admitted request."""
     if table.tenants is None or route.public:
         return True
     return table.tenants.find(call.credential) is not None
@@ -93,8 +97,8 @@
     return Admitted(names=names, tenant=tenant, forwards_credential=False)
 
 
-def _names(call: Call, tenant: str | None, *, operation: str) -> StateNames:
-    return StateNames(
+def _names(call: Call, tenant: str | None, *, operation: str) -> ScopedNames:
+    return ScopedNames(
         operation=operation,
         turn=scoped(tenant, call.request_id),
         program=scoped(tenant, call.program),
--- a/src/yokeline/forwarding/edge_node.py
+++ b/src/yokeline/forwarding/edge_node.py
@@ -1,4 +1,4 @@
-"""The service of a node that forwards requests: configuration, engines, load, stops."""
+"""Service of a forwarding node: configuration, engine discovery, load reports and planned stops."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
     StopListening,
     StopRequested,
 )
-from yokeline.forwarding.engine_entries import EngineEntries
+from yokeline.forwarding.configuration_lease import ConfigurationLease, LeaseState
+from yokeline.forwarding.engine_discovery import EngineDiscovery
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.forwarder import Forwarder
-from yokeline.forwarding.freshness import ConfigurationFreshness, Currency
-from yokeline.forwarding.load_sharing import LoadSharing, ReportedState
-from yokeline.forwarding.registry_exchange import RegistryExchange
+from yokeline.forwarding.load_reporting import LoadReporter, NodeStatus
+from yokeline.forwarding.registry_sync import RegistrySync
 from yokeline.identifiers import ReplicaId
 from yokeline.ledger.client import LedgerClient
 from yokeline.ledger.history_fetches import HistoryFetches, NearReplica
@@ -60,17 +60,19 @@
 from yokeline.registry.protocol import StoredItem
 from yokeline.start_phases import StartPhases
 
-CLOSING_AFTER_SECONDS = 2.2
-"""Time after a stop was asked for, until the entry sends no new connections here."""
-QUIET_SECONDS = 0.6
-"""A stop is complete when nothing was under way for this long."""
-REFUSING_QUIET_SECONDS = 0.15
-"""The same once nothing new is taken."""
-REFUSING_SHARE = 0.5
-"""Share of the time for a stop after which nothing new is taken: an entry that has too few
-nodes goes on sending connections to this one, and what runs must still end."""
-LIMIT_MARGIN_SECONDS = 0.5
-"""What is left of the time for a stop when the process ends in any case."""
+CLOSE_CONNECTIONS_AFTER_SECONDS = 2.2
+"""Time after a stop request until responses ask callers to close their connections: by then, the
+load balancer has seen that the node is not ready."""
+DRAINED_SECONDS = 0.6
+"""Idle time after which a stop is complete."""
+REFUSING_DRAINED_SECONDS = 0.15
+"""Idle time after which a stop is complete once new requests are refused."""
+REFUSING_GRACE_SHARE = 0.5
+"""Share of the grace period after which new requests are refused. A load balancer with too few
+ready nodes keeps sending requests to this one, and requests under way need the rest of the
+period."""
+EXIT_MARGIN_SECONDS = 0.5
+"""Time before the end of the grace period at which the process exits in any case."""
 
 
 class EdgeNode:
@@ -87,100 +89,100 @@
         engines: EngineTable,
         ledger: LedgerClient,
         histories: HistoryFetches,
-        freshness: ConfigurationFreshness,
+        lease: ConfigurationLease,
         grace_seconds: float,
         engine_drain_seconds: float,
         phases: StartPhases,
         now: float,
     ) -> None:
-        """Create the service; ``process`` is the id under which other nodes reach it."""
+        """Create the service; other nodes reach it under the id ``process``."""
         self.forwarder = forwarder
         self.phases = phases
         self.ledger = ledger
         self.histories = histories
-        self.freshness = freshness
-        forwarder.currency = freshness.currency
-        forwarder.proof_age = freshness.age
+        self.lease = lease
+        forwarder.lease_state = lease.state
+        forwarder.proof_age = lease.age
         self._record = record
         self._registry = registry
         self._formats = formats
         self._engines = engines
         self._grace_seconds = grace_seconds
-        self._entries = EngineEntries(formats, engines, forwarder, engine_drain_seconds, now)
-        self._sharing = LoadSharing(record, process, engines, now)
-        self._exchange = RegistryExchange(record, registry, self._sharing, now)
+        self._discovery = EngineDiscovery(formats, engines, forwarder, engine_drain_seconds, now)
+        self._load_reporter = LoadReporter(record, process, engines, now)
+        self._registry_sync = RegistrySync(record, registry, self._load_reporter, now)
         ledger.engines_told = engines.apply_leader_report
         ledger.turns.earlier_name = engines.incarnations.legacy_name
-        ledger.helpful_peers = lambda: self._sharing.peers_that_reach_ledger(self._now)
-        self._refused_records: set[str] = set()
-        self._stop_asked_at: float | None = None
+        ledger.helpful_peers = lambda: self._load_reporter.peers_reaching_ledger(self._now)
+        self._invalid_node_keys: set[str] = set()
+        self._stop_requested_at: float | None = None
         self._busy_at = now
         self._now = now
         registry.ensure(node_key(record.name), encode_node(record))
 
     @property
     def ready(self) -> bool:
-        """Whether this node wants new connections: it could serve what comes."""
+        """Whether this node accepts new connections: it is configured and not stopping."""
         table = self.forwarder.table
-        if table is None or not self._registry.complete or self._stop_asked_at is not None:
+        if table is None or not self._registry.complete or self._stop_requested_at is not None:
             return False
-        return table.tenants is None or self.freshness.currency(self._now) is not Currency.STALE
+        return table.tenants is None or self.lease.state(self._now) is not LeaseState.EXPIRED
 
     def registry_age(self) -> float:
-        """Return how long ago what is known was last confirmed (seconds)."""
-        return self._exchange.age(self._now)
+        """Return the age of the last confirmation of the registry's contents (seconds)."""
+        return self._registry_sync.age(self._now)
 
     def proof_age(self) -> float:
-        """Return how old the proof of the configuration is (seconds); infinite without one."""
-        return self.freshness.age(self._now)
+        """Return the age of the proof of the configuration (seconds); infinite without a proof."""
+        return self.lease.age(self._now)
 
     # ------------------------------------------------------------ service
 
     def handle(self, event: Event, now: float) -> list[Effect]:
-        """Take an event in and return effects."""
+        """Handle an event and return effects."""
         self._now = now
-        ours, changed, effects = self._registry.take(event, now)
+        is_registry_event, changed, effects = self._registry.take(event, now)
         effects = list(effects)
-        effects.extend(self._take_changes(changed, now))
-        if not ours:
-            effects.extend(self._take(event, now))
-        self._exchange.pace(now)
+        effects.extend(self._apply_changes(changed, now))
+        if not is_registry_event:
+            effects.extend(self._handle_event(event, now))
+        self._registry_sync.update_role(now)
         effects.extend(self._registry.tick(now))
-        effects.extend(self._prove_configuration(now))
-        effects.extend(self._entries.forget_lapsed(now))
+        effects.extend(self._renew_lease(now))
+        effects.extend(self._discovery.remove_expired(now))
         effects.extend(self.ledger.tick(now))
         effects.extend(self.histories.tick(now))
         effects.extend(self.forwarder.tick(now))
         self.ledger.wants_engines = self.forwarder.awaits_model_engine()
         effects.extend(
-            self._sharing.tick(
-                ReportedState(
+            self._load_reporter.tick(
+                NodeStatus(
                     waiting=self.forwarder.waiting(),
                     revision=self._registry.last_change(),
                     reaches_ledger=self.ledger.reaches_ledger,
-                    watches=self._exchange.watches(now),
+                    watches=self._registry_sync.watches(now),
                 ),
                 now,
             )
         )
         effects.extend(self._continue_stop(now))
-        effects.extend(self._note_phases(now))
+        effects.extend(self._log_start_phases(now))
         return effects
 
-    def _prove_configuration(self, now: float) -> list[Effect]:
-        due = self.freshness.next_deadline()
+    def _renew_lease(self, now: float) -> list[Effect]:
+        due = self.lease.next_deadline()
         if due is None or now < due:
             return []
-        watches = self._exchange.asks_service
-        return self.freshness.tick(
+        watches = self._registry_sync.reads_service
+        return self.lease.tick(
             now,
-            reads=watches and self._sharing.is_first_watcher(now),
-            watches=watches,
-            peers=self._sharing.peers_that_watch(now),
+            is_reader=watches and self._load_reporter.is_first_watcher(now),
+            is_watcher=watches,
+            peers=self._load_reporter.peers_watching(now),
         )
 
-    def _note_phases(self, now: float) -> list[LogRecord]:
-        """Note how long the start took to each of its steps."""
+    def _log_start_phases(self, now: float) -> list[LogRecord]:
+        """Log how long each phase of the start took."""
         lines: list[LogRecord] = []
         if self.forwarder.table is not None:
             lines.extend(self.phases.reached("configuration", now))
@@ -191,38 +193,38 @@
         return lines
 
     def next_deadline(self) -> float | None:
-        """Return when a tick is due."""
+        """Return when the next tick is due."""
         dues = [
             self._registry.next_deadline(),
             self.ledger.next_deadline(),
             self.histories.next_deadline(),
             self.forwarder.next_deadline(),
-            self._sharing.next_deadline(),
+            self._load_reporter.next_deadline(),
             self._engines.next_expiry(),
-            self.freshness.next_deadline(),
+            self.lease.next_deadline(),
         ]
         return min(due for due in dues if due is not None)
 
-    def _take(self, event: Event, now: float) -> list[Effect]:
+    def _handle_event(self, event: Event, now: float) -> list[Effect]:
         if isinstance(event, HttpArrived):
-            return self.forwarder.arrived(event, now)
+            return self.forwarder.handle_request(event, now)
         if isinstance(event, HttpGone):
-            return self.forwarder.caller_gone(event.exchange, now)
-        if isinstance(event, HttpResponse | HttpFailed) and self.freshness.owns(event):
-            return self._take_item(self.freshness.take(event), now)
+            return self.forwarder.handle_disconnect(event.exchange, now)
+        if isinstance(event, HttpResponse | HttpFailed) and self.lease.owns(event):
+            return self._apply_proven_item(self.lease.handle_read(event), now)
         if isinstance(event, HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed):
-            return self.forwarder.engine_event(event, now)
+            return self.forwarder.handle_engine_event(event, now)
         if isinstance(event, PeerMessage):
-            return self._take_message(event, now)
+            return self._handle_message(event, now)
         if isinstance(event, DatagramArrived):
-            return self._take_load(event.message, now)
+            return self._handle_load_message(event.message, now)
         if isinstance(event, StopRequested):
             return self._begin_stop(now)
         if isinstance(event, ReloadRequested):
             return [LogRecord(event="reloaded", fields={"node": self._record.name})]
         return []
 
-    def _take_message(self, event: PeerMessage, now: float) -> list[Effect]:
+    def _handle_message(self, event: PeerMessage, now: float) -> list[Effect]:
         message = event.message
         if isinstance(message, LedgerReply):
             return self.ledger.take_reply(message, now)
@@ -231,22 +233,22 @@
         if isinstance(message, HistoryReply):
             return self.histories.take_reply(message, now)
         if isinstance(message, PassedOnRequest):
-            return self._ask_for_peer(event.sender, message, now)
+            return self._relay_ledger_request(event.sender, message, now)
         if isinstance(message, RegistryAsk):
-            return self._exchange.answer(event.sender, message)
+            return self._registry_sync.answer_query(event.sender, message)
         if isinstance(message, ConfigurationAsk):
-            return self.freshness.answer(event.sender, message, now)
+            return self.lease.answer_query(event.sender, message, now)
         if isinstance(message, ConfigurationProof):
-            return self._take_item(self.freshness.take_proof(message), now)
+            return self._apply_proven_item(self.lease.handle_proof(message), now)
         if isinstance(message, RegistryNews):
-            changed, effects = self._exchange.adopt(event.sender, message, now)
-            return [*effects, *self._take_changes(changed, now)]
+            changed, effects = self._registry_sync.apply_news(event.sender, message, now)
+            return [*effects, *self._apply_changes(changed, now)]
         return []
 
-    def _ask_for_peer(
+    def _relay_ledger_request(
         self, sender: ReplicaId, request: PassedOnRequest, now: float
     ) -> list[Effect]:
-        """Ask the ledger for a node that does not reach it."""
+        """Forward a ledger operation for a node that cannot reach the ledger."""
 
         def answered(result: OperationResult | None, answered_at: float) -> list[Effect]:
             if result is None:
@@ -261,47 +263,47 @@
 
         return self.ledger.pass_on(sender, request, answered, now)
 
-    def _take_load(self, message: msgspec.Struct, now: float) -> list[Effect]:
-        """Take reports of other nodes in, with how much of the registry these have read."""
+    def _handle_load_message(self, message: msgspec.Struct, now: float) -> list[Effect]:
+        """Handle load reports of other nodes, and the registry revisions in them."""
         if isinstance(message, LoadReport):
-            self._sharing.take_report(message, now)
-            return self._exchange.hear(message, now)
+            self._load_reporter.handle_report(message, now)
+            return self._registry_sync.handle_report(message, now)
         if isinstance(message, LoadDigest) and message.reports:
-            self._sharing.take_digest(message, now)
+            self._load_reporter.handle_digest(message, now)
             latest = max(message.reports, key=lambda report: report.revision)
-            return self._exchange.hear(latest, now)
+            return self._registry_sync.handle_report(latest, now)
         return []
 
-    # ------------------------------------------------------------ what the registry says
+    # ------------------------------------------------------------ registry changes
 
-    def _take_changes(self, changed: list[StoredItem], now: float) -> list[Effect]:
-        """Take changes in; engines' entries that went together are told from single ones."""
+    def _apply_changes(self, changed: list[StoredItem], now: float) -> list[Effect]:
+        """Apply one batch of registry changes; many removals in a batch count as an outage."""
         listed = len(self._registry.items(self._formats.engine_prefix))
-        self._entries.begin_changes(changed, listed, now)
+        self._discovery.begin_batch(changed, listed, now)
         effects: list[Effect] = []
         for item in changed:
-            effects.extend(self._take_change(item, now))
+            effects.extend(self._apply_change(item, now))
         return effects
 
-    def _take_change(self, item: StoredItem, now: float) -> list[Effect]:
+    def _apply_change(self, item: StoredItem, now: float) -> list[Effect]:
         if item.key == self._formats.configuration_key:
-            return self._take_configuration(item, now)
-        if self._entries.owns(item):
-            return self._entries.take(item, now)
+            return self._apply_configuration(item, now)
+        if self._discovery.owns(item):
+            return self._discovery.apply_change(item, now)
         if item.key.startswith(NODE_PREFIX):
-            self._take_nodes()
-            return self._note_record(item)
+            self._apply_nodes()
+            return self._validate_node_record(item)
         return []
 
-    def _note_record(self, item: StoredItem) -> list[Effect]:
-        """Write once that a record names no node; others write below the prefix as well."""
+    def _validate_node_record(self, item: StoredItem) -> list[Effect]:
+        """Log once if the value under the node prefix is not a valid node record."""
         read = read_node(item) if item.value is not None else None
         if not isinstance(read, Failure):
-            self._refused_records.discard(item.key)
+            self._invalid_node_keys.discard(item.key)
             return []
-        if item.key in self._refused_records:
+        if item.key in self._invalid_node_keys:
             return []
-        self._refused_records.add(item.key)
+        self._invalid_node_keys.add(item.key)
         fields: dict[str, str | int | float | bool | None] = {
             "key": item.key,
             "revision": item.revision,
@@ -309,11 +311,11 @@
         }
         return [LogRecord(event="node_refused", fields=fields, level="error")]
 
-    def _take_item(self, item: StoredItem | None, now: float) -> list[Effect]:
-        """Apply a configuration that a proof brought before a change of the registry did."""
-        return self._take_configuration(item, now) if item is not None else []
+    def _apply_proven_item(self, item: StoredItem | None, now: float) -> list[Effect]:
+        """Apply a configuration that arrived with a proof, before the registry delivered it."""
+        return self._apply_configuration(item, now) if item is not None else []
 
-    def _take_configuration(self, item: StoredItem, now: float) -> list[Effect]:
+    def _apply_configuration(self, item: StoredItem, now: float) -> list[Effect]:
         """Apply a configuration, unless it is older than the one in force."""
         if item.value is None:
             return []
@@ -327,7 +329,7 @@
                 )
             ]
         table = read.unwrap()
-        self.freshness.note_configuration(item, has_keys=table.tenants is not None)
+        self.lease.set_configuration(item, has_keys=table.tenants is not None)
         current = self.forwarder.table
         if current is not None and table.version <= current.version:
             return []
@@ -351,7 +353,7 @@
             ),
         ]
 
-    def _take_nodes(self) -> None:
+    def _apply_nodes(self) -> None:
         records = read_nodes(self._registry.items(NODE_PREFIX).values())
         storage = [record for record in records if record.role is NodeRole.STORAGE]
         self.ledger.set_storage({record.replica: record.address for record in storage})
@@ -360,15 +362,15 @@
             [NearReplica(item.replica, item.address, item.zone == own_zone) for item in storage]
         )
         edges = [record for record in records if record.role is NodeRole.EDGE]
-        self._sharing.set_nodes(edges, self._now)
-        self._exchange.nodes_changed(self._now)
+        self._load_reporter.set_nodes(edges, self._now)
+        self._registry_sync.nodes_changed(self._now)
 
-    # ------------------------------------------------------------ stops
+    # ------------------------------------------------------------ planned stops
 
     def _begin_stop(self, now: float) -> list[Effect]:
-        if self._stop_asked_at is not None:
+        if self._stop_requested_at is not None:
             return []
-        self._stop_asked_at = now
+        self._stop_requested_at = now
         self._busy_at = now
         fields: dict[str, str | int | float | bool | None] = {
             "node": self._record.name,
@@ -377,21 +379,21 @@
         return [LogRecord(event="stopping", fields=fields)]
 
     def _continue_stop(self, now: float) -> list[Effect]:
-        """End when the entry sends nothing more and nothing is under way."""
-        if self._stop_asked_at is None:
+        """Exit once the node is drained, or shortly before the grace period ends."""
+        if self._stop_requested_at is None:
             return []
-        elapsed = now - self._stop_asked_at
-        self.forwarder.closes_connections = elapsed >= CLOSING_AFTER_SECONDS
+        elapsed = now - self._stop_requested_at
+        self.forwarder.closes_connections = elapsed >= CLOSE_CONNECTIONS_AFTER_SECONDS
         if self.forwarder.under_way or self.ledger.under_way:
             self._busy_at = now
         effects: list[Effect] = []
-        if elapsed >= self._grace_seconds * REFUSING_SHARE and not self.forwarder.refusing:
+        if elapsed >= self._grace_seconds * REFUSING_GRACE_SHARE and not self.forwarder.refusing:
             self.forwarder.refusing = True
             effects.append(StopListening())
-        wanted_quiet = REFUSING_QUIET_SECONDS if self.forwarder.refusing else QUIET_SECONDS
-        is_quiet = self.forwarder.closes_connections and now - self._busy_at >= wanted_quiet
-        is_late = elapsed >= self._grace_seconds - LIMIT_MARGIN_SECONDS
-        if not is_quiet and not is_late:
+        drained_seconds = REFUSING_DRAINED_SECONDS if self.forwarder.refusing else DRAINED_SECONDS
+        is_drained = self.forwarder.closes_connections and now - self._busy_at >= drained_seconds
+        is_late = elapsed >= self._grace_seconds - EXIT_MARGIN_SECONDS
+        if not is_drained and not is_late:
             return effects
         fields: dict[str, str | int | float | bool | None] = {
             "node": self._record.name,
--- a/src/yokeline/forwarding/engine_sender.py
+++ b/src/yokeline/forwarding/engine_sender.py
@@ -1,4 +1,4 @@
-"""Requests on their way to engines and back: counted, told to the ledger's leader, cancelled."""
+"""Sends requests to engines and cancels them, and reports both to the ledger's leader."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     """Sends requests to the engines chosen for them."""
 
     def __init__(self, state: NodeState, settlements: Settlements, dialect: Dialect) -> None:
-        """Spell requests in ``dialect``."""
+        """Encode requests with ``dialect``."""
         self._state = state
         self._settlements = settlements
         self._dialect = dialect
         self._request_numbers = itertools.count(1)
 
     def send(self, exchange: Exchange, choice: EngineChoice) -> None:
-        """Send a request to the engine chosen."""
+        """Send a request to the chosen engine."""
         state, engine = self._state, choice.state
         exchange.phase = Phase.SENT
         exchange.engine = engine
@@ -40,11 +40,11 @@
         exchange.predicted_seconds = choice.predicted_seconds
         exchange.uncached_tokens = max(0, exchange.call.prompt_tokens - choice.cached_tokens)
         exchange.engine_request_id = RequestId(f"call/{next(self._request_numbers)}")
-        state.by_request[exchange.engine_request_id] = exchange
+        state.by_engine_request[exchange.engine_request_id] = exchange
         state.engines.record_sent(engine)
-        self._settlements.tell_of_begin(exchange, engine)
-        state.placement.note_sent(exchange, choice, state.pool_of(exchange), state.now)
-        state.shares.note_served(exchange, state.now)
+        self._settlements.report_send(exchange, engine)
+        state.placement.record_send(exchange, choice, state.pool_of(exchange), state.now)
+        state.fair_shares.record_served(exchange, state.now)
         if exchange.sends == 1:
             state.added_seconds.observe(state.now - exchange.arrived_at)
         self._log_choice(exchange, choice)
@@ -62,19 +62,19 @@
         cancelled: bool = False,
         pace: ObservedPace = NO_PACE,
     ) -> None:
-        """Note that a request is no longer at its engine, and how the engine served it."""
+        """Record that a request has left its engine, and the pace observed there."""
         if exchange.engine_request_id is not None:
-            self._state.by_request.pop(exchange.engine_request_id, None)
+            self._state.by_engine_request.pop(exchange.engine_request_id, None)
             exchange.engine_request_id = None
         if exchange.engine is not None:
             connection_kept = not (failed or cancelled)
             self._state.engines.record_released(
                 exchange.engine, self._state.now, connection_kept=connection_kept
             )
-            self._settlements.tell_of_end(exchange, exchange.engine, failed=failed, pace=pace)
+            self._settlements.report_release(exchange, exchange.engine, failed=failed, pace=pace)
 
     def cancel(self, exchange: Exchange, *, failed: bool = False) -> None:
-        """Take a request back from its engine."""
+        """Cancel a request at its engine."""
         if exchange.engine_request_id is not None:
             self._state.outcomes.effects.append(HttpCancel(exchange.engine_request_id))
         self.release(exchange, failed=failed, cancelled=True)
@@ -97,5 +97,5 @@
 
 
 def _seconds_to_grant(exchange: Exchange) -> float:
-    """Return how long the ledger took to grant the reservation; 0 if it was not asked."""
+    """Return the time until the ledger granted the reservation; 0 without a reservation."""
     return round(exchange.granted_at - exchange.arrived_at, 4) if exchange.granted_at else 0.0
--- a/src/yokeline/forwarding/forwarder.py
+++ b/src/yokeline/forwarding/forwarder.py
@@ -1,8 +1,8 @@
-"""The life of each request at a node: reserved, sent, answered, retried, resumed or refused.
+"""Life cycle of requests at a node: admission, reservation, dispatch, response, retry or refusal.
 
-Pure: events and time go in, effects come out. This module takes the events and shows the way of a
-request; each step has a module of its own: ``reservations``, ``dispatch``, ``engine_sends``,
-``streams``, ``repeats``, ``settlements`` and ``ends``.
+The module does no I/O: events and times go in, effects come out. It handles the events and calls
+the modules for each step: ``reservations``, ``dispatcher``, ``engine_sender``, ``stream_relay``,
+``retries``, ``settlements`` and ``responder``.
 """
 
 from __future__ import annotations
@@ -30,16 +30,15 @@
     is_still_admitted,
 )
 from yokeline.forwarding.attempts import Attempts
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.dialect import Dialect
 from yokeline.forwarding.dispatcher import Dispatcher
-from yokeline.forwarding.engine_figures import pace_gauges
+from yokeline.forwarding.engine_gauges import pace_gauges
 from yokeline.forwarding.engine_sender import EngineSender
 from yokeline.forwarding.engines import EngineTable
 from yokeline.forwarding.exchange import Exchange, Phase
-from yokeline.forwarding.freshness import Currency
 from yokeline.forwarding.held_requests import HeldRequests
-from yokeline.forwarding.history import TurnCache
-from yokeline.forwarding.http_parts import host_of
+from yokeline.forwarding.http_helpers import host_of
 from yokeline.forwarding.http_statuses import (
     BAD_REQUEST,
     GATEWAY_TIMEOUT,
@@ -50,17 +49,18 @@
     UNAUTHORIZED,
     UNAVAILABLE,
 )
-from yokeline.forwarding.limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.model import Call, Route, RouteKind, RoutingTable
 from yokeline.forwarding.node_state import NodeState
 from yokeline.forwarding.outcome_recorder import OutcomeRecorder
-from yokeline.forwarding.pool_split import PoolSplit
 from yokeline.forwarding.reservations import Reservations
 from yokeline.forwarding.responder import Responder
 from yokeline.forwarding.retries import RetryHandler
 from yokeline.forwarding.settlements import Settlements
-from yokeline.forwarding.streams import Streams
+from yokeline.forwarding.stream_relay import StreamRelay
+from yokeline.forwarding.tenant_limits import NO_TOLERANCE, LimitTolerance, TenantLimits, limit_of
 from yokeline.forwarding.tenant_loads import TenantLoadReader
+from yokeline.forwarding.traffic_split import TrafficSplit
+from yokeline.forwarding.turn_cache import TurnCache
 from yokeline.forwarding.turn_operations import needs_ledger
 from yokeline.histogram import Histogram
 from yokeline.identifiers import ExchangeId
@@ -70,21 +70,22 @@
 from yokeline.scheduling.retry_delays import RefusedCaller, retry_delay_after_outage
 
 DEADLINE_RETRY_AFTER_SECONDS = 0.1
-START_NEWS_SECONDS = WATCH_SECONDS
-"""Time for which a node may send to a new start of an engine and take it for the one before."""
-DUE_SLACK_SECONDS = 0.05
-"""Time before a deadline in which an engine's answer that the time is over may come: it counts from
-when it got the request, and its answer takes some milliseconds."""
+RESTART_DETECTION_SECONDS = WATCH_SECONDS
+"""Time for which a node may not know that an engine has restarted, and send to the new incarnation
+under the id of the previous one."""
+DEADLINE_TOLERANCE_SECONDS = 0.05
+"""Time before a deadline within which a 504 of an engine counts as caused by the deadline. The
+engine measures from when it received the request, and its response takes a few milliseconds."""
 
 
 class Forwarder:
     """Requests under way at one node.
 
     Attributes:
-        refusing: Nothing new is taken, since the process ends soon.
-        currency: How sure it is at a time (monotonic seconds) that no key was taken away that
-            this node takes for good; always, unless set.
-        proof_age: How old the proof of that is at a time (seconds); for the log.
+        refusing: Whether new requests are refused, since the process is about to exit.
+        lease_state: Returns the state of the configuration's lease at a time (monotonic seconds);
+            always valid by default.
+        proof_age: Returns the age of the lease's proof at a time (seconds), for the log.
     """
 
     def __init__(
@@ -100,45 +101,51 @@
     ) -> None:
         """Serve in a zone.
 
-        ``tolerance`` is what tenants may use beyond their limits; ``process`` names this start of
-        the node, so that no two requests are one operation of the ledger.
+        ``tolerance`` is what tenants may use beyond their limits. ``process`` identifies this
+        process in the ids of ledger operations, so that no two requests share one.
         """
         self.refusing = False
-        self.currency: Callable[[float], Currency] = _always_current
-        self.proof_age: Callable[[float], float] = _just_proved
+        self.lease_state: Callable[[float], LeaseState] = _always_valid
+        self.proof_age: Callable[[float], float] = _zero_age
         self._dialect = dialect
         self._tolerance = tolerance
         self._process = process
         self._outcomes = OutcomeRecorder(dialect)
         self._state = NodeState(zone, engines, self._outcomes)
         ledger.turns.tenants = TenantLoadReader(self._state)
-        ledger.shares_told = self._state.shares.take_told
+        ledger.shares_told = self._state.fair_shares.apply_leader_report
         self._held = HeldRequests()
-        self._split = PoolSplit()
-        turns = TurnCache()
+        self._traffic_split = TrafficSplit()
+        turn_cache = TurnCache()
         settlements = Settlements(self._state, ledger)
         self._responder = Responder(self._state, settlements, dialect)
         self._sender = EngineSender(self._state, settlements, dialect)
         self._dispatcher = Dispatcher(self._state, self._sender, self._responder)
         self._retries = RetryHandler(self._state, self._sender, self._dispatcher, self._responder)
-        self._streams = Streams(
-            self._state, self._sender, settlements, self._responder, self._retries, turns, dialect
+        self._stream_relay = StreamRelay(
+            self._state,
+            self._sender,
+            settlements,
+            self._responder,
+            self._retries,
+            turn_cache,
+            dialect,
         )
-        self._limits = TenantLimits(
+        self._tenant_limits = TenantLimits(
             self._state, ledger, self._responder, self._enqueue_and_dispatch
         )
-        self._retries.on_rerun = self._limits.count_again
+        self._retries.on_rerun = self._tenant_limits.debit_rerun
         self._reservations = Reservations(
             self._state,
             ledger,
             histories,
             self._responder,
-            turns,
-            self._limits,
+            turn_cache,
+            self._tenant_limits,
             self._enqueue_and_dispatch,
         )
 
-    # ------------------------------------------------------------ service side
+    # ------------------------------------------------------------ interface of the node
 
     @property
     def table(self) -> RoutingTable | None:
@@ -150,10 +157,10 @@
         self._state.table = table
         self._outcomes.configuration_version = table.version if table is not None else 0
         if table is not None:
-            self._revoke(table)
+            self._revoke_keys(table)
 
-    def _revoke(self, table: RoutingTable) -> None:
-        """Refuse what has not run and whose key is gone; what runs is not sent once more."""
+    def _revoke_keys(self, table: RoutingTable) -> None:
+        """Refuse requests with revoked keys that were not run; exclude the others from retries."""
         for exchange in list(self._state.exchanges.values()):
             if is_still_admitted(table, exchange.route, exchange.call):
                 continue
@@ -167,7 +174,7 @@
 
     @property
     def closes_connections(self) -> bool:
-        """Whether answers ask the caller to close its connection."""
+        """Whether responses ask callers to close their connections."""
         return self._outcomes.closes_connections
 
     @closes_connections.setter
@@ -176,7 +183,7 @@
 
     @property
     def counters(self) -> Counter[str]:
-        """Requests by outcome, and other counts, by metric name."""
+        """Requests by outcome, and other counters, by metric name."""
         return self._outcomes.counters
 
     @property
@@ -191,72 +198,72 @@
 
     @property
     def prediction_error(self) -> Histogram:
-        """Shares by which predicted times of turns were wrong."""
+        """Relative errors of the predicted turn durations."""
         return self._state.prediction_error
 
     @property
     def expected_waits(self) -> Histogram:
-        """Time in which a place was likely to be free, of requests that found none."""
+        """Expected waits of requests that found no capacity on arrival."""
         return self._state.expected_waits
 
     @property
     def room_waits(self) -> Histogram:
-        """Time that requests waited for room which then got a place."""
+        """Actual waits of requests that were served after waiting for capacity."""
         return self._state.room_waits
 
     def engine_gauges(self) -> dict[str, float]:
-        """Return the paces of the engines furthest from what is usual."""
+        """Return the gauges of the engines whose pace deviates most from their pool's."""
         return pace_gauges(self._state.engines, self._state.now)
 
     def forget_engine(self, engine_id: str) -> None:
-        """Forget what an engine that is gone had cached."""
+        """Remove what was estimated of a removed engine's cache and pace."""
         self._state.placement.forget_engine(engine_id)
 
     def engine_restarted(self, engine_id: str, now: float) -> int:
-        """Forget an engine's start that was replaced; return how many requests were broken off.
+        """Handle the restart of an engine; return how many of its requests were aborted.
 
-        A request of which nothing was heard for :data:`START_NEWS_SECONDS` is broken off: the
-        process that had it is gone, and may have run it. One sent or heard of since may be at the
-        new start, so it is waited for. One that was left with the earlier start before is broken
-        off at once, since the new start would be a second engine that has it.
+        A request without an event for :data:`RESTART_DETECTION_SECONDS` is aborted: the previous
+        process had it and may have run it. A more recent one may be at the new incarnation, so it
+        is left to finish. A request sent to the previous incarnation a second time is aborted at
+        once, since the new incarnation would be another engine that may run it.
         """
         self._state.now = now
         self.forget_engine(engine_id)
         lost = [
             exchange
-            for exchange in self._state.by_request.values()
+            for exchange in self._state.by_engine_request.values()
             if exchange.engine is not None
             and exchange.engine.engine.engine_id == engine_id
-            and (engine_id in exchange.attempts.engine_ids or self._is_quiet(exchange))
+            and (engine_id in exchange.attempts.engine_ids or self._is_silent(exchange))
         ]
         for exchange in lost:
             self._retries.abort_and_retry(exchange, "engine restarted")
         return len(lost)
 
-    def _is_quiet(self, exchange: Exchange) -> bool:
-        """Return whether nothing was heard of a request for as long as news may take."""
-        return self._state.now - exchange.last_event_at >= START_NEWS_SECONDS
+    def _is_silent(self, exchange: Exchange) -> bool:
+        """Return whether a request had no event for as long as restart detection may take."""
+        return self._state.now - exchange.last_event_at >= RESTART_DETECTION_SECONDS
 
     @property
     def has_sent(self) -> bool:
-        """Whether a request was sent to an engine since the start."""
+        """Whether any request was sent to an engine since the start."""
         return any(self.added_seconds.counts)
 
     @property
     def under_way(self) -> int:
-        """Requests without a final answer."""
+        """Number of requests without a final answer."""
         return len(self._state.exchanges)
 
     def share_levels(self) -> dict[str, float]:
-        """Return the places for a weight of one, by pool that has too few; as last told."""
-        return self._state.shares.levels
+        """Return the slots per unit of weight of pools short of slots, from the leader."""
+        return self._state.fair_shares.levels
 
     def waiting(self) -> dict[str, int]:
         """Return how many requests wait, by pool."""
         return {pool: len(queue) for pool, queue in self._state.waiting.items() if len(queue)}
 
     def awaits_model_engine(self) -> bool:
-        """Return whether turns wait for a model engine with room."""
+        """Return whether turns wait for a model engine with capacity."""
         table = self.table
         pools = table.pools if table is not None else {}
         return any(pool in pools and pools[pool].model is not None for pool in self.waiting())
@@ -266,72 +273,74 @@
         dues = (
             self._state.timers.next_due(),
             self._held.next_deadline(),
-            self._state.shares.next_lapse(),
+            self._state.fair_shares.next_expiry(),
         )
         return min((due for due in dues if due is not None), default=None)
 
     # ------------------------------------------------------------ events
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due, and send what may be sent."""
+        """Run due timers and dispatch queued requests."""
         self._state.now = now
-        self._state.shares.lapse(now)
+        self._state.fair_shares.expire(now)
         self._state.timers.run_due(now)
         if len(self._held):
-            self._take_held()
-        return self._finish()
+            self._process_held()
+        return self._dispatch_and_drain()
 
-    def arrived(self, event: HttpArrived, now: float) -> list[Effect]:
-        """Take a caller's request."""
+    def handle_request(self, event: HttpArrived, now: float) -> list[Effect]:
+        """Handle a caller's request; hold it while there is no configuration."""
         self._state.now = now
         is_early = self.table is None and not self.refusing
         if not (is_early and self._held.add(event, now)):
-            self._take_request(event, now, may_hold=True)
+            self._process_request(event, now, may_hold=True)
         return self._outcomes.drain_effects()
 
-    def caller_gone(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
-        """Give up what nobody waits for any more."""
+    def handle_disconnect(self, exchange_id: ExchangeId, now: float) -> list[Effect]:
+        """Handle the disconnect of a caller."""
         self._state.now = now
         self._held.remove(exchange_id)
         exchange = self._state.exchanges.get(exchange_id)
         if exchange is not None:
-            self._caller_gone(exchange)
-        return self._finish()
+            self._abandon(exchange)
+        return self._dispatch_and_drain()
 
-    def engine_event(
+    def handle_engine_event(
         self, event: HttpResponse | HttpStreamItem | HttpStreamEnded | HttpFailed, now: float
     ) -> list[Effect]:
-        """Take an answer, or part of one, of an engine."""
+        """Handle an engine's response, a part of one, or a failure."""
         self._state.now = now
-        exchange = self._state.by_request.get(event.request)
+        exchange = self._state.by_engine_request.get(event.request)
         if exchange is not None:
             if isinstance(event, HttpResponse):
-                self._take_response(exchange, event)
+                self._handle_response(exchange, event)
             elif isinstance(event, HttpStreamItem):
-                self._streams.take_item(exchange, event)
+                self._stream_relay.relay_event(exchange, event)
             elif isinstance(event, HttpStreamEnded):
-                self._streams.ended(exchange)
+                self._stream_relay.finish(exchange)
             else:
                 self._retries.handle_failure(exchange, event)
-        return self._finish()
+        return self._dispatch_and_drain()
 
-    def _finish(self) -> list[Effect]:
+    def _dispatch_and_drain(self) -> list[Effect]:
         self._dispatcher.dispatch_all()
         return self._outcomes.drain_effects()
 
-    # ------------------------------------------------------------ requests in
+    # ------------------------------------------------------------ new requests
 
-    def _take_held(self) -> None:
-        """Serve what waited for a configuration, or refuse what waited too long for it."""
-        is_known = self.table is not None and self.currency(self._state.now) is not Currency.SOON
+    def _process_held(self) -> None:
+        """Process held requests once the configuration is valid; refuse those held for too long."""
+        is_known = (
+            self.table is not None and self.lease_state(self._state.now) is not LeaseState.PENDING
+        )
         if is_known or self.refusing:
-            held = self._held.take_all()
+            held = self._held.pop_all()
         else:
-            held = self._held.take_expired(self._state.now)
+            held = self._held.pop_expired(self._state.now)
         for request in held:
-            self._take_request(request.event, request.arrived_at)
+            self._process_request(request.event, request.arrived_at)
 
-    def _take_request(
+    def _process_request(
         self, event: HttpArrived, arrived_at: float, *, may_hold: bool = False
     ) -> None:
         table = self.table
@@ -353,24 +362,26 @@
             self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
             return
         call = parsed.unwrap()
-        currency = self.currency(self._state.now)
+        lease_state = self.lease_state(self._state.now)
         admitted = admit(
             table,
             route,
             call,
-            is_current=currency is Currency.CURRENT,
+            has_valid_lease=lease_state is LeaseState.VALID,
             operation=f"{self._process}/{event.exchange}",
         )
         if isinstance(admitted, Denied):
-            soon = admitted.reason == STALE_CONFIGURATION and currency is Currency.SOON
-            if not (soon and may_hold and self._held.add(event, arrived_at)):
+            is_pending = (
+                admitted.reason == STALE_CONFIGURATION and lease_state is LeaseState.PENDING
+            )
+            if not (is_pending and may_hold and self._held.add(event, arrived_at)):
                 self._deny(event, admitted, table)
             return
         exchange = self._open(event, call, route, admitted, arrived_at)
         self._begin(exchange)
 
     def _refuse_unconfigured(self, event: HttpArrived) -> None:
-        """Refuse what came before this node knew its configuration."""
+        """Refuse a request that arrived before the node had a configuration."""
         parsed = self._dialect.parse_call(event)
         if not isinstance(parsed, Success):
             self._outcomes.refuse_unadmitted(event, BAD_REQUEST, parsed.failure().message)
@@ -386,13 +397,13 @@
         )
 
     def _begin(self, exchange: Exchange) -> None:
-        """Let a request take its first step."""
-        if not self._limits.is_let_by(exchange, self._begin):
+        """Start the first step that a request needs: tenant limit, reservation or dispatch."""
+        if not self._tenant_limits.may_ask(exchange, self._begin):
             return
         if needs_ledger(exchange):
             self._reservations.reserve(exchange)
         elif exchange.limit is not None:
-            self._limits.draw(exchange)
+            self._tenant_limits.draw(exchange)
         else:
             self._enqueue_and_dispatch(exchange)
 
@@ -403,7 +414,7 @@
             denied.reason,
             retry_after=denied.retry_after,
             version=table.version,
-            proof_age=_finite(self.proof_age(self._state.now)),
+            proof_age=_rounded_age(self.proof_age(self._state.now)),
         )
 
     def _open(
@@ -426,7 +437,7 @@
             tenant=admitted.tenant,
             forwards_credential=admitted.forwards_credential,
             limit=limit_of(admitted.tenant, self._outcomes.configuration_version, self._tolerance),
-            pool=self._split.pool_of(route, call),
+            pool=self._traffic_split.choose_pool(route, call),
             body=event.body,
             last_event_id=call.last_event_id,
         )
@@ -438,9 +449,9 @@
         self._dispatcher.enqueue(exchange)
         self._dispatcher.dispatch(exchange.pool)
 
-    # ------------------------------------------------------------ answers
+    # ------------------------------------------------------------ responses
 
-    def _take_response(self, exchange: Exchange, response: HttpResponse) -> None:
+    def _handle_response(self, exchange: Exchange, response: HttpResponse) -> None:
         if self._dialect.was_not_executed(response):
             self._retries.handle_rejection(exchange, response)
             return
@@ -451,13 +462,13 @@
             if exchange.response_head is None:
                 exchange.response_head = response
             return
-        self._take_answer(exchange, response)
+        self._handle_complete_response(exchange, response)
 
-    def _take_answer(self, exchange: Exchange, response: HttpResponse) -> None:
-        """Take a whole answer of an engine: pass it on, or try a failure again."""
+    def _handle_complete_response(self, exchange: Exchange, response: HttpResponse) -> None:
+        """Forward a complete response, or retry a failed one."""
         has_failed = response.status >= SERVER_ERROR
-        # At the deadline that its caller set, an engine gives up what it could serve.
-        is_over = response.status == GATEWAY_TIMEOUT and self._is_due(exchange)
+        # A 504 at the caller's deadline is no failure of the engine.
+        is_over = response.status == GATEWAY_TIMEOUT and self._is_at_deadline(exchange)
         engine = exchange.engine
         self._sender.release(exchange, failed=has_failed and not is_over)
         if engine is not None and has_failed:
@@ -467,7 +478,7 @@
         elif engine is not None:
             engine.record_success(self._state.now)
             engine.record_call_seconds(self._state.now - exchange.sent_at)
-            self._note_call(exchange)
+            self._record_call(exchange)
             self._retries.record_answered(exchange)
         if has_failed and self._retries.may_use_another_engine(exchange):
             if engine is not None:
@@ -479,17 +490,17 @@
             return
         self._responder.send_response(exchange, response)
 
-    def _note_call(self, exchange: Exchange) -> None:
+    def _record_call(self, exchange: Exchange) -> None:
         if exchange.route.kind is not RouteKind.STREAMING:
-            self._state.placement.note_call(exchange, self._state.now)
+            self._state.placement.record_call(exchange, self._state.now)
 
-    def _is_due(self, exchange: Exchange) -> bool:
-        return self._state.now >= exchange.deadline - DUE_SLACK_SECONDS
+    def _is_at_deadline(self, exchange: Exchange) -> bool:
+        return self._state.now >= exchange.deadline - DEADLINE_TOLERANCE_SECONDS
 
-    # ------------------------------------------------------------ ends
+    # ------------------------------------------------------------ deadlines and disconnects
 
     def _deadline_reached(self, exchange: Exchange) -> None:
-        """Give the final answer at the deadline or the route's time-out."""
+        """End a request at its deadline or the timeout of its route."""
         was_sent = exchange.engine_request_id is not None
         if was_sent:
             self._sender.cancel(exchange)
@@ -504,8 +515,8 @@
                 exchange, UNAVAILABLE, "deadline", retry_after=DEADLINE_RETRY_AFTER_SECONDS
             )
 
-    def _caller_gone(self, exchange: Exchange) -> None:
-        """Stop what may be stopped; a correction that is under way runs to its end."""
+    def _abandon(self, exchange: Exchange) -> None:
+        """Cancel the request of a disconnected caller; a non-retryable call runs to its end."""
         if exchange.engine_request_id is not None:
             if not exchange.route.is_retryable and exchange.route.kind is not RouteKind.STREAMING:
                 return
@@ -515,16 +526,16 @@
         self._responder.abandon(exchange)
 
 
-def _always_current(_now: float) -> Currency:
-    """Prove nothing: no key is taken away at once."""
-    return Currency.CURRENT
+def _always_valid(_now: float) -> LeaseState:
+    """Return a valid lease; the default if no lease is needed."""
+    return LeaseState.VALID
 
 
-def _just_proved(_now: float) -> float:
-    """Return the age of a proof that is not needed."""
+def _zero_age(_now: float) -> float:
+    """Return the proof's age if no lease is needed."""
     return 0.0
 
 
-def _finite(seconds: float) -> float | None:
-    """Return an age for the log; None if there is none."""
+def _rounded_age(seconds: float) -> float | None:
+    """Return an age for the log; None if it is infinite."""
     return round(seconds, 3) if math.isfinite(seconds) else None
--- a/src/yokeline/forwarding/metrics.py
+++ b/src/yokeline/forwarding/metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a forwarding node, by metric name."""
+"""Metrics of a forwarding node."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def edge_figures(node: EdgeNode) -> NodeFigures:
-    """Return counters, gauges and histograms of a forwarding node."""
+    """Return the counters, gauges and histograms of a forwarding node."""
     forwarder = node.forwarder
     counters = {name: float(count) for name, count in forwarder.counters.items()}
     for cause, count in node.ledger.counts.repetitions.items():
@@ -20,8 +20,8 @@
     counters["yokeline_ledger_late_answers_total"] = float(node.ledger.counts.late_answers)
     counters["yokeline_ledger_sent_through_peers_total"] = float(node.ledger.counts.through_peers)
     counters["yokeline_ledger_passed_on_total"] = float(node.ledger.counts.for_peers)
-    counters["yokeline_forwarding_proof_reads_total"] = float(node.freshness.reads)
-    counters["yokeline_forwarding_proof_asks_total"] = float(node.freshness.asks)
+    counters["yokeline_forwarding_proof_reads_total"] = float(node.lease.service_reads)
+    counters["yokeline_forwarding_proof_asks_total"] = float(node.lease.peer_queries)
     table = forwarder.table
     gauges = {
         "yokeline_forwarding_under_way": float(forwarder.under_way),
--- a/tests/unit/forwarding/room_replay.py
+++ b/tests/unit/forwarding/room_replay.py
@@ -15,7 +15,7 @@
 from tests.unit.forwarding.virtual_clock import VirtualClock
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import HttpReply, HttpRequest, HttpResponse, HttpStreamEnded, HttpStreamItem
-from yokeline.forwarding.freshness import Currency
+from yokeline.forwarding.configuration_lease import LeaseState
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.ledger.messages import LedgerReply
 from yokeline.ledger.operations import Granted, OperationResult, Reserve, Settled
@@ -76,7 +76,7 @@
         longest_lost_wait: The longest of those.
         most_waiting: Longest queue.
         refused_in_outage: Refusals for want of a proof.
-        return_times: When each refused caller was told to return.
+        retry_delays: When each refused caller was told to return.
     """
 
     programs: int = 0
@@ -89,7 +89,7 @@
     longest_lost_wait: float = 0.0
     most_waiting: int = 0
     refused_in_outage: int = 0
-    return_times: list[float] = msgspec.field(default_factory=list)
+    retry_delays: list[float] = msgspec.field(default_factory=list)
 
     @property
     def worth(self) -> float:
@@ -114,7 +114,7 @@
         self.played = Played(engines_per_pool=ENGINES, slots=SLOTS)
         tenants = TenantDirectory((KeyHolder(Credential(token_digest(KEY)), Tenant(name="t")),))
         self.played.forwarder.table = msgspec.structs.replace(TABLE, tenants=tenants)
-        self.played.forwarder.currency = self._currency
+        self.played.forwarder.lease_state = self._currency
         self.result = Replayed()
         self._load = load
         self._random = random.Random(seed)
@@ -155,9 +155,9 @@
             self.played.take(self.played.ledger.take_reply(reply, self.played.now))
             self.played.take(self.played.forwarder.tick(self.played.now))
 
-    def _currency(self, now: float) -> Currency:
+    def _currency(self, now: float) -> LeaseState:
         is_away = 0 <= now - self._begin < self._load.outage_seconds
-        return Currency.STALE if is_away else Currency.CURRENT
+        return LeaseState.EXPIRED if is_away else LeaseState.VALID
 
     # ------------------------------------------------------------ callers
 
@@ -218,7 +218,7 @@
     def _count_refusal(
         self, reply: HttpReply, program: _Program, waited: float, told: float
     ) -> None:
-        self.result.return_times.append(self.played.now + told)
+        self.result.retry_delays.append(self.played.now + told)
         if b"stale_configuration" in reply.body:
             self.result.refused_in_outage += 1
             return
@@ -239,7 +239,7 @@
         else:
             headers = {"x-yokeline-not-executed": "1"}
             response = HttpResponse(request=request.request, status=503, headers=headers)
-            self.played.take(self.played.forwarder.engine_event(response, self.played.now))
+            self.played.take(self.played.forwarder.handle_engine_event(response, self.played.now))
 
     def _run(self, request: HttpRequest, engine: str) -> None:
         self._running[engine] = self._running.get(engine, 0) + 1
@@ -256,7 +256,7 @@
         )
         item = HttpStreamItem(request=number, data=b"id: 1\ndata: word\n\n", event_id="1")
         for event in (head, item, HttpStreamEnded(number)):
-            self.played.take(node.engine_event(event, now))
+            self.played.take(node.handle_engine_event(event, now))
         program, _ = self._turns[dict(request.header_items)["x-yokeline-request-id"]]
         self._turn_done(program)
 
--- a/tests/unit/forwarding/test_edge_node.py
+++ b/tests/unit/forwarding/test_edge_node.py
@@ -23,8 +23,8 @@
     StopRequested,
     Tick,
 )
+from yokeline.forwarding.configuration_lease import ConfigurationLease
 from yokeline.forwarding.edge_node import EdgeNode
-from yokeline.forwarding.freshness import ConfigurationFreshness
 from yokeline.identifiers import ExchangeId, NodeName, ReplicaId
 from yokeline.ledger.messages import LoadReport, RegistryAsk, RegistryItem, RegistryNews
 from yokeline.ledger.operations import Granted
@@ -62,7 +62,7 @@
             engines=self.played.engines,
             ledger=self.played.ledger,
             histories=self.played.histories,
-            freshness=ConfigurationFreshness(
+            lease=ConfigurationLease(
                 self.store,
                 PlatformDocuments.configuration_key,
                 record.address,
@@ -172,7 +172,7 @@
             replica=ReplicaId("edge-2~1"),
             address=Address("10.0.0.2", 1),
         )
-        self.node._sharing.set_nodes([other], self.now)
+        self.node._load_reporter.set_nodes([other], self.now)
 
     def test_a_load_that_changes_at_a_busy_engine_is_told_within_a_tenth_of_a_second(self) -> None:
         """Else every node sends to the engine that was the least loaded a moment ago."""
@@ -259,7 +259,7 @@
             )
             for name in names
         ]
-        self.node._sharing.set_nodes(others, self.now)
+        self.node._load_reporter.set_nodes(others, self.now)
         news = RegistryNews(revision=50, items=(RegistryItem("k", b"v", 50),))
         self.hand(PeerMessage(sender=ReplicaId("edge-0~7"), message=news))
         self.end_calls()
--- a/tests/unit/forwarding/test_forwarder.py
+++ b/tests/unit/forwarding/test_forwarder.py
@@ -6,8 +6,8 @@
 
 from tests.unit.forwarding.support import TABLE, Played
 from yokeline.effects import HttpStreamStart
-from yokeline.forwarding.held_requests import HOLD_SECONDS, MAX_HELD, MAX_HELD_BYTES
-from yokeline.forwarding.limits import LEDGER_SECONDS
+from yokeline.forwarding.held_requests import MAX_HELD_BYTES, MAX_HELD_REQUESTS, MAX_HOLD_SECONDS
+from yokeline.forwarding.tenant_limits import LEDGER_TIMEOUT_SECONDS
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
 from yokeline.ledger.operations import (
@@ -171,7 +171,7 @@
         played = Played()
         played.forwarder.table = None
         played.request("/nowhere/x")
-        played.wait(HOLD_SECONDS - 0.05)
+        played.wait(MAX_HOLD_SECONDS - 0.05)
         self.assertEqual(played.replies, [])
         played.wait(0.1)
         self.assertEqual([reply.status for reply in played.replies], [503])
@@ -200,7 +200,7 @@
     def test_what_is_held_is_bounded_in_number_and_bytes(self) -> None:
         played = Played()
         played.forwarder.table = None
-        for _ in range(MAX_HELD + 1):
+        for _ in range(MAX_HELD_REQUESTS + 1):
             played.request("/fix/x")
         self.assertEqual([reply.status for reply in played.replies], [503])
         played = Played()
@@ -260,7 +260,7 @@
     def test_without_the_ledger_the_turn_does_not_run_and_its_reservation_is_released(self) -> None:
         played = Played()
         name = played.turn()
-        played.wait(LEDGER_SECONDS + 0.1)
+        played.wait(LEDGER_TIMEOUT_SECONDS + 0.1)
         self.assertEqual((played.replies[-1].status, played.sent), (503, []))
         self.assertEqual(played.operations()[-1], Settle(request_id=name, program="p", tokens=0))
 
@@ -498,7 +498,7 @@
         played.ledger_answers(NoSuchTurn(turn_id="t9"))
         self.assertEqual(played.replies[-1].status, 404)
         played.turn("/kept/x", previous_turn="t8")
-        played.wait(LEDGER_SECONDS + 0.1)
+        played.wait(LEDGER_TIMEOUT_SECONDS + 0.1)
         self.assertEqual(played.replies[-1].status, 503)
 
 
--- a/tests/unit/forwarding/test_room.py
+++ b/tests/unit/forwarding/test_room.py
@@ -10,8 +10,8 @@
 from tests.unit.forwarding.support import TABLE, Played
 from yokeline.bearer_tokens import token_digest
 from yokeline.effects import HttpStreamEnded, HttpStreamItem
-from yokeline.forwarding.freshness import Currency
-from yokeline.forwarding.held_requests import MAX_HELD
+from yokeline.forwarding.configuration_lease import LeaseState
+from yokeline.forwarding.held_requests import MAX_HELD_REQUESTS
 from yokeline.forwarding.tenants import Credential, KeyHolder, Tenant, TenantDirectory
 from yokeline.identifiers import NodeName
 from yokeline.ledger.messages import EngineLoad, LoadReport
@@ -208,8 +208,8 @@
         self.played.forwarder.table = msgspec.structs.replace(
             TABLE, tenants=TenantDirectory((holder,))
         )
-        self.currency = Currency.CURRENT
-        self.played.forwarder.currency = lambda _now: self.currency
+        self.currency = LeaseState.VALID
+        self.played.forwarder.lease_state = lambda _now: self.currency
         self.see_turn()
 
     def see_turn(self) -> None:
@@ -225,21 +225,21 @@
         self.played.engine_answers(body=b"", index=index, x_yokeline_server_stamp="s")
         request = self.played.sent[index].request
         item = HttpStreamItem(request=request, data=b"id: 1\ndata: word\n\n", event_id="1")
-        self.played.take(self.played.forwarder.engine_event(item, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(item, self.played.now))
         ended = HttpStreamEnded(request)
-        self.played.take(self.played.forwarder.engine_event(ended, self.played.now))
+        self.played.take(self.played.forwarder.handle_engine_event(ended, self.played.now))
 
     def told(self) -> list[float]:
         return [float(reply.headers["retry-after"]) for reply in self.played.replies]
 
     def test_what_was_held_is_served_as_places_come_free(self) -> None:
         """Ten first turns for eight places: none is refused, since places come free in time."""
-        self.currency = Currency.SOON
+        self.currency = LeaseState.PENDING
         for number in range(10):
             self.turn(f"p{number}")
         self.played.wait(0.1)
         self.assertEqual(len(self.played.sent), 1)
-        self.currency = Currency.CURRENT
+        self.currency = LeaseState.VALID
         self.played.wait(0.01)
         self.assertEqual(len(self.played.sent), 1 + ENGINES * SLOTS)
         self.played.wait(0.2)
@@ -249,7 +249,7 @@
         self.assertEqual(self.played.replies, [])
 
     def test_the_herd_returns_spread_and_begun_programs_first(self) -> None:
-        self.currency = Currency.STALE
+        self.currency = LeaseState.EXPIRED
         for number in range(60):
             self.turn(f"p{number}")
         first = self.told()
@@ -266,7 +266,7 @@
         self.played.forwarder.table = None
         for number in range(560):
             self.turn(f"p{number}")
-        self.assertEqual(len(self.told()), 560 - MAX_HELD)
+        self.assertEqual(len(self.told()), 560 - MAX_HELD_REQUESTS)
         self.assertGreater(max(self.told()) - min(self.told()), 0.3)
 
 
--- a/tests/unit/scheduling/share_replay.py
+++ b/tests/unit/scheduling/share_replay.py
@@ -19,9 +19,9 @@
 from yokeline.effects import HttpArrived
 from yokeline.forwarding.attempts import Attempts
 from yokeline.forwarding.exchange import Exchange
+from yokeline.forwarding.fair_shares import FairShares
 from yokeline.forwarding.model import Call, PoolWeight, Route, RouteKind
-from yokeline.forwarding.place_shares import PlaceShares
-from yokeline.forwarding.tenants import StateNames, Tenant
+from yokeline.forwarding.tenants import ScopedNames, Tenant
 from yokeline.forwarding.wait_queue import WaitQueue
 from yokeline.identifiers import ExchangeId, ReplicaId
 from yokeline.ledger.messages import PoolLoad, PoolShares, TenantLoad
@@ -143,7 +143,7 @@
         self.process = ReplicaId(name)
         self.mode = mode
         self.queue = WaitQueue()
-        self.shares = PlaceShares()
+        self.shares = FairShares()
         self.running: Counter[str] = Counter()
         self.reported_running = 0
         self.sent_since_report = 0
@@ -183,7 +183,7 @@
         self._virtual_time = max(self._virtual_time, self._virtual_start(exchange))
         self._virtual_starts[exchange.tenant_name] = self._virtual_start(exchange) + 1 / weight
         exchange.sends = 1
-        self.shares.note_served(exchange, now)
+        self.shares.record_served(exchange, now)
 
     def _virtual_start(self, exchange: Exchange) -> float:
         return max(self._virtual_time, self._virtual_starts.get(exchange.tenant_name, 0.0))
@@ -273,7 +273,7 @@
         self, node: _Node, running: int, told: tuple[PoolShares, ...]
     ) -> None:
         node.reported_running, node.sent_since_report = running, 0
-        node.shares.take_told(told, self.now)
+        node.shares.apply_leader_report(told, self.now)
 
     def _exchange(self, program: _Program, *, has_begun: bool) -> Exchange:
         name = f"turn-{next(self._numbers)}"
@@ -307,7 +307,7 @@
         if exchange.sends or not node.is_alive:
             return
         node.queue.remove(exchange)
-        node.shares.note_unserved(exchange, self.now)
+        node.shares.record_unserved(exchange, self.now)
         self._dispatch(node)
 
     def _dispatch(self, node: _Node) -> None:
@@ -412,4 +412,4 @@
 
 
 _EMPTY_REQUEST = HttpArrived(exchange=ExchangeId(""), method="POST", path="/", headers={}, body=b"")
-_NAMES = StateNames(operation="", turn="", program="", session="", previous_turn="")
+_NAMES = ScopedNames(operation="", turn="", program="", session="", previous_turn="")
