--- a/tests/unit/forwarding/room_replay.py
+++ b/tests/unit/forwarding/room_replay.py
@@ -76,7 +76,7 @@
         longest_lost_wait: The longest of those.
         most_waiting: Longest queue.
         refused_in_outage: Refusals for want of a proof.
-        retry_delays: When each refused caller was told to return.
+        return_times: When each refused caller was told to return.
     """
 
     programs: int = 0
@@ -89,7 +89,7 @@
     longest_lost_wait: float = 0.0
     most_waiting: int = 0
     refused_in_outage: int = 0
-    retry_delays: list[float] = msgspec.field(default_factory=list)
+    return_times: list[float] = msgspec.field(default_factory=list)
 
     @property
     def worth(self) -> float:
@@ -218,7 +218,7 @@
     def _count_refusal(
         self, reply: HttpReply, program: _Program, waited: float, told: float
     ) -> None:
-        self.result.retry_delays.append(self.played.now + told)
+        self.result.return_times.append(self.played.now + told)
         if b"stale_configuration" in reply.body:
             self.result.refused_in_outage += 1
             return
